--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -15,14 +15,18 @@
 namespace {
 
 void set_up_logging() {
-  auto logger = std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>());
+  auto logger =
+      std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>());
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   spdlog::set_default_logger(logger);
   const char* wanted = std::getenv("LOG_LEVEL");
   const std::string level = wanted == nullptr ? "info" : wanted;
-  if (level == "error") spdlog::set_level(spdlog::level::err);
-  else if (level == "debug") spdlog::set_level(spdlog::level::debug);
-  else spdlog::set_level(spdlog::level::info);
+  if (level == "error")
+    spdlog::set_level(spdlog::level::err);
+  else if (level == "debug")
+    spdlog::set_level(spdlog::level::debug);
+  else
+    spdlog::set_level(spdlog::level::info);
   if (level != "error" && level != "debug" && level != "info") {
     spdlog::error("LOG_LEVEL: '{}' is none of error, info, debug; using info", level);
   }
@@ -32,10 +36,12 @@
   asio::io_context io(1);
   try {
     const Controller controller(io, settings);
-    spdlog::info("{} {} in {} serves {}", settings.node, ELMSTALL_VERSION, settings.zone, settings.api_addr);
+    spdlog::info("{} {} in {} serves {}", settings.node, ELMSTALL_VERSION, settings.zone,
+                 settings.api_addr);
     io.run();
   } catch (const std::system_error& error) {
-    std::fprintf(stderr, "elmstall: cannot serve on %s and %s: %s\n", settings.api_addr.c_str(), settings.mesh_addr.c_str(), error.what());
+    std::fprintf(stderr, "elmstall: cannot serve on %s and %s: %s\n", settings.api_addr.c_str(),
+                 settings.mesh_addr.c_str(), error.what());
     return kCannotListen;
   }
   return kOk;
@@ -49,7 +55,8 @@
   std::string properties_file;
   bool check = false;
   cli.add_option("--config", settings_file, "settings file of the platform (TOML)")->required();
-  cli.add_option("--properties", properties_file, "operators' own settings (Java-style properties)");
+  cli.add_option("--properties", properties_file,
+                 "operators' own settings (Java-style properties)");
   cli.add_flag("--check", check, "validate the settings and exit");
   cli.set_version_flag("--version", std::string("elmstall ") + ELMSTALL_VERSION);
   try {
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -20,20 +20,27 @@
   explicit AsioRuntime(asio::io_context& io) : io_(io), random_(std::random_device{}()) {}
 
   [[nodiscard]] double now() const override {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
+    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch())
+        .count();
   }
   [[nodiscard]] double wall() const override {
-    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
+    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch())
+        .count();
+  }
+  [[nodiscard]] double random() override {
+    return std::uniform_real_distribution<double>(0, 1)(random_);
   }
-  [[nodiscard]] double random() override { return std::uniform_real_distribution<double>(0, 1)(random_); }
   void after(double seconds, std::function<void()> fn) override {
-    auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(static_cast<long>(seconds * 1e6)));
+    auto timer = std::make_shared<asio::steady_timer>(
+        io_, std::chrono::microseconds(static_cast<long>(seconds * 1e6)));
     timer->async_wait([timer, fn = std::move(fn)](asio::error_code error) {
       if (!error) fn();
     });
   }
   void defer(std::function<void()> fn) override { asio::post(io_, std::move(fn)); }
-  [[nodiscard]] std::string incarnation() { return std::to_string(random_()) + std::to_string(random_()); }
+  [[nodiscard]] std::string incarnation() {
+    return std::to_string(random_()) + std::to_string(random_());
+  }
 
  private:
   asio::io_context& io_;
@@ -44,12 +51,14 @@
   // Any node may be the leader, which needs most of the writes; the service
   // refuses what all together ask for beyond its limits, and that is retried.
   const auto nodes = static_cast<double>(settings.peers.size() + 1);
-  return {settings.state_rps * std::max(0.5, 1 / nodes), settings.state_write_rps * std::max(0.6, 1 / nodes)};
+  return {settings.state_rps * std::max(0.5, 1 / nodes),
+          settings.state_write_rps * std::max(0.6, 1 / nodes)};
 }
 
 net::ServerLimits server_limits(const config::Settings& settings) {
   const double inbound = settings.fd_limit * constants::kInboundSocketShare;
-  return {static_cast<std::size_t>(inbound), constants::kMaxBodyBytes, static_cast<std::size_t>(inbound * constants::kCrowdedShare)};
+  return {static_cast<std::size_t>(inbound), constants::kMaxBodyBytes,
+          static_cast<std::size_t>(inbound * constants::kCrowdedShare)};
 }
 
 }  // namespace
@@ -62,9 +71,12 @@
         cloud(io, net::parse_endpoint(settings.cloud_endpoint)),
         workers(io, static_cast<std::size_t>(settings.fd_limit * constants::kWorkerSocketShare)),
         node(settings, {runtime, store, cloud, workers}, runtime.incarnation()),
-        mesh(io, net::parse_endpoint(settings.mesh_addr), settings.peers, [this](mesh::Message message) { node.on_message(std::move(message)); }),
+        mesh(io, net::parse_endpoint(settings.mesh_addr), settings.peers,
+             [this](mesh::Message message) { node.on_message(std::move(message)); }),
         server(io, net::parse_endpoint(settings.api_addr), server_limits(settings),
-               [this](net::Request request, net::Responder respond) { node.on_request(std::move(request), std::move(respond)); }) {
+               [this](net::Request request, net::Responder respond) {
+                 node.on_request(std::move(request), std::move(respond));
+               }) {
     node.start(mesh);
   }
 
@@ -78,7 +90,8 @@
   net::HttpServer server;
 };
 
-Controller::Controller(asio::io_context& io, const config::Settings& settings) : parts_(std::make_unique<Parts>(io, settings)) {}
+Controller::Controller(asio::io_context& io, const config::Settings& settings)
+    : parts_(std::make_unique<Parts>(io, settings)) {}
 Controller::~Controller() = default;
 
 }  // namespace elmstall::app
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -93,8 +93,9 @@
   settings.zones = reader.texts("deployment.zones");
   settings.skew_s = reader.number("deployment.skew_ms", 0, 3.6e6) / 1000;
   reader.each("deployment.teams", [&](const Reader& team) {
-    settings.teams.push_back({team.text("name"), team.optional_number("cpus"), team.optional_number("cpus_max"),
-                              team.optional_number("gpus"), team.optional_number("gpus_max")});
+    settings.teams.push_back({team.text("name"), team.optional_number("cpus"),
+                              team.optional_number("cpus_max"), team.optional_number("gpus"),
+                              team.optional_number("gpus_max")});
   });
   reader.each("deployment.objectives", [&](const Reader& aim) {
     settings.objectives.push_back({aim.optional_text("kind"), aim.optional_text("class"),
@@ -117,15 +118,19 @@
 }  // namespace
 
 const Team* Settings::team(const std::string& name) const {
-  const auto found = std::find_if(teams.begin(), teams.end(), [&](const Team& team) { return team.name == name; });
+  const auto found =
+      std::find_if(teams.begin(), teams.end(), [&](const Team& team) { return team.name == name; });
   return found == teams.end() ? nullptr : &*found;
 }
 
 double Settings::authority_s() const {
-  return std::max(lease_s * 0.1, cancel_s - lease_s * (1 + constants::kDrift) - constants::kAuthorityMargin);
+  return std::max(lease_s * 0.1,
+                  cancel_s - lease_s * (1 + constants::kDrift) - constants::kAuthorityMargin);
 }
 
-double Settings::lease_over_s() const { return lease_s * (1 + constants::kDrift) + constants::kLeaseMargin; }
+double Settings::lease_over_s() const {
+  return lease_s * (1 + constants::kDrift) + constants::kLeaseMargin;
+}
 
 double Settings::silent_after_s() const { return 3 * report_s + constants::kReportReplyLimit; }
 
@@ -145,13 +150,15 @@
   settings.api_addr = reader.address("api_addr");
   settings.mesh_addr = reader.address("mesh_addr");
   reader.each("known", [&](const Reader& peer) {
-    settings.peers.push_back({peer.text("node_name"), peer.optional_text("area"), peer.address("endpoint")});
+    settings.peers.push_back(
+        {peer.text("node_name"), peer.optional_text("area"), peer.address("endpoint")});
   });
   settings.cloud_endpoint = reader.address("endpoints.cloud");
   settings.state_endpoint = reader.address("endpoints.state");
   read_deployment(reader, settings);
   if (settings.cancel_s <= settings.lease_s) {
-    reader.fail("deployment.workers.cancel_s", "must be larger than lease_s, or no cancellation can be honoured");
+    reader.fail("deployment.workers.cancel_s",
+                "must be larger than lease_s, or no cancellation can be honoured");
   }
   return settings;
 }
--- a/src/engine/caretaker.cpp
+++ b/src/engine/caretaker.cpp
@@ -14,8 +14,10 @@
 void Caretaker::on_report(Waiting waiting, const View& view) {
   if (waiting.report.zone != settings_.zone) return waiting.respond({503, {}, 0});
   // It would drop an answer of ours, and be kept here while its lease runs out.
-  if (waiting.report.token >> k::kTokenFenceBits > mirror_.term()) return waiting.respond({503, {}, 0});
-  if (entitled() || may_stand_in(waiting.report.host, view)) return answer(waiting.report, waiting.respond);
+  if (waiting.report.token >> k::kTokenFenceBits > mirror_.term())
+    return waiting.respond({503, {}, 0});
+  if (entitled() || may_stand_in(waiting.report.host, view))
+    return answer(waiting.report, waiting.respond);
   waiting_.push_back(std::move(waiting));
   if (state_ == State::idle) begin();
 }
@@ -37,14 +39,17 @@
   turned_away_[one.report.host] = runtime_.now();
   // In a zone that is cut off the others are not to be reached, and trying
   // them takes 5 s each. With us or our neighbour it is heard when the cut ends.
-  if (!view.neighbour.empty()) one.respond({421, wire::encode_redirect(view.neighbour), 0});
-  else one.respond({503, {}, 0});
+  if (!view.neighbour.empty())
+    one.respond({421, wire::encode_redirect(view.neighbour), 0});
+  else
+    one.respond({503, {}, 0});
 }
 
 bool Caretaker::entitled() const {
   const double now = runtime_.now();
-  return state_ == State::active && now < renewed_ + k::kCareLease * (1 - k::kDrift) - k::kCareMargin &&
-         mirror_.loaded() && mirror_.revision() >= revision_ && now - proof_.current_as_of() < k::kCareKnowledge;
+  return state_ == State::active &&
+         now < renewed_ + k::kCareLease * (1 - k::kDrift) - k::kCareMargin && mirror_.loaded() &&
+         mirror_.revision() >= revision_ && now - proof_.current_as_of() < k::kCareKnowledge;
 }
 
 void Caretaker::answer(const wire::Report& report, const net::Responder& respond) {
@@ -62,7 +67,10 @@
   // The leader may have raised this machine's fence: a lower token than it has
   // seen would be dropped, and with it the lease.
   const bool present = report.token >> k::kTokenFenceBits == mirror_.term();
-  respond({200, wire::encode_orders(present ? report.token : mirror_.term() << k::kTokenFenceBits, orders), 0});
+  respond(
+      {200,
+       wire::encode_orders(present ? report.token : mirror_.term() << k::kTokenFenceBits, orders),
+       0});
 }
 
 bool Caretaker::may_start_cancelled(const wire::Report& report) const {
@@ -73,11 +81,16 @@
     const auto* blocks = mirror_.blocks(id);
     if (blocks == nullptr) continue;
     for (const auto& [number, block] : *blocks) {
-      const bool held = std::any_of(block.record.tasks.begin(), block.record.tasks.end(), [&](const ledger::TaskRecord& task) {
-        return task.host == report.host && std::none_of(report.tasks.begin(), report.tasks.end(), [&](const wire::TaskReport& shown) {
-                 return shown.index == task.index && shown.attempt == task.attempt && shown.job == id;
-               });
-      });
+      const bool held = std::any_of(block.record.tasks.begin(), block.record.tasks.end(),
+                                    [&](const ledger::TaskRecord& task) {
+                                      return task.host == report.host &&
+                                             std::none_of(report.tasks.begin(), report.tasks.end(),
+                                                          [&](const wire::TaskReport& shown) {
+                                                            return shown.index == task.index &&
+                                                                   shown.attempt == task.attempt &&
+                                                                   shown.job == id;
+                                                          });
+                                    });
       if (held) return true;
     }
   }
@@ -91,26 +104,29 @@
   const auto fail = [this, round] {
     if (round == round_) state_ = State::idle;
   };
-  store_.grant(k::kCareLease, scope_.wrap([this, round, fail, sent](const ledger::GrantResult& granted) {
-    if (round != round_) return;
-    if (granted.outcome != Outcome::ok) return fail();
-    lease_ = granted.lease;
-    wire::Txn txn;
-    // By its own version too: an earlier attempt's transaction that is applied
-    // later would hang the record on that attempt's lease.
-    const auto key = ledger::care_key(settings_.node);
-    const auto own = mirror_.cares().find(settings_.node);
-    txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()}, {key, own == mirror_.cares().end() ? 0 : own->second.second}};
-    txn.writes = {{key, ledger::encode(ledger::CareRecord{settings_.zone}), lease_}};
-    store_.commit(std::move(txn), scope_.wrap([this, round, fail, sent](const ledger::CommitResult& result) {
-      if (round != round_) return;
-      if (result.outcome != Outcome::ok) return fail();
-      spdlog::info("taking care of {}: its leader can't be heard", settings_.zone);
-      state_ = State::active;
-      renewed_ = sent;  // the lease was granted later than this
-      revision_ = result.revision;
-    }));
-  }));
+  store_.grant(
+      k::kCareLease, scope_.wrap([this, round, fail, sent](const ledger::GrantResult& granted) {
+        if (round != round_) return;
+        if (granted.outcome != Outcome::ok) return fail();
+        lease_ = granted.lease;
+        wire::Txn txn;
+        // By its own version too: an earlier attempt's transaction that is applied
+        // later would hang the record on that attempt's lease.
+        const auto key = ledger::care_key(settings_.node);
+        const auto own = mirror_.cares().find(settings_.node);
+        txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()},
+                      {key, own == mirror_.cares().end() ? 0 : own->second.second}};
+        txn.writes = {{key, ledger::encode(ledger::CareRecord{settings_.zone}), lease_}};
+        store_.commit(std::move(txn), scope_.wrap([this, round, fail,
+                                                   sent](const ledger::CommitResult& result) {
+          if (round != round_) return;
+          if (result.outcome != Outcome::ok) return fail();
+          spdlog::info("taking care of {}: its leader can't be heard", settings_.zone);
+          state_ = State::active;
+          renewed_ = sent;  // the lease was granted later than this
+          revision_ = result.revision;
+        }));
+      }));
 }
 
 void Caretaker::renew() {
@@ -118,8 +134,10 @@
   next_renew_ = sent + k::kRenewEvery;
   store_.renew(lease_, scope_.wrap([this, sent, round = round_](Outcome outcome) {
     if (round != round_) return;
-    if (outcome == Outcome::ok) renewed_ = std::max(renewed_, sent);
-    else if (outcome == Outcome::missing) end("its lease ran out");
+    if (outcome == Outcome::ok)
+      renewed_ = std::max(renewed_, sent);
+    else if (outcome == Outcome::missing)
+      end("its lease ran out");
   }));
 }
 
@@ -143,9 +161,12 @@
   const double now = runtime_.now();
   std::vector<Waiting> left;
   for (auto& one : waiting_) {
-    if (entitled() || may_stand_in(one.report.host, view)) answer(one.report, one.respond);
-    else if (now >= one.until) turn_away(one, view);
-    else left.push_back(std::move(one));
+    if (entitled() || may_stand_in(one.report.host, view))
+      answer(one.report, one.respond);
+    else if (now >= one.until)
+      turn_away(one, view);
+    else
+      left.push_back(std::move(one));
   }
   waiting_ = std::move(left);
 }
@@ -153,11 +174,16 @@
 void Caretaker::tick(const View& view) {
   const double now = runtime_.now();
   answer_waiting(view);
-  std::erase_if(turned_away_, [&](const auto& entry) { return view.leader_heard || now - entry.second > k::kTurnedAwayMemory; });
+  std::erase_if(turned_away_, [&](const auto& entry) {
+    return view.leader_heard || now - entry.second > k::kTurnedAwayMemory;
+  });
   if (state_ != State::active) return;
-  if (!view.leader_heard) heard_since_ = -1;
-  else if (heard_since_ < 0) heard_since_ = now;
-  if (view.leader_heard && now - heard_since_ >= k::kCareEnd) return end("its leader is heard again");
+  if (!view.leader_heard)
+    heard_since_ = -1;
+  else if (heard_since_ < 0)
+    heard_since_ = now;
+  if (view.leader_heard && now - heard_since_ >= k::kCareEnd)
+    return end("its leader is heard again");
   if (now >= next_renew_) renew();
 }
 
--- a/src/engine/caretaker.hpp
+++ b/src/engine/caretaker.hpp
@@ -25,9 +25,15 @@
 
 class Caretaker {
  public:
-  Caretaker(const config::Settings& settings, Runtime& runtime, CommandQueue& queue, ledger::Store& store,
-            const ledger::Mirror& mirror, const Proof& proof)
-      : settings_(settings), runtime_(runtime), store_(store), mirror_(mirror), proof_(proof), scope_(queue), answered_at_(runtime.now()) {}
+  Caretaker(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
+            ledger::Store& store, const ledger::Mirror& mirror, const Proof& proof)
+      : settings_(settings),
+        runtime_(runtime),
+        store_(store),
+        mirror_(mirror),
+        proof_(proof),
+        scope_(queue),
+        answered_at_(runtime.now()) {}
 
   /// What the node sees of the world around it.
   struct View {
--- a/src/engine/committer.cpp
+++ b/src/engine/committer.cpp
@@ -9,16 +9,25 @@
 namespace k = constants;
 using ledger::Outcome;
 
-Committer::Committer(const config::Settings& settings, Runtime& runtime, CommandQueue& queue, ledger::Store& store,
-                     const ledger::Mirror& mirror, std::uint64_t term_stamp, Events events)
-    : settings_(settings), runtime_(runtime), store_(store), mirror_(mirror), term_stamp_(term_stamp), events_(std::move(events)), scope_(queue), wake_(runtime, queue) {
+Committer::Committer(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
+                     ledger::Store& store, const ledger::Mirror& mirror, std::uint64_t term_stamp,
+                     Events events)
+    : settings_(settings),
+      runtime_(runtime),
+      store_(store),
+      mirror_(mirror),
+      term_stamp_(term_stamp),
+      events_(std::move(events)),
+      scope_(queue),
+      wake_(runtime, queue) {
   for (const auto& [number, slot] : mirror.slots()) {
     slots_[number].stamp = slot.stamp;
     next_number_ = std::max(next_number_, slot.number + 1);
   }
 }
 
-Committer::Record* Committer::add(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack) {
+Committer::Record* Committer::add(Record::Kind kind, std::string job,
+                                  std::function<ledger::Packed()> pack) {
   auto record = std::make_unique<Record>();
   record->kind = kind;
   record->job = std::move(job);
@@ -29,7 +38,8 @@
   return result;
 }
 
-Committer::Record* Committer::adopt(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack, std::uint32_t slot) {
+Committer::Record* Committer::adopt(Record::Kind kind, std::string job,
+                                    std::function<ledger::Packed()> pack, std::uint32_t slot) {
   auto* record = add(kind, std::move(job), std::move(pack));
   record->revision = slots_[slot].stamp;
   record->slot = slot;
@@ -61,7 +71,9 @@
 
 // --- building a transaction ------------------------------------------------------
 
-std::size_t Committer::value_limit() const { return static_cast<std::size_t>(settings_.state_value_kb * 1024 * k::kSlotFill); }
+std::size_t Committer::value_limit() const {
+  return static_cast<std::size_t>(settings_.state_value_kb * 1024 * k::kSlotFill);
+}
 
 std::uint32_t Committer::choose_slot(const Pending& pending) const {
   // The one with the least to carry; a new one while even that is too much.
@@ -71,7 +83,8 @@
   std::uint32_t best_number = 0;
   for (const auto& [number, slot] : slots_) {
     fresh = std::max(fresh, number + 1);
-    const bool taken = std::any_of(pending.values.begin(), pending.values.end(), [n = number](const Value& value) { return value.slot == n; });
+    const bool taken = std::any_of(pending.values.begin(), pending.values.end(),
+                                   [n = number](const Value& value) { return value.slot == n; });
     if (taken || slot.json > carry || (best != nullptr && slot.json >= best->json)) continue;
     best = &slot;
     best_number = number;
@@ -110,13 +123,16 @@
   // The last word on a job takes its blocks along; until it is written they
   // are carried, for a leader that found none would start from nothing.
   if (record.job.empty()) return true;
-  return mirror_.job(record.job) != nullptr && std::find(pending.finals.begin(), pending.finals.end(), record.job) == pending.finals.end();
+  return mirror_.job(record.job) != nullptr &&
+         std::find(pending.finals.begin(), pending.finals.end(), record.job) ==
+             pending.finals.end();
 }
 
 void Committer::guard_absent(Pending& pending, const Record& record) {
   if (record.clean()) return;
   for (const auto& key : record.absent) {
-    const bool known = std::any_of(pending.txn.guards.begin(), pending.txn.guards.end(), [&](const auto& one) { return one.key == key; });
+    const bool known = std::any_of(pending.txn.guards.begin(), pending.txn.guards.end(),
+                                   [&](const auto& one) { return one.key == key; });
     if (!known) pending.txn.guards.push_back({key, 0});
   }
 }
@@ -124,7 +140,8 @@
 void Committer::put(Value& value, Record& record, ledger::Packed packed) {
   value.json += packed.json;
   value.entries.push_back({record.serial, record.version, packed.json});
-  (record.kind == Record::Kind::host ? value.hosts : value.blocks).push_back(std::move(packed.bytes));
+  (record.kind == Record::Kind::host ? value.hosts : value.blocks)
+      .push_back(std::move(packed.bytes));
 }
 
 bool Committer::carry(Pending& pending, Value& value) {
@@ -140,12 +157,14 @@
   return value.json <= value_limit() / 2;
 }
 
-void Committer::fill(Pending& pending, Value& value, std::map<std::uint64_t, Record*>::iterator& next) {
+void Committer::fill(Pending& pending, Value& value,
+                     std::map<std::uint64_t, Record*>::iterator& next) {
   const auto limit = value_limit();
   for (; next != dirty_.end(); ++next) {
     auto& record = *next->second;
     // Blocks of finished jobs go with the last word, when its turn comes.
-    if (record.slot == value.slot || !live(record, pending) || finals_.contains(record.job)) continue;
+    if (record.slot == value.slot || !live(record, pending) || finals_.contains(record.job))
+      continue;
     auto packed = record.pack();
     if (value.json + packed.json > limit) return;
     guard_absent(pending, record);
@@ -167,8 +186,10 @@
     if (pending.values.empty() && value.entries.empty() && pending.finals.empty()) return;
     if (!pending.values.empty() && value.entries.empty()) return;
     const auto known = slots_.find(value.slot);
-    pending.txn.guards.push_back({ledger::slot_key(value.slot), known == slots_.end() ? 0 : known->second.stamp});
-    pending.txn.writes.push_back({ledger::slot_key(value.slot), ledger::encode_slot(value.number, value.blocks, value.hosts), 0});
+    pending.txn.guards.push_back(
+        {ledger::slot_key(value.slot), known == slots_.end() ? 0 : known->second.stamp});
+    pending.txn.writes.push_back({ledger::slot_key(value.slot),
+                                  ledger::encode_slot(value.number, value.blocks, value.hosts), 0});
     pending.json += value.json + 200;
     pending.values.push_back(std::move(value));
   } while (!all() && pending.txn.writes.size() < static_cast<std::size_t>(settings_.txn_ops) / 2 &&
@@ -191,24 +212,30 @@
   pending->sent = now;
   next_commit_ = now + k::kCommitEvery;
   // One change that carries what many wait for goes before any single one.
-  store_.commit(pending->txn,
-                scope_.wrap([this, pending](const ledger::CommitResult& result) { on_result(pending, result); }));
+  store_.commit(pending->txn, scope_.wrap([this, pending](const ledger::CommitResult& result) {
+    on_result(pending, result);
+  }));
 }
 
 // --- what became of it -------------------------------------------------------------
 
-void Committer::on_result(const std::shared_ptr<Pending>& pending, const ledger::CommitResult& result) {
+void Committer::on_result(const std::shared_ptr<Pending>& pending,
+                          const ledger::CommitResult& result) {
   busy_ = false;
   switch (result.outcome) {
     case Outcome::ok:
       return succeed(*pending, result.revision);
     case Outcome::conflict: {
-      const auto failed = [&](const std::string& key) { return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end(); };
+      const auto failed = [&](const std::string& key) {
+        return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
+      };
       if (failed(std::string(ledger::kTermKey))) return events_.deposed();
       // The log is ours alone: an earlier transaction, thought lost, was
       // applied after all. All other records change under other hands too,
       // and the watch tells.
-      const bool ours = std::any_of(pending->values.begin(), pending->values.end(), [&](const Value& value) { return failed(ledger::slot_key(value.slot)); });
+      const bool ours =
+          std::any_of(pending->values.begin(), pending->values.end(),
+                      [&](const Value& value) { return failed(ledger::slot_key(value.slot)); });
       if (ours) return read_back(pending);
       wait_revision_ = std::max(wait_revision_, result.revision);
       return pause(0.05);
@@ -228,15 +255,20 @@
   busy_ = true;
   // One transaction is applied whole or not at all: one of its values tells.
   const auto& first = pending->values.front();
-  const auto ask = [this, pending](std::uint32_t slot, std::function<void(const ledger::GetResult&)> then) {
-    store_.get(ledger::slot_key(slot), scope_.wrap([this, pending, then = std::move(then)](const ledger::GetResult& result) {
-      if (result.outcome == Outcome::ok || result.outcome == Outcome::missing) return then(result);
-      runtime_.after(k::kStateRetry, scope_.wrap([this, pending] { read_back(pending); }));
-    }));
+  const auto ask = [this, pending](std::uint32_t slot,
+                                   std::function<void(const ledger::GetResult&)> then) {
+    store_.get(
+        ledger::slot_key(slot),
+        scope_.wrap([this, pending, then = std::move(then)](const ledger::GetResult& result) {
+          if (result.outcome == Outcome::ok || result.outcome == Outcome::missing)
+            return then(result);
+          runtime_.after(k::kStateRetry, scope_.wrap([this, pending] { read_back(pending); }));
+        }));
   };
   ask(first.slot, [this, pending, ask](const ledger::GetResult& result) {
     const auto& value = pending->values.front();
-    if (result.outcome == Outcome::ok && ledger::decode_slot(result.entry.value).number == value.number) {
+    if (result.outcome == Outcome::ok &&
+        ledger::decode_slot(result.entry.value).number == value.number) {
       busy_ = false;
       return succeed(*pending, result.entry.stamp);
     }
--- a/src/engine/committer.hpp
+++ b/src/engine/committer.hpp
@@ -60,13 +60,15 @@
     std::function<void(double sent)> confirmed;
   };
 
-  Committer(const config::Settings& settings, Runtime& runtime, CommandQueue& queue, ledger::Store& store,
-            const ledger::Mirror& mirror, std::uint64_t term_stamp, Events events);
+  Committer(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
+            ledger::Store& store, const ledger::Mirror& mirror, std::uint64_t term_stamp,
+            Events events);
 
   /// An entry that is not in the log yet.
   Record* add(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack);
   /// An entry that the log has in this slot.
-  Record* adopt(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack, std::uint32_t slot);
+  Record* adopt(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack,
+                std::uint32_t slot);
   void touch(Record& record);
   /// Says that the entry is gone and forgets it; the pointer is not to be used
   /// again. `last`: its last packed form.
@@ -79,7 +81,7 @@
  private:
   struct Slot {
     std::uint64_t stamp = 0;
-    std::size_t json = 0;                    ///< of what is live in it
+    std::size_t json = 0;                   ///< of what is live in it
     std::map<std::uint64_t, Record*> live;  ///< by serial
   };
   /// A new value of a slot.
@@ -131,7 +133,7 @@
   Events events_;
   CommandScope scope_;
   std::map<std::uint64_t, std::unique_ptr<Record>> records_;  ///< by serial
-  std::map<std::uint64_t, Record*> dirty_;                    ///< by ticket: first come, first written
+  std::map<std::uint64_t, Record*> dirty_;  ///< by ticket: first come, first written
   std::map<std::string, Final> finals_;
   std::map<std::uint32_t, Slot> slots_;
   std::uint64_t next_serial_ = 1;
--- a/src/engine/fleet_keeper.cpp
+++ b/src/engine/fleet_keeper.cpp
@@ -11,9 +11,18 @@
 
 namespace k = constants;
 
-FleetKeeper::FleetKeeper(const config::Settings& settings, Runtime& runtime, CommandQueue& queue, fleet::Cloud& cloud,
-                         Model& model, Estimates& estimates, std::uint64_t term, std::function<void(Host&)> gone)
-    : settings_(settings), runtime_(runtime), cloud_(cloud), model_(model), estimates_(estimates), term_(term), gone_(std::move(gone)), scope_(queue), started_(runtime.now()) {}
+FleetKeeper::FleetKeeper(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
+                         fleet::Cloud& cloud, Model& model, Estimates& estimates,
+                         std::uint64_t term, std::function<void(Host&)> gone)
+    : settings_(settings),
+      runtime_(runtime),
+      cloud_(cloud),
+      model_(model),
+      estimates_(estimates),
+      term_(term),
+      gone_(std::move(gone)),
+      scope_(queue),
+      started_(runtime.now()) {}
 
 void FleetKeeper::tick() {
   const double now = runtime_.now();
@@ -116,9 +125,12 @@
     if (host.heard) {
       ++heard;
       const bool mute = host.quiet(now) > settings_.silent_after_s();
-      if (host.tasks.empty() && host.quarantined) release(host);
-      else if (mute) silent.push_back(&host);
-      else if (host.deaf) deaf.push_back(&host);
+      if (host.tasks.empty() && host.quarantined)
+        release(host);
+      else if (mute)
+        silent.push_back(&host);
+      else if (host.deaf)
+        deaf.push_back(&host);
       auto& zone = zones[host.zone];
       ++zone.heard;
       if (mute) ++zone.silent;
@@ -160,7 +172,8 @@
   const auto& zones = flavor.zones.empty() ? settings_.zones : flavor.zones;
   for (const auto& zone : zones) {
     for (const bool spot : {false, true}) {
-      sched::Pool pool{flavor.name, zone, spot, spot ? flavor.spot_price : flavor.price, 0, 0, false};
+      sched::Pool pool{flavor.name, zone, spot, spot ? flavor.spot_price : flavor.price,
+                       0,           0,    false};
       const auto state = pools_.find({flavor.name, zone, spot});
       if (state != pools_.end()) {
         pool.blocked = state->second.blocked_until > now;
@@ -170,11 +183,18 @@
     }
   }
   for (const auto& [id, host] : model_.hosts()) {
-    if (host->type != flavor.name || host->releasing || host->quarantined || host->recall_at || host->listed_failed) continue;
-    const auto pool = std::find_if(pools.begin(), pools.end(), [&, one = host.get()](const sched::Pool& other) { return other.spot == one->spot && other.zone == one->zone; });
+    if (host->type != flavor.name || host->releasing || host->quarantined || host->recall_at ||
+        host->listed_failed)
+      continue;
+    const auto pool =
+        std::find_if(pools.begin(), pools.end(), [&, one = host.get()](const sched::Pool& other) {
+          return other.spot == one->spot && other.zone == one->zone;
+        });
     if (pool == pools.end()) continue;
-    if (!host->heard) ++pool->booting;
-    else if (host->quiet(now) < settings_.silent_after_s()) ++pool->alive;
+    if (!host->heard)
+      ++pool->booting;
+    else if (host->quiet(now) < settings_.silent_after_s())
+      ++pool->alive;
   }
   return pools;
 }
@@ -200,19 +220,25 @@
   return count;
 }
 
-std::optional<std::string> FleetKeeper::zone_left_open(const Job& job, const std::vector<std::string>& zones) {
+std::optional<std::string> FleetKeeper::zone_left_open(const Job& job,
+                                                       const std::vector<std::string>& zones) {
   if (!job.spec.scatter) return std::nullopt;
   const auto there = [&](const std::string& zone) {
     const auto found = job.per_zone.find(zone);
     return found == job.per_zone.end() ? std::size_t{0} : std::size_t{found->second};
   };
-  const auto full = [&](const std::string& zone) { return there(zone) >= sched::scatter_limit(job.spec.tasks); };
+  const auto full = [&](const std::string& zone) {
+    return there(zone) >= sched::scatter_limit(job.spec.tasks);
+  };
   if (std::none_of(zones.begin(), zones.end(), full)) return std::nullopt;
-  const auto best = std::min_element(zones.begin(), zones.end(), [&](const auto& a, const auto& b) { return there(a) < there(b); });
+  const auto best = std::min_element(zones.begin(), zones.end(), [&](const auto& a, const auto& b) {
+    return there(a) < there(b);
+  });
   return full(*best) ? std::nullopt : std::optional(*best);
 }
 
-std::map<std::string, FleetKeeper::Bound> FleetKeeper::bound_to_zones(const wire::Flavor& flavor, double now) const {
+std::map<std::string, FleetKeeper::Bound> FleetKeeper::bound_to_zones(const wire::Flavor& flavor,
+                                                                      double now) const {
   const sched::Amount whole{flavor.cpus, flavor.gpus, flavor.memory_gb};
   std::map<std::string, Bound> bound;
   const auto& zones = flavor.zones.empty() ? settings_.zones : flavor.zones;
@@ -221,12 +247,16 @@
     const auto& spec = job->spec;
     const bool halves = job->gang() && spec.scatter;
     const auto open = halves ? std::nullopt : zone_left_open(*job, zones);
-    if ((!spec.zone && !spec.together && !halves && !open) || job->cancelled || job->failed_until > now || now - job->submitted < k::kZonePatience) continue;
+    if ((!spec.zone && !spec.together && !halves && !open) || job->cancelled ||
+        job->failed_until > now || now - job->submitted < k::kZonePatience)
+      continue;
     const double share = job->need.share_of(whole);
     if (share > 1 + 1e-6) continue;
     double waiting = 0;
     for (const auto& [number, block] : job->blocks) {
-      waiting += static_cast<double>(std::count_if(block->tasks.begin(), block->tasks.end(), [](const Task& task) { return task.phase == Phase::pending; }));
+      waiting += static_cast<double>(
+          std::count_if(block->tasks.begin(), block->tasks.end(),
+                        [](const Task& task) { return task.phase == Phase::pending; }));
     }
     if (waiting <= 0) continue;
     const double machines = std::ceil(waiting / std::floor(1.0 / share + 1e-6));
@@ -235,15 +265,24 @@
       entry.machines += count;
       entry.spot = entry.spot && spec.spot;
     };
-    if (spec.zone) add(*spec.zone, machines);
-    else if (open) add(*open, machines);
-    else if (spec.together) add(job->per_zone.empty() ? (job->zone_choice.empty() ? settings_.zones.front() : job->zone_choice) : job->per_zone.begin()->first, machines);
-    else for (const auto& zone : settings_.zones) add(zone, std::ceil(machines / static_cast<double>(settings_.zones.size())));
+    if (spec.zone)
+      add(*spec.zone, machines);
+    else if (open)
+      add(*open, machines);
+    else if (spec.together)
+      add(job->per_zone.empty()
+              ? (job->zone_choice.empty() ? settings_.zones.front() : job->zone_choice)
+              : job->per_zone.begin()->first,
+          machines);
+    else
+      for (const auto& zone : settings_.zones)
+        add(zone, std::ceil(machines / static_cast<double>(settings_.zones.size())));
   }
   return bound;
 }
 
-void FleetKeeper::rent_for_zones(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools, double now) {
+void FleetKeeper::rent_for_zones(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
+                                 double now) {
   // The fleet's size follows all demand together, but a machine in one zone
   // is no use to work that may only run in another.
   const sched::Amount whole{flavor.cpus, flavor.gpus, flavor.memory_gb};
@@ -256,14 +295,21 @@
       if (pool.zone == zone) there += pool.booting;
     }
     for (const auto& [id, host] : model_.hosts()) {
-      const bool kind = host->type == flavor.name && host->zone == zone && (bound.spot || !host->spot);
-      if (kind && Planner::usable(*host, now, settings_)) there += std::max(0.0, 1 - host->used.share_of(whole));
+      const bool kind =
+          host->type == flavor.name && host->zone == zone && (bound.spot || !host->spot);
+      if (kind && Planner::usable(*host, now, settings_))
+        there += std::max(0.0, 1 - host->used.share_of(whole));
     }
     const auto missing = static_cast<int>(std::ceil(bound.machines - there - 1e-6));
     if (missing <= 0) continue;
-    const auto pool = std::find_if(pools.begin(), pools.end(), [&, z = &zone, b = &bound](const sched::Pool& one) { return one.zone == *z && !one.blocked && (b->spot || !one.spot); });
-    if (pool != pools.end()) rent({pool->type, pool->zone, pool->spot}, missing);
-    else stranded_ += missing;
+    const auto pool = std::find_if(
+        pools.begin(), pools.end(), [&, z = &zone, b = &bound](const sched::Pool& one) {
+          return one.zone == *z && !one.blocked && (b->spot || !one.spot);
+        });
+    if (pool != pools.end())
+      rent({pool->type, pool->zone, pool->spot}, missing);
+    else
+      stranded_ += missing;
   }
 }
 
@@ -277,7 +323,8 @@
   for (const auto& [id, job] : model_.jobs()) {
     if (job->cancelled || job->failed_until > now || job->all_done()) continue;
     const auto& types = job->spec.types;
-    if (!types.empty() && std::find(types.begin(), types.end(), flavor.name) == types.end()) continue;
+    if (!types.empty() && std::find(types.begin(), types.end(), flavor.name) == types.end())
+      continue;
     const auto* team = settings_.team(job->spec.team);
     if (team == nullptr) continue;
     double share = job->need.share_of(whole);
@@ -285,12 +332,14 @@
     share = 1.0 / std::floor(1.0 / share + 1e-6);
     if (job->spec.spot) ending += share * ending_soon(*job, flavor.ready_s, now);
     newest = std::max(newest, job->serial);
-    if (job->spec.spot && urgent(*job, flavor) && job->serial > counted_ && job->submitted > started_ + k::kArrivalSettle) {
+    if (job->spec.spot && urgent(*job, flavor) && job->serial > counted_ &&
+        job->submitted > started_ + k::kArrivalSettle) {
       arrivals.add(now, share * std::min<double>(job->spec.tasks, constants::kWindowTasks));
     }
     // No more than the team's limit allows at once.
     auto& sum = wanted[job->spec.team];
-    const auto count = sched::within_limit_count(*team, sum, job->need, job->spec.tasks - job->finished_tasks);
+    const auto count =
+        sched::within_limit_count(*team, sum, job->need, job->spec.tasks - job->finished_tasks);
     sum += job->need * count;
     (job->spec.spot ? demand.flexible : demand.ordinary) += share * count;
   }
@@ -301,7 +350,8 @@
   const bool known = term_ <= 1 || now > started_ + k::kArrivalSettle + k::kArrivalLearn;
   const double change = known ? arrivals.per_second(now) * flavor.ready_s - ending : 0;
   demand.flexible = std::max(0.0, demand.flexible + settings_.tuning.foresight * change);
-  demand.headroom = settings_.tuning.headroom_machines + settings_.tuning.headroom_share * demand.ordinary;
+  demand.headroom =
+      settings_.tuning.headroom_machines + settings_.tuning.headroom_share * demand.ordinary;
   return demand;
 }
 
@@ -323,10 +373,13 @@
   }
 }
 
-void FleetKeeper::return_idle(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools, const sched::Demand& demand, double now) {
+void FleetKeeper::return_idle(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
+                              const sched::Demand& demand, double now) {
   auto spare = sched::surplus(pools, demand);
   // What chance does to demand weighs less the larger the fleet.
-  const double scale = std::clamp(std::sqrt(k::kIdleFleet / std::max<double>(1, static_cast<double>(model_.hosts().size()))), k::kIdleScaleMin, 1.0);
+  const double scale = std::clamp(
+      std::sqrt(k::kIdleFleet / std::max<double>(1, static_cast<double>(model_.hosts().size()))),
+      k::kIdleScaleMin, 1.0);
   const double keep = settings_.tuning.idle_share * scale * flavor.ready_s;
   for (auto& [id, host] : model_.hosts()) {
     if (host->type != flavor.name || !host->synced || host->releasing) continue;
@@ -343,7 +396,8 @@
     // gang that waits for two zones once kept all there was in one of them,
     // and the other got none.
     const auto wanted = wanted_zones_.find(host->zone);
-    if (wanted != wanted_zones_.end() && wanted->second.machines > 0 && (wanted->second.spot || !host->spot)) {
+    if (wanted != wanted_zones_.end() && wanted->second.machines > 0 &&
+        (wanted->second.spot || !host->spot)) {
       wanted->second.machines -= 1;
       continue;
     }
@@ -359,7 +413,8 @@
   // is not rented now boots later.
   for (; count > 0 && allowance_ >= 1; count -= k::kMaxRentCount, allowance_ -= 1) {
     // Term and counter: never used before, by no node.
-    const Request request{key, "r-" + std::to_string(term_) + "-" + std::to_string(next_request_++), std::min(count, k::kMaxRentCount)};
+    const Request request{key, "r-" + std::to_string(term_) + "-" + std::to_string(next_request_++),
+                          std::min(count, k::kMaxRentCount)};
     pools_[key].pending += request.count;
     send_rent(request);
   }
@@ -367,8 +422,12 @@
 
 void FleetKeeper::send_rent(const Request& request) {
   const auto& [type, zone, spot] = request.pool;
-  spdlog::info("renting {} x {} in {}{} as {}", request.count, type, zone, spot ? " (spot)" : "", request.name);
-  cloud_.rent(request.name, type, zone, spot, request.count, scope_.wrap([this, request](const fleet::RentResult& result) { on_rented(request, result); }));
+  spdlog::info("renting {} x {} in {}{} as {}", request.count, type, zone, spot ? " (spot)" : "",
+               request.name);
+  cloud_.rent(request.name, type, zone, spot, request.count,
+              scope_.wrap([this, request](const fleet::RentResult& result) {
+                on_rented(request, result);
+              }));
 }
 
 void FleetKeeper::on_rented(const Request& request, const fleet::RentResult& result) {
@@ -389,7 +448,8 @@
       if (host.rented_at == kNever) host.rented_at = now;
     }
   }
-  if (result.outcome == Outcome::ok && result.hosts.size() == static_cast<std::size_t>(request.count)) {
+  if (result.outcome == Outcome::ok &&
+      result.hosts.size() == static_cast<std::size_t>(request.count)) {
     pool.pause = k::kNoCapacityPause;
     return;
   }
--- a/src/engine/fleet_keeper.hpp
+++ b/src/engine/fleet_keeper.hpp
@@ -3,17 +3,18 @@
 
 #include "engine/model.hpp"
 #include "engine/planner.hpp"
+#include "fleet/cloud.hpp"
 #include "sched/arrivals.hpp"
 #include "sched/fleet_plan.hpp"
-#include "fleet/cloud.hpp"
 
 namespace elmstall::engine {
 
 class FleetKeeper {
  public:
   /// `term`: in the first nobody can have rented anything before us.
-  FleetKeeper(const config::Settings& settings, Runtime& runtime, CommandQueue& queue, fleet::Cloud& cloud, Model& model,
-              Estimates& estimates, std::uint64_t term, std::function<void(Host&)> gone);
+  FleetKeeper(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
+              fleet::Cloud& cloud, Model& model, Estimates& estimates, std::uint64_t term,
+              std::function<void(Host&)> gone);
 
   void tick();
   /// Has the cloud delete the machine, which proves its tasks gone.
@@ -38,7 +39,8 @@
   void finish_list();
   void review_hosts(double now);
   void plan(double now);
-  void return_idle(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools, const sched::Demand& demand, double now);
+  void return_idle(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
+                   const sched::Demand& demand, double now);
   void rent(const PoolKey& key, int count);
   void send_rent(const Request& request);
   void on_rented(const Request& request, const fleet::RentResult& result);
@@ -50,9 +52,12 @@
     bool spot = true;  ///< all of it may use spot machines
   };
   /// Where spread work may still go that has its most in another zone.
-  [[nodiscard]] static std::optional<std::string> zone_left_open(const Job& job, const std::vector<std::string>& zones);
-  [[nodiscard]] std::map<std::string, Bound> bound_to_zones(const wire::Flavor& flavor, double now) const;
-  void rent_for_zones(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools, double now);
+  [[nodiscard]] static std::optional<std::string> zone_left_open(
+      const Job& job, const std::vector<std::string>& zones);
+  [[nodiscard]] std::map<std::string, Bound> bound_to_zones(const wire::Flavor& flavor,
+                                                            double now) const;
+  void rent_for_zones(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
+                      double now);
   [[nodiscard]] sched::Demand demand_of(const wire::Flavor& flavor, double now);
   /// Its aim leaves no time to boot a machine for it.
   [[nodiscard]] bool urgent(const Job& job, const wire::Flavor& flavor) const;
--- a/src/engine/gateway.cpp
+++ b/src/engine/gateway.cpp
@@ -30,7 +30,8 @@
 
 void Gateway::later(const CallPtr& call) const { call->respond({503, {}, k::kRetryAfter}); }
 
-void Gateway::answer(const CallPtr& call, int status, const wire::JobStatus& state, bool counts) const {
+void Gateway::answer(const CallPtr& call, int status, const wire::JobStatus& state,
+                     bool counts) const {
   call->respond({status, wire::encode_status(state, counts), 0});
 }
 
@@ -49,16 +50,19 @@
   const auto& id = call->id;
   // What is final never changes: no proof is needed.
   if (mirror_.final_state(id)) return answer(call, 200, mirror_.status(id), counts);
-  proof_.request(call->deadline - runtime_.now(), [this, call, counts, otherwise = std::move(otherwise)](bool current) {
+  proof_.request(call->deadline - runtime_.now(), [this, call, counts,
+                                                   otherwise = std::move(otherwise)](bool current) {
     if (!current) return later(call);
-    if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr) return answer(call, 200, mirror_.status(call->id), counts);
+    if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr)
+      return answer(call, 200, mirror_.status(call->id), counts);
     // Not among the live jobs; it may be over since before this node began.
-    store_.get(ledger::final_key(call->id), scope_.wrap([this, call, counts, otherwise](const ledger::GetResult& result) {
-      if (result.outcome == Outcome::missing) return otherwise();
-      if (result.outcome != Outcome::ok) return later(call);
-      mirror_.remember_final(call->id, ledger::decode_final(result.entry.value));
-      answer(call, 200, mirror_.status(call->id), counts);
-    }));
+    store_.get(ledger::final_key(call->id),
+               scope_.wrap([this, call, counts, otherwise](const ledger::GetResult& result) {
+                 if (result.outcome == Outcome::missing) return otherwise();
+                 if (result.outcome != Outcome::ok) return later(call);
+                 mirror_.remember_final(call->id, ledger::decode_final(result.entry.value));
+                 answer(call, 200, mirror_.status(call->id), counts);
+               }));
   });
 }
 
@@ -76,13 +80,17 @@
   const sched::Amount need{spec.cpus, spec.gpus, spec.memory_gb};
   if (!spec.types.empty()) {
     std::erase_if(spec.types, [this](const std::string& type) {
-      return std::none_of(flavors_.begin(), flavors_.end(), [&](const auto& flavor) { return flavor.name == type; });
+      return std::none_of(flavors_.begin(), flavors_.end(),
+                          [&](const auto& flavor) { return flavor.name == type; });
     });
     if (spec.types.empty()) return "no allowed machine type exists";
   }
   const bool fits = std::any_of(flavors_.begin(), flavors_.end(), [&](const wire::Flavor& flavor) {
-    const bool type_ok = spec.types.empty() || std::find(spec.types.begin(), spec.types.end(), flavor.name) != spec.types.end();
-    const bool zone_ok = !spec.zone || flavor.zones.empty() || std::find(flavor.zones.begin(), flavor.zones.end(), *spec.zone) != flavor.zones.end();
+    const bool type_ok = spec.types.empty() || std::find(spec.types.begin(), spec.types.end(),
+                                                         flavor.name) != spec.types.end();
+    const bool zone_ok =
+        !spec.zone || flavor.zones.empty() ||
+        std::find(flavor.zones.begin(), flavor.zones.end(), *spec.zone) != flavor.zones.end();
     return type_ok && zone_ok && need.fits({flavor.cpus, flavor.gpus, flavor.memory_gb});
   });
   if (!fits) return "a task fits no allowed machine type";
@@ -103,7 +111,9 @@
   } catch (const wire::Malformed& error) {
     spdlog::info("a submission is malformed: {}", error.what());
     if (call->id.empty()) return refuse(call, 400, error.what());
-    return if_known(call, false, [this, call, problem = std::string(error.what())] { refuse(call, 400, problem); });
+    return if_known(call, false, [this, call, problem = std::string(error.what())] {
+      refuse(call, 400, problem);
+    });
   }
   if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr) {
     return if_known(call, false, [this, call] { later(call); });
@@ -121,7 +131,8 @@
   // Guarded on the final record too: a copy of this request that arrives
   // after the job is over must not create it again.
   txn.guards = {{ledger::job_key(call->id), 0}, {ledger::final_key(call->id), 0}};
-  txn.writes = {{ledger::job_key(call->id), ledger::encode(ledger::JobRecord{call->spec, false, runtime_.wall()}), 0}};
+  txn.writes = {{ledger::job_key(call->id),
+                 ledger::encode(ledger::JobRecord{call->spec, false, runtime_.wall()}), 0}};
   store_.commit(std::move(txn), scope_.wrap([this, call](const ledger::CommitResult& result) {
     switch (result.outcome) {
       case Outcome::ok:
@@ -140,7 +151,8 @@
 
 void Gateway::confirm_create(const CallPtr& call) {
   store_.get(ledger::job_key(call->id), scope_.wrap([this, call](const ledger::GetResult& result) {
-    if (result.outcome == Outcome::ok) return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
+    if (result.outcome == Outcome::ok)
+      return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
     if (result.outcome == Outcome::missing) return retry(call, [this, call] { create(call); });
     later(call);
   }));
@@ -175,7 +187,8 @@
       cancelled_(call->id);
       return answer(call, 200, {call->id, wire::JobState::cancelled, 0, 0}, false);
     }
-    if (result.outcome == Outcome::unavailable) return retry(call, [this, call] { mark_cancelled(call); });
+    if (result.outcome == Outcome::unavailable)
+      return retry(call, [this, call] { mark_cancelled(call); });
     // Changed by somebody else, or perhaps by this very request: look again
     // with a mirror that is current.
     proof_.request(call->deadline - runtime_.now(), [this, call](bool current) {
--- a/src/engine/gateway.hpp
+++ b/src/engine/gateway.hpp
@@ -14,9 +14,17 @@
 class Gateway {
  public:
   /// `cancelled`: called for each cancellation recorded, before its user is told.
-  Gateway(const config::Settings& settings, Runtime& runtime, CommandQueue& queue, ledger::Store& store, ledger::Mirror& mirror, Proof& proof,
+  Gateway(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
+          ledger::Store& store, ledger::Mirror& mirror, Proof& proof,
           std::function<void(const std::string& job)> cancelled)
-      : settings_(settings), runtime_(runtime), store_(store), mirror_(mirror), proof_(proof), cancelled_(std::move(cancelled)), scope_(queue), limit_(settings.tuning.requests_max) {}
+      : settings_(settings),
+        runtime_(runtime),
+        store_(store),
+        mirror_(mirror),
+        proof_(proof),
+        cancelled_(std::move(cancelled)),
+        scope_(queue),
+        limit_(settings.tuning.requests_max) {}
 
   void set_flavors(const std::vector<wire::Flavor>& flavors) { flavors_ = flavors; }
   void submit(const std::string& body, net::Responder respond);
--- a/src/engine/leader.cpp
+++ b/src/engine/leader.cpp
@@ -16,12 +16,15 @@
 
 /// Clearing alone neither starts nor stops anything.
 bool beyond_clearing(const std::vector<wire::Order>& orders) {
-  return std::any_of(orders.begin(), orders.end(), [](const wire::Order& order) { return order.verb != wire::Verb::clear; });
+  return std::any_of(orders.begin(), orders.end(),
+                     [](const wire::Order& order) { return order.verb != wire::Verb::clear; });
 }
 
 /// A controller answers machines of its own zone only; one whose zone the
 /// settings don't tell may be of any.
-bool may_care(const std::string& zone, const Host& host) { return zone.empty() || zone == host.zone; }
+bool may_care(const std::string& zone, const Host& host) {
+  return zone.empty() || zone == host.zone;
+}
 
 }  // namespace
 
@@ -30,7 +33,8 @@
       term_(term),
       started_(context.runtime.now()),
       confirmed_(confirmed),
-      committer_(context.settings, context.runtime, context.queue, context.store, context.mirror, term_stamp,
+      committer_(context.settings, context.runtime, context.queue, context.store, context.mirror,
+                 term_stamp,
                  {[this](const std::string& job) { model_.remove_job(job); },
                   // Not from inside the committer, which goes with the leader.
                   [this] { context_.queue.post(context_.deposed); },
@@ -40,8 +44,8 @@
                   }}),
       model_(context.settings, committer_),
       planner_(context.settings, model_, estimates_),
-      fleet_(context.settings, context.runtime, context.queue, context.cloud, model_, estimates_, term,
-             [this](Host& host) { host_gone(host, "deleted or failed"); }),
+      fleet_(context.settings, context.runtime, context.queue, context.cloud, model_, estimates_,
+             term, [this](Host& host) { host_gone(host, "deleted or failed"); }),
       scope_(context.queue),
       wake_(context.runtime, context.queue) {
   rebuild();
@@ -62,10 +66,12 @@
 
 void Leader::record_host(Host& host, const ledger::Mirror::Host* stored) {
   const auto pack = [&host] {
-    return ledger::pack(ledger::HostEntry{host.id, false, {host.addr, host.type, host.zone, host.spot, host.retired}});
+    return ledger::pack(ledger::HostEntry{
+        host.id, false, {host.addr, host.type, host.zone, host.spot, host.retired}});
   };
   constexpr auto kind = Committer::Record::Kind::host;
-  host.record = stored == nullptr ? committer_.add(kind, "", pack) : committer_.adopt(kind, "", pack, stored->slot);
+  host.record = stored == nullptr ? committer_.add(kind, "", pack)
+                                  : committer_.adopt(kind, "", pack, stored->slot);
 }
 
 void Leader::set_flavors(const std::vector<wire::Flavor>& flavors) { model_.set_flavors(flavors); }
@@ -83,7 +89,8 @@
     record_host(host, &stored);
   }
   for (const auto& [id, job] : mirror.jobs()) add_job(id, job.record);
-  spdlog::info("leading in term {}: {} jobs, {} hosts taken over", term_, model_.jobs().size(), model_.hosts().size());
+  spdlog::info("leading in term {}: {} jobs, {} hosts taken over", term_, model_.jobs().size(),
+               model_.hosts().size());
 }
 
 void Leader::add_job(const std::string& id, const ledger::JobRecord& record) {
@@ -100,7 +107,9 @@
 void Leader::adopt_block(Job& job, std::uint32_t number, const ledger::Mirror::Block& stored) {
   auto& block = model_.load_block(job, number, &stored);
   for (const auto& known : stored.record.tasks) {
-    if (known.host.empty() || known.index < block.first || known.index - block.first >= block.tasks.size()) continue;
+    if (known.host.empty() || known.index < block.first ||
+        known.index - block.first >= block.tasks.size())
+      continue;
     // A machine must be recorded before anything is assigned to it, and is
     // taken out of the records only once it was deleted with all on it. The
     // block may have been written earlier than that; nothing would ever be
@@ -112,7 +121,8 @@
     }
     model_.adopt(block.tasks[known.index - block.first], *host, known.attempt, started_);
   }
-  if (std::all_of(block.done.begin(), block.done.end(), [](bool done) { return done; })) block.tasks.clear();
+  if (std::all_of(block.done.begin(), block.done.end(), [](bool done) { return done; }))
+    block.tasks.clear();
 }
 
 void Leader::on_change(const std::vector<ledger::Key>& keys) {
@@ -124,7 +134,8 @@
     if (stored == nullptr) continue;
     auto* job = model_.job(key.id);
     if (job == nullptr) {
-      spdlog::info("job {} accepted: {} tasks of class {} for {}", key.id, stored->record.spec.tasks, stored->record.spec.lane, stored->record.spec.team);
+      spdlog::info("job {} accepted: {} tasks of class {} for {}", key.id,
+                   stored->record.spec.tasks, stored->record.spec.lane, stored->record.spec.team);
       add_job(key.id, stored->record);
     } else if (stored->record.cancelled && !job->cancelled) {
       job->cancelled = true;
@@ -164,7 +175,10 @@
     if (committer_.finishing(id)) continue;
     const bool over = job->cancelled ? job->on_hosts == 0 : job->all_done();
     if (!over) continue;
-    Committer::Final final{id, {job->cancelled ? wire::JobState::cancelled : wire::JobState::done, job->spec.tasks}, {}};
+    Committer::Final final{
+        id,
+        {job->cancelled ? wire::JobState::cancelled : wire::JobState::done, job->spec.tasks},
+        {}};
     for (auto& [number, block] : job->blocks) final.blocks.push_back(block->record);
     spdlog::info("job {} is over: {}", id, wire::to_text(final.record.state));
     committer_.finish(std::move(final));
@@ -176,11 +190,14 @@
 void Leader::host_gone(Host& host, const char* why) {
   planner_.gone(host);
   model_.note(host);
-  if (!host.tasks.empty()) spdlog::info("host {}: {} tasks are gone with it ({})", host.id, host.tasks.size(), why);
+  if (!host.tasks.empty())
+    spdlog::info("host {}: {} tasks are gone with it ({})", host.id, host.tasks.size(), why);
   const auto tasks = host.tasks;
   for (auto* task : tasks) {
-    if (task->phase == Phase::planned) model_.unplan(*task);
-    else model_.release(*task);
+    if (task->phase == Phase::planned)
+      model_.unplan(*task);
+    else
+      model_.release(*task);
   }
   host.exited.clear();
   host.orphans.clear();
@@ -192,8 +209,9 @@
   if (context_.mirror.cares().empty() && !any_cared_) return;
   any_cared_ = !context_.mirror.cares().empty();
   for (auto& [id, host] : model_.hosts()) {
-    const bool cared = std::any_of(context_.mirror.cares().begin(), context_.mirror.cares().end(),
-                                   [&](const auto& care) { return care.second.first == host->zone; });
+    const bool cared =
+        std::any_of(context_.mirror.cares().begin(), context_.mirror.cares().end(),
+                    [&](const auto& care) { return care.second.first == host->zone; });
     // Also in the moment it ends: until now it may have answered.
     if (cared || host->cared) host->cared_at = now;
     host->cared = cared;
@@ -252,7 +270,8 @@
     if (!host->retired) {
       // Ahead of the lease's end, so that all who might answer it know by then.
       const double silent_since = std::max(touched, started_);
-      if (now >= std::min(alive_until, silent_since + context_.settings.silent_after_s())) retire(*host);
+      if (now >= std::min(alive_until, silent_since + context_.settings.silent_after_s()))
+        retire(*host);
       continue;
     }
     // Written, and the mirror has passed that point without a caretaker.
@@ -279,7 +298,8 @@
   if (!news(host, report)) {
     // Either a late copy, or it crossed a reply to direct orders, which is
     // newer: then the worker is waiting, and its lease has to be renewed.
-    const bool crossed = report.session == host.session && now - host.exchanged_at < k::kReportReplyLimit;
+    const bool crossed =
+        report.session == host.session && now - host.exchanged_at < k::kReportReplyLimit;
     if (!crossed) return respond({503, {}, 0});
     host.last_answer = now;
     return respond({200, wire::encode_orders(token(host), cancelled_orders(host)), 0});
@@ -317,20 +337,30 @@
 void Leader::judge_hearing(Host& host, const wire::Report& report, double now) {
   // Reports that arrive prove that a machine lives, not that it hears us: our
   // answers may be lost on the way, and with them its lease.
-  const bool heeds = report.token >= token(host) && std::all_of(host.tasks.begin(), host.tasks.end(), [&](const Task* task) {
-    if (!host.answered_orders || task->phase != Phase::assigned || task->seen || !task->offered) return true;
-    return std::any_of(report.tasks.begin(), report.tasks.end(), [&](const wire::TaskReport& one) { return one.index == task->index && one.job == task->job->id; });
-  });
+  const bool heeds =
+      report.token >= token(host) &&
+      std::all_of(host.tasks.begin(), host.tasks.end(), [&](const Task* task) {
+        if (!host.answered_orders || task->phase != Phase::assigned || task->seen || !task->offered)
+          return true;
+        return std::any_of(report.tasks.begin(), report.tasks.end(),
+                           [&](const wire::TaskReport& one) {
+                             return one.index == task->index && one.job == task->job->id;
+                           });
+      });
   if (heeds) {
     if (host.deaf) spdlog::info("host {} hears us again", host.id);
     host.deaf = false;
     host.unheeded_since = kNever;
   }
   // Its lease ran out sooner than it could have, had our last answer come.
-  const bool lapsed = host.grounded && report.session > host.session && now - host.last_answer < context_.settings.lease_s * (1 - k::kDrift);
-  const bool unheeded = host.unheeded_since != kNever && now - host.unheeded_since > k::kDeafShare * context_.settings.lease_s;
+  const bool lapsed = host.grounded && report.session > host.session &&
+                      now - host.last_answer < context_.settings.lease_s * (1 - k::kDrift);
+  const bool unheeded = host.unheeded_since != kNever &&
+                        now - host.unheeded_since > k::kDeafShare * context_.settings.lease_s;
   if (host.deaf || (!lapsed && !unheeded)) return;
-  spdlog::info("host {} does not hear us: {}", host.id, lapsed ? "its lease ran out while its reports were answered" : "it shows no effect of our answers");
+  spdlog::info("host {} does not hear us: {}", host.id,
+               lapsed ? "its lease ran out while its reports were answered"
+                      : "it shows no effect of our answers");
   host.deaf = true;
   host.unheeded_since = now;
   raise_fence(host);
@@ -342,7 +372,8 @@
   if (host.record == nullptr) {
     record_host(host, nullptr);
     committer_.touch(*host.record);
-    spdlog::info("host {} ({} in {}{}) reports", host.id, host.type, host.zone, host.spot ? ", spot" : "");
+    spdlog::info("host {} ({} in {}{}) reports", host.id, host.type, host.zone,
+                 host.spot ? ", spot" : "");
   }
   // A later session knows nothing of the tasks of an earlier one. That proves
   // something only for a synchronised host: of others, two late reports may
@@ -381,7 +412,8 @@
   auto* job = model_.job(report.job);
   auto* task = job == nullptr ? nullptr : model_.task(*job, report.index);
   const bool ended = report.state == TaskState::ended;
-  const bool ours = task != nullptr && task->phase == Phase::assigned && task->host == &host && task->attempt == report.attempt;
+  const bool ours = task != nullptr && task->phase == Phase::assigned && task->host == &host &&
+                    task->attempt == report.attempt;
   if (!ours) {
     const Exited name{report.job, report.index, report.attempt};
     if (ended) {
@@ -389,14 +421,17 @@
       return;
     }
     host.orphans.push_back(name);
-    if (job != nullptr) model_.add_orphan(host, *job);
-    else host.foreign = true;
+    if (job != nullptr)
+      model_.add_orphan(host, *job);
+    else
+      host.foreign = true;
     return;
   }
   task->seen = true;
   task->offered = true;
   if (ended) return task_ended(*task, host, report, now);
-  if (report.state == TaskState::running && task->running_since == kNever) task->running_since = now;
+  if (report.state == TaskState::running && task->running_since == kNever)
+    task->running_since = now;
   task->state = report.state;
 }
 
@@ -406,7 +441,8 @@
   switch (report.cause) {
     case EndCause::done:
       if (job.cancelled) return model_.release(task);
-      if (task.running_since != kNever) estimates_.learn(job.spec.lane, job.spec.expect_s, now - task.running_since);
+      if (task.running_since != kNever)
+        estimates_.learn(job.spec.lane, job.spec.expect_s, now - task.running_since);
       // A service's replica runs until it is cancelled; should one end by
       // itself it is started again.
       if (job.service()) return model_.release(task);
@@ -427,13 +463,15 @@
   auto& job = *task.job;
   spdlog::info("task {} failed on host {}", wire::task_name(job.id, task.index), host.id);
   ++task.failures;
-  task.not_before = now + std::min(k::kErrorBackoff * (1 << std::min(task.failures, 5)), k::kErrorBackoffMax);
+  task.not_before =
+      now + std::min(k::kErrorBackoff * (1 << std::min(task.failures, 5)), k::kErrorBackoffMax);
   job.failed_on.insert(host.id);
   host.failed_jobs.insert(job.id);
   model_.release(task);
   if (static_cast<int>(job.failed_on.size()) >= k::kJobErrorHosts) {
     // Several machines agree: the job is at fault, and must not burn the fleet.
-    job.failed_until = now + std::min(k::kErrorBackoff * (1 << std::min(++job.failures + 2, 6)), k::kErrorBackoffMax);
+    job.failed_until = now + std::min(k::kErrorBackoff * (1 << std::min(++job.failures + 2, 6)),
+                                      k::kErrorBackoffMax);
     for (const auto& id : job.failed_on) {
       auto* other = model_.find_host(id);
       if (other == nullptr) continue;
@@ -443,7 +481,8 @@
     return;
   }
   if (static_cast<int>(host.failed_jobs.size()) >= k::kHostErrorLimit && !host.quarantined) {
-    spdlog::info("host {} quarantined: tasks of {} jobs failed there", host.id, host.failed_jobs.size());
+    spdlog::info("host {} quarantined: tasks of {} jobs failed there", host.id,
+                 host.failed_jobs.size());
     host.quarantined = true;
   }
 }
@@ -470,7 +509,8 @@
     const double ran = task->running_since == kNever ? 0 : now - task->running_since;
     const double needs = estimates_.run_time(spec.lane, spec.expect_s) - ran;
     // What can't end in time starts elsewhere at once.
-    if (task->job->service() || spec.checkpoint_every_s > 0 || needs > left) stop_task(model_, *task, true);
+    if (task->job->service() || spec.checkpoint_every_s > 0 || needs > left)
+      stop_task(model_, *task, true);
   }
 }
 
@@ -480,7 +520,8 @@
   auto* job = model_.job(exited.job);
   if (job == nullptr) return true;
   if (committer_.finishing(exited.job)) return false;
-  const auto block = job->blocks.find(exited.index / ledger::block_size(context_.settings.state_value_kb));
+  const auto block =
+      job->blocks.find(exited.index / ledger::block_size(context_.settings.state_value_kb));
   return block == job->blocks.end() || block->second->record->clean();
 }
 
@@ -493,8 +534,10 @@
   std::vector<wire::Order> orders;
   for (const auto* task : host.tasks) {
     if (orders.size() >= k::kMaxOrders) break;
-    const bool may_be_there = task->phase == Phase::assigned && task->stopping && task->job->cancelled;
-    if (may_be_there) orders.push_back({wire::Verb::stop, task->job->id, task->index, task->attempt, 0});
+    const bool may_be_there =
+        task->phase == Phase::assigned && task->stopping && task->job->cancelled;
+    if (may_be_there)
+      orders.push_back({wire::Verb::stop, task->job->id, task->index, task->attempt, 0});
   }
   return orders;
 }
@@ -523,7 +566,8 @@
   }
   for (const auto& exited : host.exited) {
     if (orders.size() >= k::kMaxOrders) break;
-    if (may_clear(exited)) orders.push_back({wire::Verb::clear, exited.job, exited.index, exited.attempt, 0});
+    if (may_clear(exited))
+      orders.push_back({wire::Verb::clear, exited.job, exited.index, exited.attempt, 0});
   }
   return orders;
 }
@@ -541,9 +585,11 @@
       continue;
     }
     const bool waits = std::any_of(host->tasks.begin(), host->tasks.end(), [](const Task* task) {
-      return task->phase == Phase::assigned && (task->stopping || (!task->seen && !task->job->cancelled));
+      return task->phase == Phase::assigned &&
+             (task->stopping || (!task->seen && !task->job->cancelled));
     });
-    const bool way = !host->exchanging && !host->answered_orders && now >= host->direct_after && !host->addr.empty();
+    const bool way = !host->exchanging && !host->answered_orders && now >= host->direct_after &&
+                     !host->addr.empty();
     if (waits && way && exchanges_ < k::kExchangesMax) {
       auto orders = orders_for(*host);
       // Clearing alone is not worth a message of its own.
@@ -559,8 +605,10 @@
   // The session of a machine that is not known yet is most likely its first;
   // if not, the refusal tells.
   const std::uint64_t session = std::max<std::uint64_t>(1, host.session);
-  context_.workers.order(host.addr, token(host), session, orders,
-                         scope_.wrap([this, id = host.id, stated = !orders.empty()](const fleet::OrdersResult& result) { on_exchange(id, stated, result); }));
+  context_.workers.order(
+      host.addr, token(host), session, orders,
+      scope_.wrap([this, id = host.id, stated = !orders.empty()](
+                      const fleet::OrdersResult& result) { on_exchange(id, stated, result); }));
 }
 
 void Leader::on_exchange(const std::string& id, bool stated, const fleet::OrdersResult& result) {
@@ -591,7 +639,8 @@
   std::size_t left = k::kSyncPerTick;
   for (auto& [id, host] : model_.hosts()) {
     if (left == 0 || exchanges_ >= k::kExchangesMax) return;
-    const bool known = host->recorded() && !host->addr.empty() && !host->grounded && !host->releasing;
+    const bool known =
+        host->recorded() && !host->addr.empty() && !host->grounded && !host->releasing;
     if (!known || host->exchanging || now < host->direct_after) continue;
     if (host->heard && now - host->last_answer < 1) continue;  // its answer is on the way
     --left;
@@ -606,7 +655,9 @@
   expire_hosts(context_.runtime.now());
   fleet_.tick();
   const bool starting = may_start();
-  if (std::exchange(starting_, starting) != starting) spdlog::info(starting ? "starting tasks again" : "starting nothing until the records are known to be current");
+  if (std::exchange(starting_, starting) != starting)
+    spdlog::info(starting ? "starting tasks again"
+                          : "starting nothing until the records are known to be current");
   if (entitled()) synchronise(context_.runtime.now());
   orders_due_ = true;
 }
--- a/src/engine/leader.hpp
+++ b/src/engine/leader.hpp
@@ -104,7 +104,7 @@
   FleetKeeper fleet_;
   std::size_t exchanges_ = 0;  ///< in flight
   bool orders_due_ = true;
-  bool starting_ = true;  ///< as last told in the log
+  bool starting_ = true;   ///< as last told in the log
   bool any_cared_ = true;  ///< some machine may have a caretaker
   /// Something happened that scheduling has to look at; users' polls and the
   /// answers of the state service are not of that kind.
--- a/src/engine/model.cpp
+++ b/src/engine/model.cpp
@@ -25,7 +25,10 @@
   job->block_count = (record.spec.tasks + size - 1) / size;
   job->team = settings_.team(record.spec.team);
   job->team_usage = &usage_[record.spec.team];
-  job->image = image_numbers_.try_emplace(record.spec.image, static_cast<std::uint32_t>(image_numbers_.size())).first->second;
+  job->image =
+      image_numbers_
+          .try_emplace(record.spec.image, static_cast<std::uint32_t>(image_numbers_.size()))
+          .first->second;
   by_serial_[job->serial] = job.get();
   open_.insert(job.get());
   ending_.insert(job.get());
@@ -54,7 +57,8 @@
 
 Task* Model::task(sched::TaskId id) {
   auto* owner = job_of(id);
-  return owner == nullptr ? nullptr : task(*owner, static_cast<std::uint32_t>(id & ((1U << kIndexBits) - 1)));
+  return owner == nullptr ? nullptr
+                          : task(*owner, static_cast<std::uint32_t>(id & ((1U << kIndexBits) - 1)));
 }
 
 Task* Model::task(Job& job, std::uint32_t index) {
@@ -96,9 +100,12 @@
       block.tasks[known.index - block.first].attempt = known.attempt;
     }
   }
-  const auto pack = [&block] { return ledger::pack(ledger::BlockEntry{block.job->id, block.number, record_of(block)}); };
-  block.record = stored == nullptr ? committer_.add(Committer::Record::Kind::block, job.id, pack)
-                                   : committer_.adopt(Committer::Record::Kind::block, job.id, pack, stored->slot);
+  const auto pack = [&block] {
+    return ledger::pack(ledger::BlockEntry{block.job->id, block.number, record_of(block)});
+  };
+  block.record = stored == nullptr
+                     ? committer_.add(Committer::Record::Kind::block, job.id, pack)
+                     : committer_.adopt(Committer::Record::Kind::block, job.id, pack, stored->slot);
   return block;
 }
 
@@ -108,7 +115,8 @@
   for (const auto& task : block.tasks) {
     // An attempt number must never be used twice, so it outlives its host.
     if (task.phase == Phase::done || task.attempt == 0) continue;
-    record.tasks.push_back({task.index, task.attempt, task.phase == Phase::assigned ? task.host->id : std::string()});
+    record.tasks.push_back(
+        {task.index, task.attempt, task.phase == Phase::assigned ? task.host->id : std::string()});
   }
   return record;
 }
@@ -134,7 +142,8 @@
   forget_orphans(*found->second);
   touched_.erase(found->second.get());
   attention_.erase(found->second.get());
-  if (found->second->record != nullptr) committer_.discard(*found->second->record, ledger::pack(ledger::HostEntry{id, true, {}}));
+  if (found->second->record != nullptr)
+    committer_.discard(*found->second->record, ledger::pack(ledger::HostEntry{id, true, {}}));
   hosts_.erase(found);
 }
 
@@ -152,7 +161,9 @@
 
 void Model::include_need(const Job& job) {
   auto& least = least_need_;
-  const auto take = [](double& smallest, double need) { smallest = smallest <= 0 ? need : std::min(smallest, need); };
+  const auto take = [](double& smallest, double need) {
+    smallest = smallest <= 0 ? need : std::min(smallest, need);
+  };
   take(least.cpus, job.need.cpus);
   take(least.memory_gb, job.need.memory_gb);
   // Not every task needs one of these.
@@ -166,29 +177,35 @@
     if (job->cancelled) continue;
     if (first) least_need_ = job->need;
     first = false;
-    least_need_ = {std::min(least_need_.cpus, job->need.cpus), std::min(least_need_.gpus, job->need.gpus), std::min(least_need_.memory_gb, job->need.memory_gb)};
+    least_need_ = {std::min(least_need_.cpus, job->need.cpus),
+                   std::min(least_need_.gpus, job->need.gpus),
+                   std::min(least_need_.memory_gb, job->need.memory_gb)};
   }
 }
 
 void Model::set_flavors(std::vector<wire::Flavor> flavors) {
   flavors_ = std::move(flavors);
   for (auto& [id, host] : hosts_) {
-    if (const auto* known = flavor(host->type)) host->capacity = {known->cpus, known->gpus, known->memory_gb};
+    if (const auto* known = flavor(host->type))
+      host->capacity = {known->cpus, known->gpus, known->memory_gb};
   }
 }
 
 const wire::Flavor* Model::flavor(const std::string& type) const {
-  const auto found = std::find_if(flavors_.begin(), flavors_.end(), [&](const auto& one) { return one.name == type; });
+  const auto found = std::find_if(flavors_.begin(), flavors_.end(),
+                                  [&](const auto& one) { return one.name == type; });
   return found == flavors_.end() ? nullptr : &*found;
 }
 
-void Model::describe(Host& host, const std::string& type, const std::string& zone, bool spot, const std::string& addr) {
+void Model::describe(Host& host, const std::string& type, const std::string& zone, bool spot,
+                     const std::string& addr) {
   // What stands there counts for the zone that the machine had: it never moves.
   if (host.tasks.empty() || host.zone.empty()) host.zone = zone;
   host.type = type;
   host.spot = spot;
   if (!addr.empty()) host.addr = addr;
-  if (const auto* known = flavor(type)) host.capacity = {known->cpus, known->gpus, known->memory_gb};
+  if (const auto* known = flavor(type))
+    host.capacity = {known->cpus, known->gpus, known->memory_gb};
 }
 
 void Model::attach(Task& task, Host& host) {
@@ -306,12 +323,15 @@
   const auto& spec = job.spec;
   if (host.spot && !spec.spot) return false;
   if (spec.zone && *spec.zone != host.zone) return false;
-  if (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(), host.type) == spec.types.end()) return false;
+  if (!spec.types.empty() &&
+      std::find(spec.types.begin(), spec.types.end(), host.type) == spec.types.end())
+    return false;
   if (spec.together) {
     for (const auto& [zone, count] : job.per_zone) {
       if (zone != host.zone) return false;
     }
-    if (job.per_zone.empty() && !job.zone_choice.empty() && job.zone_choice != host.zone) return false;
+    if (job.per_zone.empty() && !job.zone_choice.empty() && job.zone_choice != host.zone)
+      return false;
   }
   if (spec.scatter) {
     const auto found = job.per_zone.find(host.zone);
--- a/src/engine/model.hpp
+++ b/src/engine/model.hpp
@@ -48,7 +48,7 @@
   /// Present in a report of this leader's term.
   bool seen = false;
   wire::TaskState state = wire::TaskState::fetching;
-  double since = kNever;     ///< when it was assigned
+  double since = kNever;  ///< when it was assigned
   double running_since = kNever;
   bool stopping = false;
   double wind_down_s = 0;
@@ -87,9 +87,9 @@
   std::uint32_t next_block = 0;  ///< first that is not in memory yet
   std::uint32_t block_count = 0;
   std::uint32_t finished_tasks = 0;
-  std::uint32_t on_hosts = 0;  ///< tasks that are or may be on machines
-  bool begun = false;          ///< one of its tasks was assigned once
-  double searched_at = kNever; ///< when room was last looked for by stopping others
+  std::uint32_t on_hosts = 0;   ///< tasks that are or may be on machines
+  bool begun = false;           ///< one of its tasks was assigned once
+  double searched_at = kNever;  ///< when room was last looked for by stopping others
   std::map<std::string, std::uint32_t> per_zone;
   std::set<std::string> failed_on;
   std::string zone_choice;  ///< for `together`
@@ -131,7 +131,7 @@
   /// Raised whenever orders may be under way that nobody can tell of; makes
   /// them void as soon as the machine has seen it.
   std::uint32_t fence = 0;
-  bool exchanging = false;    ///< direct orders are in flight
+  bool exchanging = false;       ///< direct orders are in flight
   double exchanged_at = kNever;  ///< when the last answer to some came
   bool answered_orders = false;  ///< the last answer carried orders that the next report will show
   double direct_after = kNever;  ///< no direct orders before
@@ -139,7 +139,8 @@
   double unheeded_since = kNever;
   bool deaf = false;
   bool heard = false;  ///< any report in this term
-  double last_report = kNever;  ///< of its own accord: a machine that can't reach us shows nothing else
+  double last_report =
+      kNever;  ///< of its own accord: a machine that can't reach us shows nothing else
   double last_word = kNever;    ///< that, or a reply to direct orders
   double last_answer = kNever;  ///< when a report was last answered with 200
   /// Until then a former leader may have kept its lease alive.
@@ -154,28 +155,32 @@
   std::optional<double> recall_at;
   TaskSet tasks;
   sched::Amount used;      ///< by `tasks`, planned ones included
-  sched::Amount orphaned; ///< by reported tasks that are not there by our will
+  sched::Amount orphaned;  ///< by reported tasks that are not there by our will
   /// The same for each team's use of them.
   std::vector<std::pair<sched::Amount*, sched::Amount>> orphan_usage;
-  bool foreign = false;    ///< reports tasks unknown to us
+  bool foreign = false;  ///< reports tasks unknown to us
   std::vector<Exited> exited;
-  std::vector<Exited> orphans;  ///< running tasks that are not there by our will
+  std::vector<Exited> orphans;       ///< running tasks that are not there by our will
   std::deque<std::uint32_t> images;  ///< believed to be cached, latest last
   bool touched = false;              ///< the planner has to look at it again
   std::set<std::string> failed_jobs;
   bool quarantined = false;
   bool releasing = false;
-  bool listed = false;     ///< in the last whole machine list
+  bool listed = false;  ///< in the last whole machine list
   bool listed_failed = false;
   double idle_since = kNever;
   double rented_at = kNever;
   Committer::Record* record = nullptr;
   [[nodiscard]] bool recorded() const { return record != nullptr && record->revision != 0; }
   [[nodiscard]] sched::Amount room() const { return capacity - used - orphaned; }
-  [[nodiscard]] bool caches(std::uint32_t image) const { return std::find(images.begin(), images.end(), image) != images.end(); }
+  [[nodiscard]] bool caches(std::uint32_t image) const {
+    return std::find(images.begin(), images.end(), image) != images.end();
+  }
   /// Seconds since anybody heard of it. The end of a caretaker's time counts:
   /// the machine needs a moment to find its leader again.
-  [[nodiscard]] double quiet(double now) const { return cared ? 0 : now - std::max(last_report, cared_at); }
+  [[nodiscard]] double quiet(double now) const {
+    return cared ? 0 : now - std::max(last_report, cared_at);
+  }
 };
 
 struct HostOrder {
@@ -187,7 +192,8 @@
 /// one spot, so that usage, zones and records always agree with it.
 class Model {
  public:
-  Model(const config::Settings& settings, Committer& committer) : settings_(settings), committer_(committer) {}
+  Model(const config::Settings& settings, Committer& committer)
+      : settings_(settings), committer_(committer) {}
 
   Job& add_job(const std::string& id, const ledger::JobRecord& record, double submitted);
   void remove_job(const std::string& id);
@@ -206,7 +212,8 @@
   /// Capacity and name of the type, once both are known.
   void set_flavors(std::vector<wire::Flavor> flavors);
   [[nodiscard]] const wire::Flavor* flavor(const std::string& type) const;
-  void describe(Host& host, const std::string& type, const std::string& zone, bool spot, const std::string& addr);
+  void describe(Host& host, const std::string& type, const std::string& zone, bool spot,
+                const std::string& addr);
 
   void plan(Task& task, Host& host);
   void unplan(Task& task);
@@ -243,7 +250,9 @@
   [[nodiscard]] const sched::Amount& least_need() const { return least_need_; }
   void refresh_least_need();
   /// Tasks of this priority that are or may be on machines.
-  [[nodiscard]] std::size_t on_hosts(wire::Priority priority) const { return on_hosts_[static_cast<std::size_t>(priority)]; }
+  [[nodiscard]] std::size_t on_hosts(wire::Priority priority) const {
+    return on_hosts_[static_cast<std::size_t>(priority)];
+  }
 
   /// Rules of placement, given everything that may be on machines now.
   [[nodiscard]] bool allowed(const Job& job, const Host& host) const;
--- a/src/engine/node.cpp
+++ b/src/engine/node.cpp
@@ -20,8 +20,11 @@
       incarnation_(std::move(incarnation)),
       queue_(ports.runtime, [this] { after_batch(); }),
       scope_(queue_),
-      proof_(ports.runtime, queue_, ports.store, mirror_, static_cast<double>(settings.peers.size() + 1) / (k::kProofShare * settings.state_rps)),
-      gateway_(settings, ports.runtime, queue_, ports.store, mirror_, proof_, [this](const std::string& job) { spread_cancelled(job); }),
+      proof_(
+          ports.runtime, queue_, ports.store, mirror_,
+          static_cast<double>(settings.peers.size() + 1) / (k::kProofShare * settings.state_rps)),
+      gateway_(settings, ports.runtime, queue_, ports.store, mirror_, proof_,
+               [this](const std::string& job) { spread_cancelled(job); }),
       caretaker_(settings, ports.runtime, queue_, ports.store, mirror_, proof_) {}
 
 void Node::start(mesh::Mesh& mesh) {
@@ -37,13 +40,16 @@
 }
 
 void Node::on_request(net::Request request, net::Responder respond) {
-  queue_.post([this, request = std::move(request), respond = std::move(respond)]() mutable { handle(request, std::move(respond)); });
+  queue_.post([this, request = std::move(request), respond = std::move(respond)]() mutable {
+    handle(request, std::move(respond));
+  });
 }
 
 void Node::on_message(mesh::Message message) {
   queue_.post([this, message = std::move(message)]() mutable {
     if (const auto* news = std::get_if<mesh::Beat>(&message)) return on_beat(*news);
-    if (const auto* cancelled = std::get_if<mesh::Cancelled>(&message)) return on_cancelled(cancelled->job);
+    if (const auto* cancelled = std::get_if<mesh::Cancelled>(&message))
+      return on_cancelled(cancelled->job);
     if (auto* report = std::get_if<mesh::ForwardedReport>(&message)) {
       auto respond = [this, node = report->node, id = report->id](const net::Response& response) {
         mesh_->send(node, mesh::ForwardedReply{id, response.status, response.body});
@@ -124,7 +130,8 @@
   Caretaker::View view{leader_heard(), state_reachable(k::kPeerSilence), {}};
   if (view.leader_heard || view.state_reachable) return view;
   for (const auto& peer : settings_.peers) {
-    if (peer.zone == settings_.zone && heard(peer.name) && !peers_.at(peer.name).leader_heard) view.neighbour = peer.name;
+    if (peer.zone == settings_.zone && heard(peer.name) && !peers_.at(peer.name).leader_heard)
+      view.neighbour = peer.name;
   }
   return view;
 }
@@ -183,11 +190,15 @@
   }
 }
 
-bool Node::state_reachable(double within_s) const { return runtime_.now() - proof_.last_success() < within_s; }
+bool Node::state_reachable(double within_s) const {
+  return runtime_.now() - proof_.last_success() < within_s;
+}
 
 bool Node::common_outage() const {
   if (state_reachable()) return false;
-  return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const config::Peer& peer) { return heard(peer.name) && !peers_.at(peer.name).state_reachable; });
+  return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const config::Peer& peer) {
+    return heard(peer.name) && !peers_.at(peer.name).state_reachable;
+  });
 }
 
 bool Node::ready() const {
@@ -208,38 +219,43 @@
 
 void Node::load(const std::string& since) {
   if (since.empty()) mirror_.restart();
-  store_.list(std::string(ledger::kLive), since, scope_.wrap([this, since](const ledger::ListResult& result) {
-    if (result.outcome != Outcome::ok) {
-      runtime_.after(k::kStateRetry, scope_.wrap([this, since] { load(since); }));
-      return;
-    }
-    mirror_.load(result.listing);
-    if (result.listing.truncated && !result.listing.entries.empty()) return load(result.listing.entries.back().key);
-    std::vector<ledger::Key> all;
-    for (const auto& [id, job] : mirror_.jobs()) all.push_back({ledger::Key::Kind::job, id, 0});
-    changed(all);
-    watch();
-  }));
+  store_.list(std::string(ledger::kLive), since,
+              scope_.wrap([this, since](const ledger::ListResult& result) {
+                if (result.outcome != Outcome::ok) {
+                  runtime_.after(k::kStateRetry, scope_.wrap([this, since] { load(since); }));
+                  return;
+                }
+                mirror_.load(result.listing);
+                if (result.listing.truncated && !result.listing.entries.empty())
+                  return load(result.listing.entries.back().key);
+                std::vector<ledger::Key> all;
+                for (const auto& [id, job] : mirror_.jobs())
+                  all.push_back({ledger::Key::Kind::job, id, 0});
+                changed(all);
+                watch();
+              }));
 }
 
 void Node::watch() {
   // Until the copy is whole, don't wait: nothing may change for long.
   const double hold = mirror_.loaded() ? k::kWatchHold : 0;
-  store_.watch(std::string(ledger::kRoot), mirror_.follow_from(), hold, scope_.wrap([this](const ledger::WatchResult& result) {
-    switch (result.outcome) {
-      case Outcome::ok: {
-        changed(mirror_.apply(result.changes));
-        runtime_.after(leader_ ? k::kWatchPauseLeader : k::kWatchPauseFollower, scope_.wrap([this] { watch(); }));
-        return;
-      }
-      case Outcome::compacted:
-        return load("");
-      case Outcome::unknown:
-        return watch();
-      default:
-        runtime_.after(k::kStateRetry, scope_.wrap([this] { watch(); }));
-    }
-  }));
+  store_.watch(std::string(ledger::kRoot), mirror_.follow_from(), hold,
+               scope_.wrap([this](const ledger::WatchResult& result) {
+                 switch (result.outcome) {
+                   case Outcome::ok: {
+                     changed(mirror_.apply(result.changes));
+                     runtime_.after(leader_ ? k::kWatchPauseLeader : k::kWatchPauseFollower,
+                                    scope_.wrap([this] { watch(); }));
+                     return;
+                   }
+                   case Outcome::compacted:
+                     return load("");
+                   case Outcome::unknown:
+                     return watch();
+                   default:
+                     runtime_.after(k::kStateRetry, scope_.wrap([this] { watch(); }));
+                 }
+               }));
 }
 
 void Node::changed(const std::vector<ledger::Key>& keys) {
@@ -272,7 +288,8 @@
 
 void Node::learn_term(std::uint64_t term, const std::string& leader) {
   if (term > known_term_) known_leader_.clear();
-  if (term >= known_term_ && !leader.empty() && (term > known_term_ || known_leader_.empty())) known_leader_ = leader;
+  if (term >= known_term_ && !leader.empty() && (term > known_term_ || known_leader_.empty()))
+    known_leader_ = leader;
   known_term_ = std::max(known_term_, term);
   if (leader_ && leader_->term() < known_term_) lose("a higher term is known");
 }
@@ -280,13 +297,18 @@
 bool Node::leadership_open() const {
   // Free, or held by what this node was before it was restarted.
   const auto& lead = mirror_.lead();
-  return !lead || (lead->node == settings_.node && !lead->incarnation.starts_with(incarnation_ + "/"));
+  return !lead ||
+         (lead->node == settings_.node && !lead->incarnation.starts_with(incarnation_ + "/"));
 }
 
 std::optional<Node::Candidacy> Node::won() const {
   const auto& lead = mirror_.lead();
-  if (!lead || lead->node != settings_.node || lead->term != mirror_.term() || lead->term < known_term_) return std::nullopt;
-  const auto found = std::find_if(candidacies_.begin(), candidacies_.end(), [&](const Candidacy& one) { return one.name == lead->incarnation; });
+  if (!lead || lead->node != settings_.node || lead->term != mirror_.term() ||
+      lead->term < known_term_)
+    return std::nullopt;
+  const auto found =
+      std::find_if(candidacies_.begin(), candidacies_.end(),
+                   [&](const Candidacy& one) { return one.name == lead->incarnation; });
   if (found == candidacies_.end()) return std::nullopt;
   return *found;
 }
@@ -294,7 +316,11 @@
 void Node::elect() {
   if (leader_ || !mirror_.loaded()) return;
   if (mirror_.earlier_layout()) {
-    if (!std::exchange(refused_layout_, true)) spdlog::error("the state service holds records of an earlier layout below {}block/ or host/: not standing for leadership", ledger::kLive);
+    if (!std::exchange(refused_layout_, true))
+      spdlog::error(
+          "the state service holds records of an earlier layout below {}block/ or host/: not "
+          "standing for leadership",
+          ledger::kLive);
     return;
   }
   if (const auto candidacy = won()) return win(*candidacy);
@@ -312,20 +338,24 @@
   stand_at_ = -1;
   store_.grant(k::kLeadLease, scope_.wrap([this](const ledger::GrantResult& granted) {
     // Somebody else may have won while the lease was asked for.
-    if (granted.outcome == Outcome::ok && !leader_ && leadership_open()) return campaign(granted.lease);
+    if (granted.outcome == Outcome::ok && !leader_ && leadership_open())
+      return campaign(granted.lease);
     stand_down(k::kStateRetry);
   }));
 }
 
 void Node::campaign(std::uint64_t lease) {
   const auto term = mirror_.term() + 1;
-  const Candidacy candidacy{incarnation_ + "/" + std::to_string(next_candidacy_++), lease, runtime_.now()};
+  const Candidacy candidacy{incarnation_ + "/" + std::to_string(next_candidacy_++), lease,
+                            runtime_.now()};
   candidacies_.push_back(candidacy);
   if (candidacies_.size() > k::kCandidaciesKept) candidacies_.erase(candidacies_.begin());
   wire::Txn txn;
-  txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()}, {std::string(ledger::kLeadKey), mirror_.lead_stamp()}};
+  txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()},
+                {std::string(ledger::kLeadKey), mirror_.lead_stamp()}};
   txn.writes = {{std::string(ledger::kTermKey), ledger::encode(ledger::TermRecord{term}), 0},
-                {std::string(ledger::kLeadKey), ledger::encode(ledger::LeadRecord{settings_.node, candidacy.name, term}), lease}};
+                {std::string(ledger::kLeadKey),
+                 ledger::encode(ledger::LeadRecord{settings_.node, candidacy.name, term}), lease}};
   store_.commit(std::move(txn), scope_.wrap([this](const ledger::CommitResult& result) {
     // Won or not, the mirror will tell: it must hold all that came before
     // this term in any case. Should it tell too late, the lease is over and
@@ -342,7 +372,14 @@
 }
 
 void Node::win(const Candidacy& candidacy) {
-  Leader::Context context{settings_, runtime_, queue_, store_, cloud_, workers_, mirror_, proof_,
+  Leader::Context context{settings_,
+                          runtime_,
+                          queue_,
+                          store_,
+                          cloud_,
+                          workers_,
+                          mirror_,
+                          proof_,
                           [this](const std::string& peer) {
                             const auto found = peers_.find(peer);
                             return found == peers_.end() ? Word{} : found->second.word;
@@ -375,7 +412,8 @@
   const double sent = runtime_.now();
   next_renew_ = sent + k::kRenewEvery;
   store_.renew(lease_, scope_.wrap([this, term = leader_->term()](Outcome outcome) {
-    if (outcome == Outcome::missing && leader_ && leader_->term() == term) lose("the lease ran out");
+    if (outcome == Outcome::missing && leader_ && leader_->term() == term)
+      lose("the lease ran out");
   }));
   wire::Txn txn;
   txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()}};
@@ -386,10 +424,12 @@
     txn.writes.push_back({std::string(ledger::kTypesKey), wire::encode_flavors(flavors_), 0});
   }
   types_recorded_ = true;
-  store_.commit(std::move(txn), scope_.wrap([this, sent, term = leader_->term()](const ledger::CommitResult& result) {
+  store_.commit(std::move(txn), scope_.wrap([this, sent, term = leader_->term()](
+                                                const ledger::CommitResult& result) {
     if (!leader_ || leader_->term() != term) return;
     if (result.outcome == Outcome::ok) leader_->confirm(sent);
-    const bool deposed = std::find(result.failed.begin(), result.failed.end(), ledger::kTermKey) != result.failed.end();
+    const bool deposed = std::find(result.failed.begin(), result.failed.end(), ledger::kTermKey) !=
+                         result.failed.end();
     if (result.outcome == Outcome::conflict && deposed) lose("the term is over");
   }));
 }
@@ -399,8 +439,9 @@
 void Node::beat() {
   next_beat_ = runtime_.now() + k::kBeatEvery;
   told_leader_heard_ = leader_heard();
-  mesh_->broadcast(mesh::Beat{settings_.node, known_term_, known_leader_, state_reachable(), told_leader_heard_,
-                              mirror_.loaded() ? mirror_.revision() : 0, runtime_.now() - caretaker_.answered_at()});
+  mesh_->broadcast(mesh::Beat{settings_.node, known_term_, known_leader_, state_reachable(),
+                              told_leader_heard_, mirror_.loaded() ? mirror_.revision() : 0,
+                              runtime_.now() - caretaker_.answered_at()});
 }
 
 void Node::on_beat(const mesh::Beat& news) {
@@ -410,7 +451,8 @@
   peer.leader_heard = news.leader_heard;
   // However late this comes, what was answered was answered before it was sent.
   peer.word.revision = std::max(peer.word.revision, news.revision);
-  peer.word.answered_at = std::max(peer.word.answered_at, runtime_.now() - news.answered_ago_s * (1 - k::kDrift));
+  peer.word.answered_at =
+      std::max(peer.word.answered_at, runtime_.now() - news.answered_ago_s * (1 - k::kDrift));
   learn_term(news.term, news.leader);
 }
 
@@ -433,7 +475,8 @@
     proof_.request(k::kProbeEvery, [](bool) {});
   }
   proof_.check();
-  std::erase_if(redirects_, [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
+  std::erase_if(redirects_,
+                [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
   tend_forwarded();
   elect();
   caretaker_.tick(view());
--- a/src/engine/planner.cpp
+++ b/src/engine/planner.cpp
@@ -24,14 +24,15 @@
 std::optional<double> aim_s(const config::Settings& settings, const Job& job) {
   if (job.spec.due_s) return job.spec.due_s;
   for (const auto& aim : settings.objectives) {
-    if (aim.kind == "finished" && aim.lane == job.spec.lane && aim.within_s > 0) return aim.within_s;
+    if (aim.kind == "finished" && aim.lane == job.spec.lane && aim.within_s > 0)
+      return aim.within_s;
   }
   return std::nullopt;
 }
 
 bool Planner::usable(const Host& host, double now, const config::Settings& settings) {
-  return host.synced && !host.deaf && host.recorded() && !host.releasing && !host.quarantined && !host.recall_at && !host.foreign &&
-         now - host.last_report < settings.silent_after_s();
+  return host.synced && !host.deaf && host.recorded() && !host.releasing && !host.quarantined &&
+         !host.recall_at && !host.foreign && now - host.last_report < settings.silent_after_s();
 }
 
 bool Planner::may_run(const Job& job, const Host& host) const {
@@ -40,8 +41,9 @@
 
 bool Planner::startable(const Task& task, const Host& host, double now) const {
   const auto& job = *task.job;
-  return task.phase == Phase::pending && task.not_before <= now && job.failed_until <= now && !job.cancelled &&
-         model_.allowed(job, host) && job.need.fits(host.room()) && model_.within_quota(job);
+  return task.phase == Phase::pending && task.not_before <= now && job.failed_until <= now &&
+         !job.cancelled && model_.allowed(job, host) && job.need.fits(host.room()) &&
+         model_.within_quota(job);
 }
 
 sched::Eligible Planner::eligible() {
@@ -72,12 +74,17 @@
   ++steps_;
   if (!usable(host, now, settings_)) return gone(host);
   const auto room = host.room();
-  if (model_.least_need().fits(room)) roomy_.insert(&host);
-  else roomy_.erase(&host);
-  const auto in_transit = static_cast<std::size_t>(std::count_if(host.tasks.begin(), host.tasks.end(), [](const Task* task) { return task->phase == Phase::assigned && !task->seen; }));
+  if (model_.least_need().fits(room))
+    roomy_.insert(&host);
+  else
+    roomy_.erase(&host);
+  const auto in_transit = static_cast<std::size_t>(std::count_if(
+      host.tasks.begin(), host.tasks.end(),
+      [](const Task* task) { return task->phase == Phase::assigned && !task->seen; }));
   // Machines of a group are alike; the slots follow from the task at hand.
   const double used_share = host.used.share_of(host.capacity);
-  const double per_task = host.tasks.empty() ? 0.5 : used_share / static_cast<double>(host.tasks.size());
+  const double per_task =
+      host.tasks.empty() ? 0.5 : used_share / static_cast<double>(host.tasks.size());
   const double slots = per_task > 0 ? std::floor(1.0 / per_task + 1e-6) : 1;
   const bool has_room = room.cpus > 0 && used_share + per_task <= 1 + 1e-6;
   groups_[group_name(host)].set_worker(host.id, in_transit, slots, has_room);
@@ -98,7 +105,8 @@
 
 void Planner::gone(Host& host) {
   roomy_.erase(&host);
-  if (const auto found = groups_.find(group_name(host)); found != groups_.end()) found->second.remove_worker(host.id);
+  if (const auto found = groups_.find(group_name(host)); found != groups_.end())
+    found->second.remove_worker(host.id);
 }
 
 Planner::Standing Planner::standing(const Job& job, double now) const {
@@ -155,8 +163,9 @@
   const auto may = eligible();
   for (auto& [name, group] : groups_) {
     if (best != nullptr && group.mean() >= best->mean()) continue;
-    const bool fits = std::any_of(group.workers().begin(), group.workers().end(),
-                                  [&](const auto& worker) { return may(block.front().id, worker.first); });
+    const bool fits =
+        std::any_of(group.workers().begin(), group.workers().end(),
+                    [&](const auto& worker) { return may(block.front().id, worker.first); });
     if (fits) best = &group;
   }
   if (best == nullptr) {
@@ -185,11 +194,14 @@
       for (auto& task : block.tasks) {
         if (task.phase != Phase::pending) continue;
         ++waiting;
-        if (!task.listed && task.not_before <= now) fresh.push_back(&task);
-        else left = left || !task.listed;
+        if (!task.listed && task.not_before <= now)
+          fresh.push_back(&task);
+        else
+          left = left || !task.listed;
       }
       enlist(*job, fresh, now);
-      left = left || std::any_of(fresh.begin(), fresh.end(), [](const Task* task) { return !task->listed; });
+      left = left || std::any_of(fresh.begin(), fresh.end(),
+                                 [](const Task* task) { return !task->listed; });
     };
     for (const auto& [number, block] : job->blocks) list(*block);
     // Blocks of a large job appear as they are needed.
@@ -216,7 +228,8 @@
     }
     if (!task->job->need.fits(host.capacity - taken)) continue;
     model_.unplan(*task);
-    if (model_.allowed(*task->job, host) && model_.within_quota(*task->job)) model_.assign(*task, host, now);
+    if (model_.allowed(*task->job, host) && model_.within_quota(*task->job))
+      model_.assign(*task, host, now);
   }
 }
 
@@ -236,13 +249,15 @@
   // Guarantees go before priorities, here as there: were one work stopped for
   // its priority and the other for its guarantee, the two would displace each
   // other for ever.
-  const bool kept = other.team != nullptr && sched::within_guarantee(*other.team, *other.team_usage);
+  const bool kept =
+      other.team != nullptr && sched::within_guarantee(*other.team, *other.team_usage);
   const bool owed = guaranteed(job);
   if (kept != owed) return owed && (!higher || !other.service());
   return lower;
 }
 
-std::optional<std::vector<Task*>> Planner::victims(const Job& job, const Host& host, double now) const {
+std::optional<std::vector<Task*>> Planner::victims(const Job& job, const Host& host,
+                                                   double now) const {
   std::vector<Task*> candidates;
   for (auto* task : host.tasks) {
     if (may_stop(job, *task)) candidates.push_back(task);
@@ -268,7 +283,9 @@
   const double rate = flavor == nullptr || flavor->fetch_gb_per_s <= 0 ? 1 : flavor->fetch_gb_per_s;
   double points = host.caches(job.image) ? 0 : -job.spec.image_gb / rate;
   const auto found = job.per_zone.find(host.zone);
-  points -= found == job.per_zone.end() ? 0 : 4.0 * found->second;  // spread, worth some seconds of fetching
+  points -= found == job.per_zone.end()
+                ? 0
+                : 4.0 * found->second;                // spread, worth some seconds of fetching
   points += 2.0 * host.used.share_of(host.capacity);  // fill machines: empty ones can go
   return points;
 }
@@ -312,7 +329,9 @@
 std::optional<Planner::Candidate> Planner::displace(Job& job, double now) {
   // A search walks through all machines: not often for one job, and few in
   // one round.
-  if (now < job.searched_at + constants::kDisplaceEvery || searches_ >= constants::kDisplaceSearches || !anything_lesser(job)) return std::nullopt;
+  if (now < job.searched_at + constants::kDisplaceEvery ||
+      searches_ >= constants::kDisplaceSearches || !anything_lesser(job))
+    return std::nullopt;
   ++searches_;
   auto place = best_displacing(job, now);
   if (!place) job.searched_at = now;
@@ -323,7 +342,9 @@
   if (!job.spec.together || !job.per_zone.empty() || job.spec.zone) return;
   std::map<std::string, double> free;
   for (const auto& [id, host] : model_.hosts()) {
-    if (!usable(*host, now, settings_) || (host->spot && !job.spec.spot) || !job.need.fits(host->capacity)) continue;
+    if (!usable(*host, now, settings_) || (host->spot && !job.spec.spot) ||
+        !job.need.fits(host->capacity))
+      continue;
     sched::Amount room = host->room();
     for (const auto* task : host->tasks) {
       if (may_stop(job, *task)) room += task->job->need;
@@ -333,7 +354,8 @@
       free[host->zone] += 1;
     }
   }
-  const auto best = std::max_element(free.begin(), free.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
+  const auto best = std::max_element(
+      free.begin(), free.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
   if (best != free.end()) job.zone_choice = best->first;
 }
 
@@ -351,7 +373,8 @@
       }
       const auto place = displace(job, now);
       if (!place) return true;
-      for (auto* victim : place->victims) stop_task(model_, *victim, true, now + constants::kPreemptPause);
+      for (auto* victim : place->victims)
+        stop_task(model_, *victim, true, now + constants::kPreemptPause);
       model_.plan(task, *place->host);
     }
   }
@@ -361,7 +384,8 @@
 void Planner::place_direct(double now) {
   std::vector<Job*> waiting;
   for (auto* job : model_.open()) {
-    if (direct(*job) && !job->cancelled && job->failed_until <= now && !job->all_done()) waiting.push_back(job);
+    if (direct(*job) && !job->cancelled && job->failed_until <= now && !job->all_done())
+      waiting.push_back(job);
   }
   std::stable_sort(waiting.begin(), waiting.end(), [this](const Job* a, const Job* b) {
     const int x = rank(*a);
@@ -370,8 +394,10 @@
   });
   for (auto* job : waiting) {
     choose_zone(*job, now);
-    if (job->gang()) place_gang(*job, now);
-    else if (!place_service(*job, now)) model_.open().erase(job);
+    if (job->gang())
+      place_gang(*job, now);
+    else if (!place_service(*job, now))
+      model_.open().erase(job);
   }
 }
 
@@ -413,7 +439,8 @@
     for (const auto& [name, group] : groups_) {
       if (name != own && group.queued() > 0) others.push_back(&group);
     }
-    std::stable_sort(others.begin(), others.end(), [](const auto* a, const auto* b) { return a->mean() > b->mean(); });
+    std::stable_sort(others.begin(), others.end(),
+                     [](const auto* a, const auto* b) { return a->mean() > b->mean(); });
     for (const auto* group : others) {
       found = group->lend(may);
       if (found) break;
@@ -460,10 +487,12 @@
     const auto found = holders.find(task->job->image);
     if (found == holders.end()) continue;
     auto& hosts = found->second;
-    const auto place = std::find_if(hosts.begin(), hosts.end(), [&](const Host* host) { return startable(*task, *host, now); });
+    const auto place = std::find_if(hosts.begin(), hosts.end(),
+                                    [&](const Host* host) { return startable(*task, *host, now); });
     if (place == hosts.end()) {
       // What has no room for this one hardly has any for the next.
-      std::erase_if(hosts, [&](const Host* host) { return !model_.least_need().fits(host->room()); });
+      std::erase_if(hosts,
+                    [&](const Host* host) { return !model_.least_need().fits(host->room()); });
       continue;
     }
     take(*task, **place, now);
@@ -471,14 +500,16 @@
 }
 
 void Planner::start_heads(double now) {
-  const bool queued = std::any_of(groups_.begin(), groups_.end(), [](const auto& entry) { return entry.second.queued() > 0; });
+  const bool queued = std::any_of(groups_.begin(), groups_.end(),
+                                  [](const auto& entry) { return entry.second.queued() > 0; });
   if (!queued) return;
   Misses misses;
   for (auto* host : by_fullness()) {
     ++steps_;
     auto& missed = misses[{group_name(*host), host->spot}];
     const auto hopeless = [&](const Host& one) {
-      return std::any_of(missed.begin(), missed.end(), [&](const sched::Amount& room) { return one.room().fits(room); });
+      return std::any_of(missed.begin(), missed.end(),
+                         [&](const sched::Amount& room) { return one.room().fits(room); });
     };
     while (!hopeless(*host)) {
       if (start_on(*host, now)) continue;
@@ -494,7 +525,9 @@
   for (const auto& [name, group] : groups_) {
     group.each([&](const sched::Queued& entry) {
       const auto* job = model_.job_of(entry.id);
-      if (job == nullptr || now < job->searched_at + constants::kDisplaceEvery || !anything_lesser(*job)) return;
+      if (job == nullptr || now < job->searched_at + constants::kDisplaceEvery ||
+          !anything_lesser(*job))
+        return;
       const auto found = heads.try_emplace(job->serial, entry);
       if (entry.before(found.first->second)) found.first->second = entry;
     });
@@ -505,14 +538,17 @@
   for (const auto& head : order) {
     if (searches_ >= constants::kDisplaceSearches) return;
     auto* task = model_.task(head.id);
-    if (task == nullptr || task->phase != Phase::pending || task->not_before > now || task->job->failed_until > now) continue;
+    if (task == nullptr || task->phase != Phase::pending || task->not_before > now ||
+        task->job->failed_until > now)
+      continue;
     auto& job = *task->job;
     if (!guaranteed(job) && job.spec.priority == wire::Priority::idle) continue;
     if (!model_.within_quota(job)) continue;
     const auto place = displace(job, now);
     if (!place) continue;
     forget(*task);
-    for (auto* victim : place->victims) stop_task(model_, *victim, true, now + constants::kPreemptPause);
+    for (auto* victim : place->victims)
+      stop_task(model_, *victim, true, now + constants::kPreemptPause);
     model_.plan(*task, *place->host);
   }
 }
--- a/src/engine/planner.hpp
+++ b/src/engine/planner.hpp
@@ -59,7 +59,9 @@
   bool start_on(Host& host, double now);
   void relieve_guarantees(double now);
 
-  [[nodiscard]] bool direct(const Job& job) const { return job.service() || job.gang() || job.spec.together; }
+  [[nodiscard]] bool direct(const Job& job) const {
+    return job.service() || job.gang() || job.spec.together;
+  }
   [[nodiscard]] bool startable(const Task& task, const Host& host, double now) const;
   [[nodiscard]] bool may_run(const Job& job, const Host& host) const;
   /// The best machine with room for the job's next task.
@@ -69,13 +71,16 @@
   /// As above, unless that was tried a moment ago or can't succeed.
   [[nodiscard]] std::optional<Candidate> displace(Job& job, double now);
   [[nodiscard]] bool anything_lesser(const Job& job) const;
-  [[nodiscard]] std::optional<std::vector<Task*>> victims(const Job& job, const Host& host, double now) const;
+  [[nodiscard]] std::optional<std::vector<Task*>> victims(const Job& job, const Host& host,
+                                                          double now) const;
   [[nodiscard]] bool may_stop(const Job& job, const Task& victim) const;
   [[nodiscard]] double lost_work(const Task& victim, double now) const;
   [[nodiscard]] double score(const Job& job, const Host& host) const;
   [[nodiscard]] int rank(const Job& job) const;
   [[nodiscard]] bool guaranteed(const Job& job) const;
-  [[nodiscard]] static std::string group_name(const Host& host) { return host.type + "/" + host.zone; }
+  [[nodiscard]] static std::string group_name(const Host& host) {
+    return host.type + "/" + host.zone;
+  }
   void choose_zone(Job& job, double now);
   [[nodiscard]] sched::Eligible eligible();
 
--- a/src/engine/proof.cpp
+++ b/src/engine/proof.cpp
@@ -19,20 +19,21 @@
   probing_ = true;
   std::vector<Waiting> covered;
   covered.swap(next_);
-  store_.get(std::string(ledger::kProbeKey), scope_.wrap([this, covered](const ledger::GetResult& result) mutable {
-    probing_ = false;
-    if (result.outcome == ledger::Outcome::missing) {
-      last_success_ = runtime_.now();
-      for (auto& one : covered) {
-        one.revision = result.revision;
-        waiting_.push_back(std::move(one));
-      }
-    } else {
-      for (auto& one : covered) one.waiter(false);
-    }
-    check();
-    probe();
-  }));
+  store_.get(std::string(ledger::kProbeKey),
+             scope_.wrap([this, covered](const ledger::GetResult& result) mutable {
+               probing_ = false;
+               if (result.outcome == ledger::Outcome::missing) {
+                 last_success_ = runtime_.now();
+                 for (auto& one : covered) {
+                   one.revision = result.revision;
+                   waiting_.push_back(std::move(one));
+                 }
+               } else {
+                 for (auto& one : covered) one.waiter(false);
+               }
+               check();
+               probe();
+             }));
 }
 
 void Proof::check() {
--- a/src/engine/proof.hpp
+++ b/src/engine/proof.hpp
@@ -17,8 +17,14 @@
   using Waiter = std::function<void(bool current)>;
 
   /// `gap`: seconds between two requests, which serve all who came meanwhile.
-  Proof(Runtime& runtime, CommandQueue& queue, ledger::Store& store, const ledger::Mirror& mirror, double gap)
-      : runtime_(runtime), store_(store), mirror_(mirror), scope_(queue), wake_(runtime, queue), gap_(gap) {}
+  Proof(Runtime& runtime, CommandQueue& queue, ledger::Store& store, const ledger::Mirror& mirror,
+        double gap)
+      : runtime_(runtime),
+        store_(store),
+        mirror_(mirror),
+        scope_(queue),
+        wake_(runtime, queue),
+        gap_(gap) {}
 
   /// Calls back with true once the mirror holds all that was committed
   /// before this call, or with false when that can't be shown in time.
--- a/src/engine/queue.hpp
+++ b/src/engine/queue.hpp
@@ -27,7 +27,8 @@
 /// follows from them is decided once.
 class CommandQueue {
  public:
-  CommandQueue(Runtime& runtime, std::function<void()> after_batch) : runtime_(runtime), after_batch_(std::move(after_batch)) {}
+  CommandQueue(Runtime& runtime, std::function<void()> after_batch)
+      : runtime_(runtime), after_batch_(std::move(after_batch)) {}
 
   void post(Command command) {
     commands_.push_back(std::move(command));
@@ -62,14 +63,15 @@
 
   template <typename Fn>
   [[nodiscard]] auto wrap(Fn fn) {
-    return [&queue = queue_, alive = std::weak_ptr<char>(alive_), fn = std::move(fn)](auto... args) {
-      // The queue may be gone by then as well: it outlives the scope, not the
-      // answer.
-      if (alive.expired()) return;
-      queue.post([alive, fn, ... values = std::move(args)]() mutable {
-        if (!alive.expired()) fn(std::move(values)...);
-      });
-    };
+    return
+        [&queue = queue_, alive = std::weak_ptr<char>(alive_), fn = std::move(fn)](auto... args) {
+          // The queue may be gone by then as well: it outlives the scope, not the
+          // answer.
+          if (alive.expired()) return;
+          queue.post([alive, fn, ... values = std::move(args)]() mutable {
+            if (!alive.expired()) fn(std::move(values)...);
+          });
+        };
   }
 
  private:
--- a/src/fleet/cloud.hpp
+++ b/src/fleet/cloud.hpp
@@ -20,9 +20,10 @@
  public:
   virtual ~Cloud() = default;
   virtual void flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) = 0;
-  virtual void list(const std::string& since, std::function<void(std::optional<wire::CloudPage>)> done) = 0;
-  virtual void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot, int count,
-                    std::function<void(RentResult)> done) = 0;
+  virtual void list(const std::string& since,
+                    std::function<void(std::optional<wire::CloudPage>)> done) = 0;
+  virtual void rent(const std::string& name, const std::string& type, const std::string& zone,
+                    bool spot, int count, std::function<void(RentResult)> done) = 0;
   /// True: the machines and everything on them are gone.
   virtual void release(const std::vector<std::string>& hosts, std::function<void(bool)> done) = 0;
 };
--- a/src/fleet/cloud_client.cpp
+++ b/src/fleet/cloud_client.cpp
@@ -7,7 +7,8 @@
 
 /// The decoded body of a 200; nothing otherwise.
 template <typename Decode>
-auto decoded(const net::Reply& reply, Decode&& decode) -> std::optional<decltype(decode(std::declval<const wire::Object&>()))> {
+auto decoded(const net::Reply& reply, Decode&& decode)
+    -> std::optional<decltype(decode(std::declval<const wire::Object&>()))> {
   if (reply.status != 200) return std::nullopt;
   try {
     return decode(wire::Document::parse(reply.body).root());
@@ -22,37 +23,50 @@
   switch (reply.status) {
     case 503:
       // Two kinds of 503: nothing to be had, or the interface is in trouble.
-      return {reply.body.find("no capacity") != std::string::npos ? Outcome::no_capacity : Outcome::unavailable, {}};
-    case 429: return {Outcome::unavailable, {}};
-    case 400: return {Outcome::rejected, {}};
-    default: return {Outcome::unknown, {}};
+      return {reply.body.find("no capacity") != std::string::npos ? Outcome::no_capacity
+                                                                  : Outcome::unavailable,
+              {}};
+    case 429:
+      return {Outcome::unavailable, {}};
+    case 400:
+      return {Outcome::rejected, {}};
+    default:
+      return {Outcome::unknown, {}};
   }
 }
 
 }  // namespace
 
-CloudClient::CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint) : client_(io, endpoint, 4) {}
+CloudClient::CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint)
+    : client_(io, endpoint, 4) {}
 
 void CloudClient::flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) {
   client_.request("GET", "/flavors", {}, constants::kCloudTimeout,
-                  [done = std::move(done)](const net::Reply& reply) { done(decoded(reply, wire::decode_flavors)); });
+                  [done = std::move(done)](const net::Reply& reply) {
+                    done(decoded(reply, wire::decode_flavors));
+                  });
 }
 
-void CloudClient::list(const std::string& since, std::function<void(std::optional<wire::CloudPage>)> done) {
+void CloudClient::list(const std::string& since,
+                       std::function<void(std::optional<wire::CloudPage>)> done) {
   std::string path = "/hosts?most=" + std::to_string(constants::kCloudPage);
   if (!since.empty()) path += "&since=" + since;
   client_.request("GET", path, {}, constants::kCloudTimeout,
-                  [done = std::move(done)](const net::Reply& reply) { done(decoded(reply, wire::decode_cloud_page)); });
+                  [done = std::move(done)](const net::Reply& reply) {
+                    done(decoded(reply, wire::decode_cloud_page));
+                  });
 }
 
-void CloudClient::rent(const std::string& name, const std::string& type, const std::string& zone, bool spot, int count,
-                       std::function<void(RentResult)> done) {
-  client_.request("POST", "/hosts", wire::encode_rent(name, type, zone, spot, count), constants::kCloudTimeout,
+void CloudClient::rent(const std::string& name, const std::string& type, const std::string& zone,
+                       bool spot, int count, std::function<void(RentResult)> done) {
+  client_.request("POST", "/hosts", wire::encode_rent(name, type, zone, spot, count),
+                  constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) { done(rent_result(reply)); });
 }
 
 void CloudClient::release(const std::vector<std::string>& hosts, std::function<void(bool)> done) {
-  client_.request("POST", "/hosts/release", wire::encode_host_names(hosts), constants::kCloudTimeout,
+  client_.request("POST", "/hosts/release", wire::encode_host_names(hosts),
+                  constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) { done(reply.status == 200); });
 }
 
--- a/src/fleet/cloud_client.hpp
+++ b/src/fleet/cloud_client.hpp
@@ -12,9 +12,10 @@
   CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint);
 
   void flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) override;
-  void list(const std::string& since, std::function<void(std::optional<wire::CloudPage>)> done) override;
-  void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot, int count,
-            std::function<void(RentResult)> done) override;
+  void list(const std::string& since,
+            std::function<void(std::optional<wire::CloudPage>)> done) override;
+  void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
+            int count, std::function<void(RentResult)> done) override;
   void release(const std::vector<std::string>& hosts, std::function<void(bool)> done) override;
 
  private:
--- a/src/fleet/worker_client.cpp
+++ b/src/fleet/worker_client.cpp
@@ -12,10 +12,17 @@
   using Outcome = OrdersResult::Outcome;
   OrdersResult result;
   switch (reply.status) {
-    case 200: result.outcome = Outcome::done; break;
-    case 409: result.outcome = Outcome::refused; break;
-    case 0: result.outcome = reply.never_sent ? Outcome::never : Outcome::unknown; return result;
-    default: return result;
+    case 200:
+      result.outcome = Outcome::done;
+      break;
+    case 409:
+      result.outcome = Outcome::refused;
+      break;
+    case 0:
+      result.outcome = reply.never_sent ? Outcome::never : Outcome::unknown;
+      return result;
+    default:
+      return result;
   }
   try {
     result.report = wire::decode_report(wire::Document::parse(reply.body).root());
@@ -36,7 +43,9 @@
       // The one that was not needed for the longest time.
       auto oldest = lines_.end();
       for (auto it = lines_.begin(); it != lines_.end(); ++it) {
-        if (it->second != slot && it->second->in_use == 0 && (oldest == lines_.end() || it->second->used < oldest->second->used)) oldest = it;
+        if (it->second != slot && it->second->in_use == 0 &&
+            (oldest == lines_.end() || it->second->used < oldest->second->used))
+          oldest = it;
       }
       auto kept = slot;
       if (oldest != lines_.end()) lines_.erase(oldest);
@@ -46,18 +55,22 @@
   return slot;
 }
 
-void WorkerClient::order(const std::string& addr, std::uint64_t token, std::uint64_t session, const std::vector<wire::Order>& orders,
+void WorkerClient::order(const std::string& addr, std::uint64_t token, std::uint64_t session,
+                         const std::vector<wire::Order>& orders,
                          std::function<void(OrdersResult)> done) {
   std::shared_ptr<Line> to;
   try {
     to = line(addr);
   } catch (const std::invalid_argument&) {
-    asio::post(io_, [done = std::move(done)] { done({OrdersResult::Outcome::never, std::nullopt}); });
+    asio::post(io_, [done = std::move(done)] {
+      done({OrdersResult::Outcome::never, std::nullopt});
+    });
     return;
   }
   ++to->in_use;
   to->used = ++uses_;
-  to->client.request("POST", "/orders", wire::encode_direct_orders(token, session, orders), constants::kOrdersTimeout,
+  to->client.request("POST", "/orders", wire::encode_direct_orders(token, session, orders),
+                     constants::kOrdersTimeout,
                      [to, done = std::move(done)](const net::Reply& reply) {
                        --to->in_use;
                        done(result_of(reply));
--- a/src/fleet/worker_client.hpp
+++ b/src/fleet/worker_client.hpp
@@ -13,9 +13,11 @@
 /// Keeps the connections of the workers it spoke to last, up to a bound.
 class WorkerClient : public Workers {
  public:
-  WorkerClient(asio::io_context& io, std::size_t max_connections) : io_(io), max_connections_(max_connections) {}
+  WorkerClient(asio::io_context& io, std::size_t max_connections)
+      : io_(io), max_connections_(max_connections) {}
 
-  void order(const std::string& addr, std::uint64_t token, std::uint64_t session, const std::vector<wire::Order>& orders,
+  void order(const std::string& addr, std::uint64_t token, std::uint64_t session,
+             const std::vector<wire::Order>& orders,
              std::function<void(OrdersResult)> done) override;
 
  private:
--- a/src/fleet/workers.hpp
+++ b/src/fleet/workers.hpp
@@ -25,7 +25,8 @@
 class Workers {
  public:
   virtual ~Workers() = default;
-  virtual void order(const std::string& addr, std::uint64_t token, std::uint64_t session, const std::vector<wire::Order>& orders,
+  virtual void order(const std::string& addr, std::uint64_t token, std::uint64_t session,
+                     const std::vector<wire::Order>& orders,
                      std::function<void(OrdersResult)> done) = 0;
 };
 
--- a/src/ledger/mirror.cpp
+++ b/src/ledger/mirror.cpp
@@ -40,8 +40,10 @@
     auto key = parse_key(change.key);
     // A page that was read later may hold a newer value than this change.
     if (change.stamp < stamp_of(key)) continue;
-    if (change.value) put(key, *change.value, change.stamp);
-    else erase(key);
+    if (change.value)
+      put(key, *change.value, change.stamp);
+    else
+      erase(key);
     touched.push_back(std::move(key));
   }
   revision_ = std::max(revision_, changes.revision);
@@ -57,9 +59,12 @@
 
 std::uint64_t Mirror::stamp_of(const Key& key) const {
   switch (key.kind) {
-    case Key::Kind::term: return term_stamp_;
-    case Key::Kind::lead: return lead_stamp();
-    case Key::Kind::types: return types_ ? types_->stamp : 0;
+    case Key::Kind::term:
+      return term_stamp_;
+    case Key::Kind::lead:
+      return lead_stamp();
+    case Key::Kind::types:
+      return types_ ? types_->stamp : 0;
     case Key::Kind::job: {
       const auto* found = job(key.id);
       return found == nullptr ? 0 : found->stamp;
@@ -72,7 +77,8 @@
       const auto found = cares_.find(key.id);
       return found == cares_.end() ? 0 : found->second.second;
     }
-    default: return 0;
+    default:
+      return 0;
   }
 }
 
@@ -143,14 +149,19 @@
 
 void Mirror::erase(const Key& key) {
   switch (key.kind) {
-    case Key::Kind::lead: lead_.reset(); break;
+    case Key::Kind::lead:
+      lead_.reset();
+      break;
     case Key::Kind::job:
       jobs_.erase(key.id);
       cancelled_.erase(key.id);
       if (loaded()) blocks_.erase(key.id);
       break;
-    case Key::Kind::care: cares_.erase(key.id); break;
-    default: break;
+    case Key::Kind::care:
+      cares_.erase(key.id);
+      break;
+    default:
+      break;
   }
 }
 
--- a/src/ledger/mirror.hpp
+++ b/src/ledger/mirror.hpp
@@ -61,7 +61,9 @@
   /// Records of a layout that this program does not read: it must not lead.
   [[nodiscard]] bool earlier_layout() const { return earlier_layout_; }
   /// Zone of every node that is a caretaker, by node.
-  [[nodiscard]] const std::map<std::string, std::pair<std::string, std::uint64_t>>& cares() const { return cares_; }
+  [[nodiscard]] const std::map<std::string, std::pair<std::string, std::uint64_t>>& cares() const {
+    return cares_;
+  }
   [[nodiscard]] std::optional<FinalRecord> final_state(const std::string& id) const;
   void remember_final(const std::string& id, const FinalRecord& record);
   [[nodiscard]] std::uint64_t term() const { return term_; }
--- a/src/ledger/records.cpp
+++ b/src/ledger/records.cpp
@@ -15,14 +15,17 @@
 constexpr std::string_view kCares = "elm/l/care/";
 constexpr std::string_view kFinals = "elm/f/";
 
-std::string joined(std::string_view prefix, std::string_view id) { return std::string(prefix).append(id); }
+std::string joined(std::string_view prefix, std::string_view id) {
+  return std::string(prefix).append(id);
+}
 
 // Binary data is not allowed in values: four tasks to a hexadecimal digit.
 std::string to_hex(const std::vector<bool>& bits) {
   std::string text((bits.size() + 3) / 4, '0');
   for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned digit = 0;
-    for (std::size_t j = 0; j < 4 && i * 4 + j < bits.size(); ++j) digit |= (bits[i * 4 + j] ? 1U : 0U) << j;
+    for (std::size_t j = 0; j < 4 && i * 4 + j < bits.size(); ++j)
+      digit |= (bits[i * 4 + j] ? 1U : 0U) << j;
     text[i] = "0123456789abcdef"[digit];
   }
   return text;
@@ -34,7 +37,8 @@
     const std::size_t at = i / 4;
     if (at >= text.size()) throw wire::Malformed("done bits are too short");
     const char c = text[at];
-    const unsigned digit = c >= 'a' ? static_cast<unsigned>(c - 'a') + 10 : static_cast<unsigned>(c - '0');
+    const unsigned digit =
+        c >= 'a' ? static_cast<unsigned>(c - 'a') + 10 : static_cast<unsigned>(c - '0');
     bits[i] = ((digit >> (i % 4)) & 1U) != 0;
   }
   return bits;
@@ -61,13 +65,17 @@
     const auto [stop, error] = std::from_chars(key.data() + kSlots.size(), end, parsed.number);
     return error == std::errc() && stop == end ? parsed : Key{};
   }
-  if (key.starts_with(kEarlierBlocks) || key.starts_with(kEarlierHosts)) return {Key::Kind::earlier, {}, 0};
+  if (key.starts_with(kEarlierBlocks) || key.starts_with(kEarlierHosts))
+    return {Key::Kind::earlier, {}, 0};
   return {};
 }
 
-std::size_t BlockRecord::done_count() const { return static_cast<std::size_t>(std::count(done.begin(), done.end(), true)); }
+std::size_t BlockRecord::done_count() const {
+  return static_cast<std::size_t>(std::count(done.begin(), done.end(), true));
+}
 std::size_t BlockRecord::assigned_count() const {
-  return static_cast<std::size_t>(std::count_if(tasks.begin(), tasks.end(), [](const auto& task) { return !task.host.empty(); }));
+  return static_cast<std::size_t>(std::count_if(
+      tasks.begin(), tasks.end(), [](const auto& task) { return !task.host.empty(); }));
 }
 
 std::string encode(const TermRecord& record) {
@@ -77,7 +85,13 @@
 
 std::string encode(const LeadRecord& record) {
   wire::Packer packer;
-  packer.map(3).key("node").text(record.node).key("inc").text(record.incarnation).key("term").integer(record.term);
+  packer.map(3)
+      .key("node")
+      .text(record.node)
+      .key("inc")
+      .text(record.incarnation)
+      .key("term")
+      .integer(record.term);
   return packer.take();
 }
 
@@ -115,10 +129,12 @@
   const auto& host = entry.record;
   packer.list(5).text(entry.id).text(host.addr).text(host.type).text(host.zone);
   packer.integer((host.spot ? 1U : 0U) | (host.retired ? 2U : 0U));
-  return {packer.take(), kJsonList + json_text(entry.id) + json_text(host.addr) + json_text(host.type) + json_text(host.zone) + kJsonCount};
+  return {packer.take(), kJsonList + json_text(entry.id) + json_text(host.addr) +
+                             json_text(host.type) + json_text(host.zone) + kJsonCount};
 }
 
-std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks, const std::vector<std::string>& hosts) {
+std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
+                        const std::vector<std::string>& hosts) {
   wire::Packer packer;
   packer.map(3).key("n").integer(number).key("b").list(blocks.size());
   for (const auto& block : blocks) packer.raw(block);
@@ -138,7 +154,9 @@
   return packer.take();
 }
 
-TermRecord decode_term(std::string_view packed) { return {wire::Document::parse(packed).fields().integer("n")}; }
+TermRecord decode_term(std::string_view packed) {
+  return {wire::Document::parse(packed).fields().integer("n")};
+}
 
 LeadRecord decode_lead(std::string_view packed) {
   const auto document = wire::Document::parse(packed);
@@ -149,7 +167,8 @@
 JobRecord decode_job(std::string_view packed) {
   const auto document = wire::Document::parse(packed);
   const auto fields = document.fields();
-  return {wire::decode_job(fields.require("spec")), fields.flag_or("cancelled", false), fields.number("at")};
+  return {wire::decode_job(fields.require("spec")), fields.flag_or("cancelled", false),
+          fields.number("at")};
 }
 
 namespace {
@@ -168,7 +187,8 @@
     const auto [field, stop] = wire::elements(item, "task");
     if (stop - field != 3) throw wire::Malformed("a task record has three parts");
     entry.record.tasks.push_back({static_cast<std::uint32_t>(wire::as_integer(field[0], "index")),
-                                  wire::as_integer(field[1], "attempt"), wire::as_text(field[2], "host")});
+                                  wire::as_integer(field[1], "attempt"),
+                                  wire::as_text(field[2], "host")});
   }
   return entry;
 }
@@ -178,8 +198,10 @@
   if (end - part == 1) return {wire::as_text(part[0], "host"), true, {}};
   if (end - part != 5) throw wire::Malformed("a host has five parts");
   const auto flags = wire::as_integer(part[4], "flags");
-  return {wire::as_text(part[0], "host"), false,
-          {wire::as_text(part[1], "addr"), wire::as_text(part[2], "type"), wire::as_text(part[3], "zone"), (flags & 1U) != 0, (flags & 2U) != 0}};
+  return {wire::as_text(part[0], "host"),
+          false,
+          {wire::as_text(part[1], "addr"), wire::as_text(part[2], "type"),
+           wire::as_text(part[3], "zone"), (flags & 1U) != 0, (flags & 2U) != 0}};
 }
 
 }  // namespace
@@ -190,19 +212,24 @@
   SlotRecord slot;
   slot.number = fields.integer("n");
   const auto [block, blocks_end] = wire::elements(fields.find("b"), "b");
-  for (const auto* item = block; item != blocks_end; ++item) slot.blocks.push_back(decode_block(*item));
+  for (const auto* item = block; item != blocks_end; ++item)
+    slot.blocks.push_back(decode_block(*item));
   const auto [host, hosts_end] = wire::elements(fields.find("h"), "h");
   for (const auto* item = host; item != hosts_end; ++item) slot.hosts.push_back(decode_host(*item));
   return slot;
 }
 
-CareRecord decode_care(std::string_view packed) { return {wire::Document::parse(packed).fields().text("zone")}; }
+CareRecord decode_care(std::string_view packed) {
+  return {wire::Document::parse(packed).fields().text("zone")};
+}
 
 FinalRecord decode_final(std::string_view packed) {
   const auto document = wire::Document::parse(packed);
   const auto fields = document.fields();
   FinalRecord record;
-  record.state = fields.text("state") == wire::to_text(wire::JobState::done) ? wire::JobState::done : wire::JobState::cancelled;
+  record.state = fields.text("state") == wire::to_text(wire::JobState::done)
+                     ? wire::JobState::done
+                     : wire::JobState::cancelled;
   record.tasks = fields.integer_or("tasks", 0);
   return record;
 }
--- a/src/ledger/records.hpp
+++ b/src/ledger/records.hpp
@@ -110,7 +110,8 @@
 [[nodiscard]] std::string encode(const JobRecord& record);
 [[nodiscard]] Packed pack(const BlockEntry& entry);
 [[nodiscard]] Packed pack(const HostEntry& entry);
-[[nodiscard]] std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks, const std::vector<std::string>& hosts);
+[[nodiscard]] std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
+                                      const std::vector<std::string>& hosts);
 [[nodiscard]] std::string encode(const CareRecord& record);
 [[nodiscard]] std::string encode(const FinalRecord& record);
 
--- a/src/ledger/state_client.cpp
+++ b/src/ledger/state_client.cpp
@@ -13,7 +13,8 @@
 Result decode(const net::Reply& reply, Outcome outcome, Fill&& fill) {
   Result result;
   result.outcome = outcome;
-  if (outcome != Outcome::ok && outcome != Outcome::conflict && outcome != Outcome::missing) return result;
+  if (outcome != Outcome::ok && outcome != Outcome::conflict && outcome != Outcome::missing)
+    return result;
   try {
     const auto document = wire::Document::parse(reply.body);
     fill(result, document);
@@ -25,9 +26,12 @@
 
 }  // namespace
 
-void StateClient::Bucket::refill(double elapsed_s) { level = std::min(rate, level + elapsed_s * rate); }
+void StateClient::Bucket::refill(double elapsed_s) {
+  level = std::min(rate, level + elapsed_s * rate);
+}
 
-StateClient::StateClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, RateShare share)
+StateClient::StateClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint,
+                         RateShare share)
     : client_(io, endpoint, 8),
       watch_client_(io, endpoint, 2),
       timer_(io),
@@ -41,7 +45,8 @@
 }
 
 void StateClient::submit(Job job) {
-  job.deadline = Clock::now() + std::chrono::milliseconds(static_cast<long>(constants::kStateTimeout * 1000));
+  job.deadline =
+      Clock::now() + std::chrono::milliseconds(static_cast<long>(constants::kStateTimeout * 1000));
   queue_.push_back(std::move(job));
   pump();
 }
@@ -80,52 +85,69 @@
 
 Outcome StateClient::outcome_of(const net::Reply& reply) {
   switch (reply.status) {
-    case 200: return Outcome::ok;
-    case 404: return Outcome::missing;
-    case 409: return Outcome::conflict;
-    case 410: return Outcome::compacted;
+    case 200:
+      return Outcome::ok;
+    case 404:
+      return Outcome::missing;
+    case 409:
+      return Outcome::conflict;
+    case 410:
+      return Outcome::compacted;
     case 429:
-    case 503: return Outcome::unavailable;
-    case 400: return Outcome::rejected;
-    case 0: return reply.never_sent ? Outcome::unavailable : Outcome::unknown;
-    default: return Outcome::unknown;
+    case 503:
+      return Outcome::unavailable;
+    case 400:
+      return Outcome::rejected;
+    case 0:
+      return reply.never_sent ? Outcome::unavailable : Outcome::unknown;
+    default:
+      return Outcome::unknown;
   }
 }
 
 void StateClient::get(const std::string& key, std::function<void(GetResult)> done) {
   auto send = [this, key, done] {
-    client_.request("GET", "/kv/" + key, {}, constants::kStateTimeout, [done](const net::Reply& reply) {
-      done(decode<GetResult>(reply, outcome_of(reply), [](GetResult& result, const wire::Document& document) {
-        if (result.outcome == Outcome::ok) result.entry = wire::decode_entry(document.root());
-        else result.revision = document.fields().integer_or("ledger_rev", 0);
-      }));
-    });
+    client_.request(
+        "GET", "/kv/" + key, {}, constants::kStateTimeout, [done](const net::Reply& reply) {
+          done(decode<GetResult>(
+              reply, outcome_of(reply), [](GetResult& result, const wire::Document& document) {
+                if (result.outcome == Outcome::ok)
+                  result.entry = wire::decode_entry(document.root());
+                else
+                  result.revision = document.fields().integer_or("ledger_rev", 0);
+              }));
+        });
   };
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, {}, 0}); }});
 }
 
-void StateClient::list(const std::string& prefix, const std::string& since, std::function<void(ListResult)> done) {
+void StateClient::list(const std::string& prefix, const std::string& since,
+                       std::function<void(ListResult)> done) {
   std::string path = "/kv?under=" + prefix + "&most=" + std::to_string(constants::kStatePage);
   if (!since.empty()) path += "&since=" + since;
   auto send = [this, path, done] {
     client_.request("GET", path, {}, constants::kStateTimeout * 2, [done](const net::Reply& reply) {
-      done(decode<ListResult>(reply, outcome_of(reply), [](ListResult& result, const wire::Document& document) {
-        result.listing = wire::decode_listing(document.root());
-      }));
+      done(decode<ListResult>(reply, outcome_of(reply),
+                              [](ListResult& result, const wire::Document& document) {
+                                result.listing = wire::decode_listing(document.root());
+                              }));
     });
   };
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, {}}); }});
 }
 
-void StateClient::watch(const std::string& prefix, std::uint64_t since, double hold_s, std::function<void(WatchResult)> done) {
+void StateClient::watch(const std::string& prefix, std::uint64_t since, double hold_s,
+                        std::function<void(WatchResult)> done) {
   const std::string path = "/follow?under=" + prefix + "&since=" + std::to_string(since) +
                            "&hold_ms=" + std::to_string(static_cast<long>(hold_s * 1000));
   auto send = [this, path, hold_s, done] {
-    watch_client_.request("GET", path, {}, hold_s + constants::kWatchGrace, [done](const net::Reply& reply) {
-      done(decode<WatchResult>(reply, outcome_of(reply), [](WatchResult& result, const wire::Document& document) {
-        result.changes = wire::decode_changes(document.root());
-      }));
-    });
+    watch_client_.request(
+        "GET", path, {}, hold_s + constants::kWatchGrace, [done](const net::Reply& reply) {
+          done(decode<WatchResult>(reply, outcome_of(reply),
+                                   [](WatchResult& result, const wire::Document& document) {
+                                     result.changes = wire::decode_changes(document.root());
+                                   }));
+        });
   };
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, {}}); }});
 }
@@ -133,16 +155,20 @@
 void StateClient::commit(wire::Txn txn, std::function<void(CommitResult)> done) {
   const auto writes = static_cast<double>(txn.writes.size());
   auto send = [this, body = wire::encode_txn(txn), done] {
-    client_.request("POST", "/commit", body, constants::kStateTimeout, [done](const net::Reply& reply) {
-      auto outcome = outcome_of(reply);
-      if (outcome == Outcome::rejected && reply.body.find("no such lease") != std::string::npos) outcome = Outcome::no_lease;
-      done(decode<CommitResult>(reply, outcome, [](CommitResult& result, const wire::Document& document) {
-        const auto fields = document.fields();
-        result.revision = fields.integer_or("ledger_rev", 0);
-        const auto [first, last] = wire::elements(fields.find("failed"), "failed");
-        for (const auto* item = first; item != last; ++item) result.failed.push_back(wire::as_text(*item, "failed"));
-      }));
-    });
+    client_.request(
+        "POST", "/commit", body, constants::kStateTimeout, [done](const net::Reply& reply) {
+          auto outcome = outcome_of(reply);
+          if (outcome == Outcome::rejected && reply.body.find("no such lease") != std::string::npos)
+            outcome = Outcome::no_lease;
+          done(decode<CommitResult>(
+              reply, outcome, [](CommitResult& result, const wire::Document& document) {
+                const auto fields = document.fields();
+                result.revision = fields.integer_or("ledger_rev", 0);
+                const auto [first, last] = wire::elements(fields.find("failed"), "failed");
+                for (const auto* item = first; item != last; ++item)
+                  result.failed.push_back(wire::as_text(*item, "failed"));
+              }));
+        });
   };
   submit({writes, {}, std::move(send), [done] { done({Outcome::unavailable, 0, {}}); }});
 }
@@ -151,18 +177,21 @@
   wire::Packer body;
   body.map(1).key("life_ms").integer(static_cast<std::uint64_t>(life_s * 1000));
   auto send = [this, text = body.take(), done] {
-    client_.request("POST", "/grants", text, constants::kStateTimeout, [done](const net::Reply& reply) {
-      done(decode<GrantResult>(reply, outcome_of(reply), [](GrantResult& result, const wire::Document& document) {
-        result.lease = document.fields().integer("hold");
-      }));
-    });
+    client_.request(
+        "POST", "/grants", text, constants::kStateTimeout, [done](const net::Reply& reply) {
+          done(decode<GrantResult>(reply, outcome_of(reply),
+                                   [](GrantResult& result, const wire::Document& document) {
+                                     result.lease = document.fields().integer("hold");
+                                   }));
+        });
   };
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, 0}); }});
 }
 
 void StateClient::renew(std::uint64_t lease, std::function<void(Outcome)> done) {
   auto send = [this, lease, done] {
-    client_.request("POST", "/grants/" + std::to_string(lease) + "/renew", {}, constants::kStateTimeout,
+    client_.request("POST", "/grants/" + std::to_string(lease) + "/renew", {},
+                    constants::kStateTimeout,
                     [done](const net::Reply& reply) { done(outcome_of(reply)); });
   };
   submit({0, {}, std::move(send), [done] { done(Outcome::unavailable); }});
--- a/src/mesh/messages.hpp
+++ b/src/mesh/messages.hpp
@@ -14,8 +14,8 @@
 /// Sent about once a second, and when something in it changes.
 struct Beat {
   std::string node;
-  std::uint64_t term = 0;      ///< highest term known
-  std::string leader;          ///< who holds it, if known
+  std::uint64_t term = 0;  ///< highest term known
+  std::string leader;      ///< who holds it, if known
   bool state_reachable = false;
   bool leader_heard = false;
   /// How far its copy of the records is, 0 while it is not whole. What the
@@ -25,7 +25,9 @@
   /// process began.
   double answered_ago_s = 0;
   template <class Archive>
-  void serialize(Archive& archive) { archive(node, term, leader, state_reachable, leader_heard, revision, answered_ago_s); }
+  void serialize(Archive& archive) {
+    archive(node, term, leader, state_reachable, leader_heard, revision, answered_ago_s);
+  }
 };
 
 /// A worker's report that reached a node the worker can't leave for the
@@ -35,14 +37,18 @@
   std::uint64_t id = 0;
   std::string body;
   template <class Archive>
-  void serialize(Archive& archive) { archive(node, id, body); }
+  void serialize(Archive& archive) {
+    archive(node, id, body);
+  }
 };
 struct ForwardedReply {
   std::uint64_t id = 0;
   int status = 0;
   std::string body;
   template <class Archive>
-  void serialize(Archive& archive) { archive(id, status, body); }
+  void serialize(Archive& archive) {
+    archive(id, status, body);
+  }
 };
 
 /// The sender has recorded that this job is cancelled. The records tell too;
@@ -50,7 +56,9 @@
 struct Cancelled {
   std::string job;
   template <class Archive>
-  void serialize(Archive& archive) { archive(job); }
+  void serialize(Archive& archive) {
+    archive(job);
+  }
 };
 
 using Message = std::variant<Beat, ForwardedReport, ForwardedReply, Cancelled>;
--- a/src/mesh/tcp_mesh.cpp
+++ b/src/mesh/tcp_mesh.cpp
@@ -73,13 +73,14 @@
     current_ = std::move(queue_.front());
     queue_.pop_front();
     bytes_ -= current_.size();
-    asio::async_write(socket_, asio::buffer(current_), [self = shared_from_this()](asio::error_code error, std::size_t) {
-      if (error) return self->retry();
-      ++self->round_;
-      self->timer_.cancel();
-      self->busy_ = false;
-      self->next();
-    });
+    asio::async_write(socket_, asio::buffer(current_),
+                      [self = shared_from_this()](asio::error_code error, std::size_t) {
+                        if (error) return self->retry();
+                        ++self->round_;
+                        self->timer_.cancel();
+                        self->busy_ = false;
+                        self->next();
+                      });
   }
 
   void reset() {
@@ -111,19 +112,21 @@
 
 class TcpMesh::Incoming : public std::enable_shared_from_this<Incoming> {
  public:
-  Incoming(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared) : socket_(std::move(socket)), shared_(std::move(shared)) {
+  Incoming(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared)
+      : socket_(std::move(socket)), shared_(std::move(shared)) {
     shared_->incoming.insert(this);
   }
   ~Incoming() { shared_->incoming.erase(this); }
 
   void read() {
-    asio::async_read(socket_, asio::buffer(head_), [self = shared_from_this()](asio::error_code error, std::size_t) {
-      if (error) return;
-      const auto size = frame_size(self->head_);
-      if (size > constants::kMaxMeshBytes) return self->refuse("it is too large");
-      self->body_.resize(size);
-      self->read_body();
-    });
+    asio::async_read(socket_, asio::buffer(head_),
+                     [self = shared_from_this()](asio::error_code error, std::size_t) {
+                       if (error) return;
+                       const auto size = frame_size(self->head_);
+                       if (size > constants::kMaxMeshBytes) return self->refuse("it is too large");
+                       self->body_.resize(size);
+                       self->read_body();
+                     });
   }
 
   void close() {
@@ -133,22 +136,24 @@
 
  private:
   void read_body() {
-    asio::async_read(socket_, asio::buffer(body_), [self = shared_from_this()](asio::error_code error, std::size_t) {
-      if (error) return;
-      try {
-        self->shared_->receiver(decode(self->body_));
-      } catch (const std::exception& problem) {
-        return self->refuse(problem.what());
-      }
-      self->read();
-    });
+    asio::async_read(socket_, asio::buffer(body_),
+                     [self = shared_from_this()](asio::error_code error, std::size_t) {
+                       if (error) return;
+                       try {
+                         self->shared_->receiver(decode(self->body_));
+                       } catch (const std::exception& problem) {
+                         return self->refuse(problem.what());
+                       }
+                       self->read();
+                     });
   }
 
   /// Not one of ours: the connection ends with this object.
   void refuse(const char* why) {
     asio::error_code unknown;
     const auto peer = socket_.remote_endpoint(unknown);
-    spdlog::error("a message between controllers from {} can't be read: {}", unknown ? "an unknown address" : peer.address().to_string(), why);
+    spdlog::error("a message between controllers from {} can't be read: {}",
+                  unknown ? "an unknown address" : peer.address().to_string(), why);
   }
 
   asio::ip::tcp::socket socket_;
@@ -157,12 +162,14 @@
   std::string body_;
 };
 
-TcpMesh::TcpMesh(asio::io_context& io, const asio::ip::tcp::endpoint& listen, const std::vector<config::Peer>& peers, Receiver receiver)
+TcpMesh::TcpMesh(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
+                 const std::vector<config::Peer>& peers, Receiver receiver)
     : shared_(std::make_shared<Shared>()), acceptor_(io) {
   shared_->receiver = std::move(receiver);
   // A peer that lost its connection silently opens another one.
   shared_->max_incoming = peers.size() * 4 + 4;
-  for (const auto& peer : peers) peers_[peer.name] = std::make_shared<Outgoing>(io, net::parse_endpoint(peer.endpoint));
+  for (const auto& peer : peers)
+    peers_[peer.name] = std::make_shared<Outgoing>(io, net::parse_endpoint(peer.endpoint));
   acceptor_.open(listen.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
   acceptor_.bind(listen);
@@ -177,14 +184,15 @@
 }
 
 void TcpMesh::accept() {
-  acceptor_.async_accept([this, shared = shared_](asio::error_code error, asio::ip::tcp::socket socket) {
-    if (shared->closed || error == asio::error::operation_aborted) return;
-    if (!error) {
-      if (shared->incoming.size() >= shared->max_incoming) (*shared->incoming.begin())->close();
-      std::make_shared<Incoming>(std::move(socket), shared)->read();
-    }
-    accept();
-  });
+  acceptor_.async_accept(
+      [this, shared = shared_](asio::error_code error, asio::ip::tcp::socket socket) {
+        if (shared->closed || error == asio::error::operation_aborted) return;
+        if (!error) {
+          if (shared->incoming.size() >= shared->max_incoming) (*shared->incoming.begin())->close();
+          std::make_shared<Incoming>(std::move(socket), shared)->read();
+        }
+        accept();
+      });
 }
 
 void TcpMesh::broadcast(const Message& message) {
--- a/src/mesh/tcp_mesh.hpp
+++ b/src/mesh/tcp_mesh.hpp
@@ -15,7 +15,8 @@
 
 class TcpMesh : public Mesh {
  public:
-  TcpMesh(asio::io_context& io, const asio::ip::tcp::endpoint& listen, const std::vector<config::Peer>& peers, Receiver receiver);
+  TcpMesh(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
+          const std::vector<config::Peer>& peers, Receiver receiver);
   ~TcpMesh() override;
 
   void broadcast(const Message& message) override;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -33,7 +33,8 @@
   }
   ~Connection() { --shared_->open; }
 
-  void send(std::string text, std::chrono::steady_clock::time_point deadline, ReplyHandler handler) {
+  void send(std::string text, std::chrono::steady_clock::time_point deadline,
+            ReplyHandler handler) {
     out_ = std::move(text);
     handler_ = std::move(handler);
     reply_ = {};
@@ -64,15 +65,17 @@
  private:
   void write() {
     written_ = true;
-    asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](asio::error_code error, std::size_t) {
-      if (!self->handler_) return;
-      if (error) return self->fail();
-      self->read();
-    });
+    asio::async_write(socket_, asio::buffer(out_),
+                      [self = shared_from_this()](asio::error_code error, std::size_t) {
+                        if (!self->handler_) return;
+                        if (error) return self->fail();
+                        self->read();
+                      });
   }
 
   void read() {
-    socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](asio::error_code error, std::size_t size) {
+    socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](
+                                                      asio::error_code error, std::size_t size) {
       if (!self->handler_) return;
       if (error) return self->fail();
       const auto used = http_parser_execute(&self->parser_, &settings(), self->chunk_.data(), size);
@@ -185,8 +188,10 @@
   bool written_ = false;
 };
 
-HttpClient::HttpClient(asio::io_context& io, asio::ip::tcp::endpoint endpoint, std::size_t max_connections)
-    : shared_(std::make_shared<Shared>(Shared{io, std::move(endpoint), max_connections, {}, 0, {}, false})) {}
+HttpClient::HttpClient(asio::io_context& io, asio::ip::tcp::endpoint endpoint,
+                       std::size_t max_connections)
+    : shared_(std::make_shared<Shared>(
+          Shared{io, std::move(endpoint), max_connections, {}, 0, {}, false})) {}
 
 HttpClient::~HttpClient() {
   shared_->closed = true;
@@ -194,15 +199,18 @@
   shared_->idle.clear();
 }
 
-void HttpClient::request(std::string_view method, std::string_view path, std::string body, double timeout_s, ReplyHandler handler) {
+void HttpClient::request(std::string_view method, std::string_view path, std::string body,
+                         double timeout_s, ReplyHandler handler) {
   std::string text;
   text.reserve(160 + body.size());
   text.append(method).append(" ").append(path).append(" HTTP/1.1\r\nHost: ");
   text.append(shared_->endpoint.address().to_string()).append("\r\n");
   if (!body.empty()) text.append("Content-Type: application/msgpack\r\n");
-  if (!body.empty() || method == "POST") text.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
+  if (!body.empty() || method == "POST")
+    text.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
   text.append("\r\n").append(body);
-  const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(static_cast<long>(timeout_s * 1000));
+  const auto deadline = std::chrono::steady_clock::now() +
+                        std::chrono::milliseconds(static_cast<long>(timeout_s * 1000));
   shared_->waiting.push_back({std::move(text), deadline, std::move(handler)});
   asio::post(shared_->io, [shared = shared_] { Connection::pump(shared); });
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -14,16 +14,19 @@
 namespace elmstall::net {
 namespace {
 
-std::chrono::milliseconds ms(double seconds) { return std::chrono::milliseconds(static_cast<long>(seconds * 1000)); }
-
-std::string_view reason(int status) {
-  return http_status_str(static_cast<http_status>(status));
+std::chrono::milliseconds ms(double seconds) {
+  return std::chrono::milliseconds(static_cast<long>(seconds * 1000));
 }
 
+std::string_view reason(int status) { return http_status_str(static_cast<http_status>(status)); }
+
 std::string head(const Response& response, bool close) {
-  std::string text = "HTTP/1.1 " + std::to_string(response.status) + " " + std::string(reason(response.status)) + "\r\n";
-  text += "Content-Type: " + response.content_type + "\r\nContent-Length: " + std::to_string(response.body.size()) + "\r\n";
-  if (response.retry_after_s > 0) text += "Retry-After: " + std::to_string(response.retry_after_s) + "\r\n";
+  std::string text = "HTTP/1.1 " + std::to_string(response.status) + " " +
+                     std::string(reason(response.status)) + "\r\n";
+  text += "Content-Type: " + response.content_type +
+          "\r\nContent-Length: " + std::to_string(response.body.size()) + "\r\n";
+  if (response.retry_after_s > 0)
+    text += "Retry-After: " + std::to_string(response.retry_after_s) + "\r\n";
   if (close) text += "Connection: close\r\n";
   text += "\r\n";
   return text;
@@ -33,7 +36,8 @@
 
 asio::ip::tcp::endpoint parse_endpoint(std::string_view text) {
   const auto colon = text.rfind(':');
-  if (colon == std::string_view::npos) throw std::invalid_argument("no port in '" + std::string(text) + "'");
+  if (colon == std::string_view::npos)
+    throw std::invalid_argument("no port in '" + std::string(text) + "'");
   std::uint16_t port = 0;
   const auto digits = text.substr(colon + 1);
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
@@ -105,10 +109,11 @@
   }
 
   void read() {
-    socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](asio::error_code error, std::size_t size) {
-      if (error) return self->close();
-      self->feed(size);
-    });
+    socket_.async_read_some(asio::buffer(chunk_),
+                            [self = shared_from_this()](asio::error_code error, std::size_t size) {
+                              if (error) return self->close();
+                              self->feed(size);
+                            });
   }
 
   void feed(std::size_t size) {
@@ -138,7 +143,8 @@
   void dispatch() {
     stop_awaiting();
     timer_.cancel();
-    Request request{http_method_str(static_cast<http_method>(parser_.method)), std::move(path_), std::move(body_)};
+    Request request{http_method_str(static_cast<http_method>(parser_.method)), std::move(path_),
+                    std::move(body_)};
     auto answered = std::make_shared<bool>(false);
     shared_->handler(std::move(request), [answered, self = shared_from_this()](Response response) {
       if (*answered) return;
@@ -152,10 +158,11 @@
     arm(constants::kRequestReadTimeout);
     if (response.yields && shared_->open > shared_->limits.crowded) keep_alive_ = false;
     out_ = head(response, !keep_alive_) + response.body;
-    asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](asio::error_code error, std::size_t) {
-      if (error || !self->keep_alive_) return self->close();
-      self->next();
-    });
+    asio::async_write(socket_, asio::buffer(out_),
+                      [self = shared_from_this()](asio::error_code error, std::size_t) {
+                        if (error || !self->keep_alive_) return self->close();
+                        self->next();
+                      });
   }
 
   void next() {
@@ -174,11 +181,19 @@
     static const http_parser_settings callbacks = [] {
       http_parser_settings s;
       http_parser_settings_init(&s);
-      s.on_url = [](http_parser* p, const char* at, std::size_t n) { return self(p).on_path(at, n); };
-      s.on_header_field = [](http_parser* p, const char*, std::size_t n) { return self(p).on_header(n); };
-      s.on_header_value = [](http_parser* p, const char*, std::size_t n) { return self(p).on_header(n); };
+      s.on_url = [](http_parser* p, const char* at, std::size_t n) {
+        return self(p).on_path(at, n);
+      };
+      s.on_header_field = [](http_parser* p, const char*, std::size_t n) {
+        return self(p).on_header(n);
+      };
+      s.on_header_value = [](http_parser* p, const char*, std::size_t n) {
+        return self(p).on_header(n);
+      };
       s.on_headers_complete = [](http_parser* p) { return self(p).on_headers_complete(); };
-      s.on_body = [](http_parser* p, const char* at, std::size_t n) { return self(p).on_body(at, n); };
+      s.on_body = [](http_parser* p, const char* at, std::size_t n) {
+        return self(p).on_body(at, n);
+      };
       s.on_message_complete = [](http_parser* p) { return self(p).on_complete(); };
       return s;
     }();
@@ -233,7 +248,8 @@
   bool keep_alive_ = true;
 };
 
-HttpServer::HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, ServerLimits limits, Handler handler)
+HttpServer::HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint,
+                       ServerLimits limits, Handler handler)
     : shared_(std::make_shared<Shared>()), acceptor_(io), pause_(io) {
   shared_->limits = limits;
   shared_->handler = std::move(handler);
@@ -253,27 +269,29 @@
 std::size_t HttpServer::connections() const { return shared_->open; }
 
 void HttpServer::accept() {
-  acceptor_.async_accept([this, shared = shared_](asio::error_code error, asio::ip::tcp::socket socket) {
-    if (shared->closed || error == asio::error::operation_aborted) return;
-    if (error) {
-      // Out of sockets, most likely: a short pause instead of a busy loop.
-      pause_.expires_after(std::chrono::milliseconds(100));
-      pause_.async_wait([this, shared](asio::error_code waited) {
-        if (!waited && !shared->closed) accept();
+  acceptor_.async_accept(
+      [this, shared = shared_](asio::error_code error, asio::ip::tcp::socket socket) {
+        if (shared->closed || error == asio::error::operation_aborted) return;
+        if (error) {
+          // Out of sockets, most likely: a short pause instead of a busy loop.
+          pause_.expires_after(std::chrono::milliseconds(100));
+          pause_.async_wait([this, shared](asio::error_code waited) {
+            if (!waited && !shared->closed) accept();
+          });
+          return;
+        }
+        // With no place left the newcomer takes that of whoever keeps us waiting
+        // the longest: readiness checks and users must not be shut out by idle
+        // connections or half-sent requests. Nobody is cut off before its answer.
+        if (shared->open >= shared->limits.connections && !shared->awaited.empty())
+          shared->awaited.front()->close();
+        if (shared->open < shared->limits.connections) {
+          asio::error_code ignored;
+          socket.set_option(asio::ip::tcp::no_delay(true), ignored);
+          std::make_shared<Session>(std::move(socket), shared)->start();
+        }
+        accept();
       });
-      return;
-    }
-    // With no place left the newcomer takes that of whoever keeps us waiting
-    // the longest: readiness checks and users must not be shut out by idle
-    // connections or half-sent requests. Nobody is cut off before its answer.
-    if (shared->open >= shared->limits.connections && !shared->awaited.empty()) shared->awaited.front()->close();
-    if (shared->open < shared->limits.connections) {
-      asio::error_code ignored;
-      socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-      std::make_shared<Session>(std::move(socket), shared)->start();
-    }
-    accept();
-  });
 }
 
 }  // namespace elmstall::net
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -44,7 +44,8 @@
 class HttpServer {
  public:
   /// Throws std::system_error when the address can't be had.
-  HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, ServerLimits limits, Handler handler);
+  HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, ServerLimits limits,
+             Handler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
--- a/src/sched/balance.cpp
+++ b/src/sched/balance.cpp
@@ -8,12 +8,14 @@
 
 double mean_wait(const std::vector<WorkerLoad>& workers) {
   if (workers.empty()) return 0;
-  const double sum = std::accumulate(workers.begin(), workers.end(), 0.0,
-                                     [](double total, const WorkerLoad& worker) { return total + worker.z; });
+  const double sum =
+      std::accumulate(workers.begin(), workers.end(), 0.0,
+                      [](double total, const WorkerLoad& worker) { return total + worker.z; });
   return sum / static_cast<double>(workers.size());
 }
 
-std::vector<double> portions(const std::vector<WorkerLoad>& workers, std::size_t sender, double mean) {
+std::vector<double> portions(const std::vector<WorkerLoad>& workers, std::size_t sender,
+                             double mean) {
   std::vector<double> shares(workers.size(), 0.0);
   double total = 0;
   for (std::size_t i = 0; i < workers.size(); ++i) {
--- a/src/sched/balance.hpp
+++ b/src/sched/balance.hpp
@@ -21,7 +21,8 @@
 /// Portions p_ij by which worker `sender` hands out its excess: each other
 /// worker with room gets its shortfall below the mean over the sum of all
 /// shortfalls. All zero when nobody is below the mean.
-[[nodiscard]] std::vector<double> portions(const std::vector<WorkerLoad>& workers, std::size_t sender, double mean);
+[[nodiscard]] std::vector<double> portions(const std::vector<WorkerLoad>& workers,
+                                           std::size_t sender, double mean);
 
 struct Transfer {
   std::size_t from = 0;
@@ -32,6 +33,7 @@
 /// One round: every worker above mean plus threshold sends out its excess.
 /// Anticipated load counts at the receiver at once, so that later senders of
 /// the same round do not fill the same gap again.
-[[nodiscard]] std::vector<Transfer> balance_round(std::vector<WorkerLoad> workers, double threshold_tasks);
+[[nodiscard]] std::vector<Transfer> balance_round(std::vector<WorkerLoad> workers,
+                                                  double threshold_tasks);
 
 }  // namespace elmstall::sched
--- a/src/sched/fleet_plan.cpp
+++ b/src/sched/fleet_plan.cpp
@@ -61,7 +61,8 @@
   const double left = std::max(0.0, ordinary_have - demand.ordinary - demand.headroom);
   Surplus result;
   result.spot = std::max(0, spot_have - whole(std::max(0.0, demand.flexible - left)));
-  const int all_want = whole(demand.ordinary + demand.headroom + std::max(0.0, demand.flexible - spot_have));
+  const int all_want =
+      whole(demand.ordinary + demand.headroom + std::max(0.0, demand.flexible - spot_have));
   result.ordinary = std::max(0, ordinary_have - all_want);
   return result;
 }
--- a/src/sched/fleet_plan.hpp
+++ b/src/sched/fleet_plan.hpp
@@ -12,8 +12,8 @@
   std::string zone;
   bool spot = false;
   double price = 0;
-  int alive = 0;     ///< up and usable
-  int booting = 0;   ///< rented, not up yet
+  int alive = 0;    ///< up and usable
+  int booting = 0;  ///< rented, not up yet
 
   bool blocked = false;  ///< no capacity lately, or the cloud does not answer
 };
@@ -31,7 +31,8 @@
 };
 
 /// Machines to rent now. Pools are those of one type.
-[[nodiscard]] std::vector<Rental> plan_rentals(const std::vector<Pool>& pools, const Demand& demand);
+[[nodiscard]] std::vector<Rental> plan_rentals(const std::vector<Pool>& pools,
+                                               const Demand& demand);
 
 /// Machines that could be returned of ordinary and spot kind.
 struct Surplus {
--- a/src/sched/group.cpp
+++ b/src/sched/group.cpp
@@ -20,7 +20,9 @@
 }
 
 void Group::insert(std::vector<Queued>& list, const Queued& task) {
-  list.insert(std::upper_bound(list.begin(), list.end(), task, [](const Queued& a, const Queued& b) { return a.before(b); }), task);
+  list.insert(std::upper_bound(list.begin(), list.end(), task,
+                               [](const Queued& a, const Queued& b) { return a.before(b); }),
+              task);
 }
 
 void Group::count(const Queued& task, int sign) {
@@ -62,7 +64,9 @@
   Workers::value_type* best = nullptr;
   for (auto& worker : workers_) {
     if (best != nullptr && worker.second.load() >= best->second.load()) continue;
-    const bool fits = std::all_of(block.begin(), block.end(), [&](const Queued& task) { return eligible(task.id, worker.first); });
+    const bool fits = std::all_of(block.begin(), block.end(), [&](const Queued& task) {
+      return eligible(task.id, worker.first);
+    });
     if (fits) best = &worker;
   }
   const auto put = [&](std::vector<Queued>& list) {
@@ -72,8 +76,10 @@
       count(task, 1);
     }
   };
-  if (best == nullptr) put(inbox_);
-  else change(*best, [&](Worker& worker) { put(worker.list); });
+  if (best == nullptr)
+    put(inbox_);
+  else
+    change(*best, [&](Worker& worker) { put(worker.list); });
 }
 
 void Group::settle_inbox(const Eligible& eligible) {
@@ -89,12 +95,15 @@
   const auto found = where_.find(id);
   if (found == where_.end()) return false;
   const auto drop = [&](std::vector<Queued>& list) {
-    const auto at = std::find_if(list.begin(), list.end(), [id](const Queued& task) { return task.id == id; });
+    const auto at =
+        std::find_if(list.begin(), list.end(), [id](const Queued& task) { return task.id == id; });
     count(*at, -1);
     list.erase(at);
   };
-  if (found->second == nullptr) drop(inbox_);
-  else change(*found->second, [&](Worker& worker) { drop(worker.list); });
+  if (found->second == nullptr)
+    drop(inbox_);
+  else
+    change(*found->second, [&](Worker& worker) { drop(worker.list); });
   where_.erase(found);
   return true;
 }
@@ -106,19 +115,22 @@
       update(task);
       work_ += task.work_s;
     }
-    std::stable_sort(list.begin(), list.end(), [](const Queued& a, const Queued& b) { return a.before(b); });
+    std::stable_sort(list.begin(), list.end(),
+                     [](const Queued& a, const Queued& b) { return a.before(b); });
   };
   sort(inbox_);
   for (auto* worker : waiting_) sort(worker->second.list);
 }
 
 double Group::task_time() const {
-  return queued_ == 0 ? constants::kDefaultTaskTime : std::max(work_ / static_cast<double>(queued_), 1e-3);
+  return queued_ == 0 ? constants::kDefaultTaskTime
+                      : std::max(work_ / static_cast<double>(queued_), 1e-3);
 }
 
 double Group::mean() const {
   if (workers_.empty()) return static_cast<double>(inbox_.size() + 1) * task_time();
-  return (static_cast<double>(inbox_.size()) + load_) * task_time() / static_cast<double>(workers_.size());
+  return (static_cast<double>(inbox_.size()) + load_) * task_time() /
+         static_cast<double>(workers_.size());
 }
 
 std::size_t Group::balance(double threshold_tasks, const Eligible& eligible) {
@@ -155,15 +167,18 @@
 
 namespace {
 
-std::optional<Queued> first(const std::vector<Queued>& list, const std::function<bool(TaskId)>& startable) {
-  const auto found = std::find_if(list.begin(), list.end(), [&](const Queued& task) { return startable(task.id); });
+std::optional<Queued> first(const std::vector<Queued>& list,
+                            const std::function<bool(TaskId)>& startable) {
+  const auto found = std::find_if(list.begin(), list.end(),
+                                  [&](const Queued& task) { return startable(task.id); });
   if (found == list.end()) return std::nullopt;
   return *found;
 }
 
 }  // namespace
 
-std::optional<Queued> Group::longest(const Workers::value_type* except, const std::function<bool(TaskId)>& startable) const {
+std::optional<Queued> Group::longest(const Workers::value_type* except,
+                                     const std::function<bool(TaskId)>& startable) const {
   for (const auto* other : waiting_) {
     if (other == except) continue;
     if (auto task = first(other->second.list, startable)) return task;
@@ -171,7 +186,8 @@
   return first(inbox_, startable);
 }
 
-std::optional<Queued> Group::next(const std::string& worker, const std::function<bool(TaskId)>& startable) const {
+std::optional<Queued> Group::next(const std::string& worker,
+                                  const std::function<bool(TaskId)>& startable) const {
   const auto own = workers_.find(worker);
   if (own == workers_.end()) return std::nullopt;
   if (auto task = first(own->second.list, startable)) return task;
@@ -180,7 +196,9 @@
   return longest(&*own, startable);
 }
 
-std::optional<Queued> Group::lend(const std::function<bool(TaskId)>& startable) const { return longest(nullptr, startable); }
+std::optional<Queued> Group::lend(const std::function<bool(TaskId)>& startable) const {
+  return longest(nullptr, startable);
+}
 
 void Group::each(const std::function<void(const Queued&)>& visit) const {
   for (const auto& task : inbox_) visit(task);
--- a/src/sched/group.hpp
+++ b/src/sched/group.hpp
@@ -24,10 +24,10 @@
 /// A task that waits in a list.
 struct Queued {
   TaskId id = 0;
-  int rank = 0;      ///< higher goes first
-  int tier = 0;      ///< then the lower: 0 can still be in time
-  double due = 0;    ///< then the earlier
-  double work_s = 0; ///< anticipated run time
+  int rank = 0;       ///< higher goes first
+  int tier = 0;       ///< then the lower: 0 can still be in time
+  double due = 0;     ///< then the earlier
+  double work_s = 0;  ///< anticipated run time
   [[nodiscard]] bool before(const Queued& other) const;
 };
 
@@ -37,7 +37,9 @@
   double slots = 1;  ///< tasks of the usual size that run at once
   bool room = false;
   /// Tasks that wait there or are on their way, per slot.
-  [[nodiscard]] double load() const { return static_cast<double>(list.size() + in_transit) / slots; }
+  [[nodiscard]] double load() const {
+    return static_cast<double>(list.size() + in_transit) / slots;
+  }
 };
 
 /// May this worker ever run this task.
@@ -71,7 +73,8 @@
 
   /// The first task of the worker's list that can start, or, when its list is
   /// empty, the first startable one of the longest list.
-  [[nodiscard]] std::optional<Queued> next(const std::string& worker, const std::function<bool(TaskId)>& startable) const;
+  [[nodiscard]] std::optional<Queued> next(const std::string& worker,
+                                           const std::function<bool(TaskId)>& startable) const;
   /// The first startable task of the longest list, for a worker of another group.
   [[nodiscard]] std::optional<Queued> lend(const std::function<bool(TaskId)>& startable) const;
 
@@ -90,7 +93,8 @@
   /// Every change of a worker goes through this, which keeps the sums right.
   void change(Workers::value_type& worker, const std::function<void(Worker&)>& apply);
   void count(const Queued& task, int sign);
-  [[nodiscard]] std::optional<Queued> longest(const Workers::value_type* except, const std::function<bool(TaskId)>& startable) const;
+  [[nodiscard]] std::optional<Queued> longest(const Workers::value_type* except,
+                                              const std::function<bool(TaskId)>& startable) const;
 
   Workers workers_;
   std::vector<Queued> inbox_;
--- a/src/sched/resources.hpp
+++ b/src/sched/resources.hpp
@@ -24,17 +24,21 @@
   Amount& operator-=(const Amount& other) { return *this += other * -1.0; }
   friend Amount operator+(Amount a, const Amount& b) { return a += b; }
   friend Amount operator-(Amount a, const Amount& b) { return a -= b; }
-  friend Amount operator*(const Amount& a, double factor) { return {a.cpus * factor, a.gpus * factor, a.memory_gb * factor}; }
+  friend Amount operator*(const Amount& a, double factor) {
+    return {a.cpus * factor, a.gpus * factor, a.memory_gb * factor};
+  }
 
   /// Sums of decimal amounts are off in the last digits.
   static constexpr double kSlack = 1e-6;
   [[nodiscard]] bool fits(const Amount& room) const {
-    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack && memory_gb <= room.memory_gb + kSlack;
+    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
+           memory_gb <= room.memory_gb + kSlack;
   }
   /// Largest share of `whole` that this takes in any dimension.
   [[nodiscard]] double share_of(const Amount& whole) const {
     const auto part = [](double a, double b) { return a <= 0 ? 0.0 : b <= 0 ? 1e9 : a / b; };
-    return std::max({part(cpus, whole.cpus), part(gpus, whole.gpus), part(memory_gb, whole.memory_gb)});
+    return std::max(
+        {part(cpus, whole.cpus), part(gpus, whole.gpus), part(memory_gb, whole.memory_gb)});
   }
 };
 
@@ -45,9 +49,11 @@
 }
 
 /// How many of `most` tasks fit into the team's limit beside `used`.
-[[nodiscard]] inline double within_limit_count(const config::Team& team, const Amount& used, const Amount& need, double most) {
+[[nodiscard]] inline double within_limit_count(const config::Team& team, const Amount& used,
+                                               const Amount& need, double most) {
   const auto part = [&most](double limit, double taken, double each) {
-    if (limit > 0 && each > 0) most = std::min(most, std::max(0.0, std::floor((limit - taken + Amount::kSlack) / each)));
+    if (limit > 0 && each > 0)
+      most = std::min(most, std::max(0.0, std::floor((limit - taken + Amount::kSlack) / each)));
   };
   part(team.cpus_max, used.cpus, need.cpus);
   part(team.gpus_max, used.gpus, need.gpus);
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -84,7 +84,9 @@
   return value.via.boolean;
 }
 
-bool Fields::flag_or(std::string_view key, bool fallback) const { return find(key) == nullptr ? fallback : flag(key); }
+bool Fields::flag_or(std::string_view key, bool fallback) const {
+  return find(key) == nullptr ? fallback : flag(key);
+}
 
 std::pair<const Object*, const Object*> elements(const Object* object, std::string_view what) {
   if (object == nullptr) return {nullptr, nullptr};
@@ -98,7 +100,8 @@
 }
 
 std::uint64_t as_integer(const Object& object, std::string_view what) {
-  if (object.type != msgpack::type::POSITIVE_INTEGER) throw Malformed(field_error(what, "is not a count"));
+  if (object.type != msgpack::type::POSITIVE_INTEGER)
+    throw Malformed(field_error(what, "is not a count"));
   return object.via.u64;
 }
 
@@ -135,22 +138,46 @@
   return document;
 }
 
-Packer& Packer::map(std::size_t size) { packer_.pack_map(static_cast<std::uint32_t>(size)); return *this; }
-Packer& Packer::list(std::size_t size) { packer_.pack_array(static_cast<std::uint32_t>(size)); return *this; }
+Packer& Packer::map(std::size_t size) {
+  packer_.pack_map(static_cast<std::uint32_t>(size));
+  return *this;
+}
+Packer& Packer::list(std::size_t size) {
+  packer_.pack_array(static_cast<std::uint32_t>(size));
+  return *this;
+}
 Packer& Packer::text(std::string_view value) {
   packer_.pack_str(static_cast<std::uint32_t>(value.size()));
   packer_.pack_str_body(value.data(), static_cast<std::uint32_t>(value.size()));
   return *this;
 }
-Packer& Packer::integer(std::uint64_t value) { packer_.pack(value); return *this; }
-Packer& Packer::number(double value) { packer_.pack_double(value); return *this; }
+Packer& Packer::integer(std::uint64_t value) {
+  packer_.pack(value);
+  return *this;
+}
+Packer& Packer::number(double value) {
+  packer_.pack_double(value);
+  return *this;
+}
 Packer& Packer::flag(bool value) {
-  if (value) packer_.pack_true(); else packer_.pack_false();
+  if (value)
+    packer_.pack_true();
+  else
+    packer_.pack_false();
+  return *this;
+}
+Packer& Packer::null() {
+  packer_.pack_nil();
+  return *this;
+}
+Packer& Packer::raw(std::string_view packed) {
+  buffer_.write(packed.data(), packed.size());
+  return *this;
+}
+Packer& Packer::object(const Object& value) {
+  packer_.pack(value);
   return *this;
 }
-Packer& Packer::null() { packer_.pack_nil(); return *this; }
-Packer& Packer::raw(std::string_view packed) { buffer_.write(packed.data(), packed.size()); return *this; }
-Packer& Packer::object(const Object& value) { packer_.pack(value); return *this; }
 
 std::size_t json_size(const Object& object) {
   switch (object.type) {
@@ -163,7 +190,8 @@
     }
     case msgpack::type::MAP: {
       std::size_t total = 2;
-      for (const auto& pair : object.via.map) total += json_size(pair.key) + json_size(pair.val) + 2;
+      for (const auto& pair : object.via.map)
+        total += json_size(pair.key) + json_size(pair.val) + 2;
       return total;
     }
     case msgpack::type::FLOAT32:
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -40,7 +40,8 @@
 };
 
 /// Elements of a list; null or missing reads as empty.
-[[nodiscard]] std::pair<const Object*, const Object*> elements(const Object* object, std::string_view what);
+[[nodiscard]] std::pair<const Object*, const Object*> elements(const Object* object,
+                                                               std::string_view what);
 [[nodiscard]] std::string as_text(const Object& object, std::string_view what);
 [[nodiscard]] std::uint64_t as_integer(const Object& object, std::string_view what);
 [[nodiscard]] double as_number(const Object& object, std::string_view what);
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -11,17 +11,20 @@
 namespace {
 
 template <typename Enum, std::size_t N>
-Enum pick(const std::array<std::pair<std::string_view, Enum>, N>& names, std::string_view text, std::string_view field) {
+Enum pick(const std::array<std::pair<std::string_view, Enum>, N>& names, std::string_view text,
+          std::string_view field) {
   for (const auto& [name, value] : names) {
     if (name == text) return value;
   }
-  throw Malformed("field '" + std::string(field) + "' has no such value: " + std::string(text.substr(0, 40)));
+  throw Malformed("field '" + std::string(field) +
+                  "' has no such value: " + std::string(text.substr(0, 40)));
 }
 
 /// As above, for what workers say: a word that is new to us must not cost the
 /// whole report, which would let the worker's lease run out.
 template <typename Enum, std::size_t N>
-Enum pick_or(const std::array<std::pair<std::string_view, Enum>, N>& names, std::string_view text, Enum fallback) {
+Enum pick_or(const std::array<std::pair<std::string_view, Enum>, N>& names, std::string_view text,
+             Enum fallback) {
   for (const auto& [name, value] : names) {
     if (name == text) return value;
   }
@@ -29,7 +32,8 @@
 }
 
 template <typename Enum, std::size_t N>
-std::string_view name_of(const std::array<std::pair<std::string_view, Enum>, N>& names, Enum wanted) {
+std::string_view name_of(const std::array<std::pair<std::string_view, Enum>, N>& names,
+                         Enum wanted) {
   for (const auto& [name, value] : names) {
     if (value == wanted) return name;
   }
@@ -39,17 +43,33 @@
 constexpr std::array<std::pair<std::string_view, JobKind>, 3> kKinds{
     {{"batch", JobKind::array}, {"daemon", JobKind::service}, {"group", JobKind::gang}}};
 constexpr std::array<std::pair<std::string_view, Priority>, 4> kPriorities{
-    {{"critical", Priority::critical}, {"high", Priority::high}, {"normal", Priority::normal}, {"idle", Priority::idle}}};
+    {{"critical", Priority::critical},
+     {"high", Priority::high},
+     {"normal", Priority::normal},
+     {"idle", Priority::idle}}};
 constexpr std::array<std::pair<std::string_view, JobState>, 4> kJobStates{
-    {{"queued", JobState::queued}, {"running", JobState::running}, {"done", JobState::done}, {"withdrawn", JobState::cancelled}}};
+    {{"queued", JobState::queued},
+     {"running", JobState::running},
+     {"done", JobState::done},
+     {"withdrawn", JobState::cancelled}}};
 constexpr std::array<std::pair<std::string_view, TaskState>, 4> kTaskStates{
-    {{"fetching", TaskState::fetching}, {"running", TaskState::running}, {"flushing", TaskState::saving}, {"ended", TaskState::ended}}};
+    {{"fetching", TaskState::fetching},
+     {"running", TaskState::running},
+     {"flushing", TaskState::saving},
+     {"ended", TaskState::ended}}};
 constexpr std::array<std::pair<std::string_view, EndCause>, 6> kCauses{
-    {{"done", EndCause::done}, {"halted", EndCause::stopped}, {"error", EndCause::error}, {"no_room", EndCause::no_room}, {"in_use", EndCause::in_use}, {"unknown", EndCause::unknown}}};
+    {{"done", EndCause::done},
+     {"halted", EndCause::stopped},
+     {"error", EndCause::error},
+     {"no_room", EndCause::no_room},
+     {"in_use", EndCause::in_use},
+     {"unknown", EndCause::unknown}}};
 constexpr std::array<std::pair<std::string_view, Verb>, 3> kVerbs{
     {{"run", Verb::run}, {"kill", Verb::stop}, {"clear", Verb::clear}}};
 constexpr std::array<std::pair<std::string_view, CloudHost::State>, 3> kHostStates{
-    {{"booting", CloudHost::State::booting}, {"running", CloudHost::State::running}, {"failed", CloudHost::State::failed}}};
+    {{"booting", CloudHost::State::booting},
+     {"running", CloudHost::State::running},
+     {"failed", CloudHost::State::failed}}};
 
 double amount(const Fields& fields, std::string_view key) {
   const double value = fields.number(key);
@@ -62,7 +82,8 @@
 }
 
 void check_text(const std::string& text, std::string_view field) {
-  if (text.empty() || text.size() > 200) throw Malformed("field '" + std::string(field) + "' is empty or too long");
+  if (text.empty() || text.size() > 200)
+    throw Malformed("field '" + std::string(field) + "' is empty or too long");
 }
 
 void pack_orders(Packer& packer, const std::vector<Order>& orders) {
@@ -119,7 +140,8 @@
   // "always in this form": job- and digits.
   constexpr std::string_view prefix = "job-";
   if (id.size() <= prefix.size() || id.size() > 40 || !id.starts_with(prefix)) return false;
-  return std::all_of(id.begin() + prefix.size(), id.end(), [](char c) { return c >= '0' && c <= '9'; });
+  return std::all_of(id.begin() + prefix.size(), id.end(),
+                     [](char c) { return c >= '0' && c <= '9'; });
 }
 
 std::string decode_job_id(const Object& object) {
@@ -145,7 +167,8 @@
   job.gpus = amount(fields, "cards");
   job.memory_gb = amount(fields, "ram_gb");
   const auto [first, last] = elements(fields.find("builds"), "builds");
-  for (const auto* item = first; item != last; ++item) job.types.push_back(as_text(*item, "builds"));
+  for (const auto* item = first; item != last; ++item)
+    job.types.push_back(as_text(*item, "builds"));
   job.zone = fields.maybe_text("yard");
   job.together = fields.flag("together");
   job.scatter = fields.flag("scatter");
@@ -179,7 +202,10 @@
     for (const auto& type : job.types) packer.text(type);
   }
   packer.key("yard");
-  if (job.zone) packer.text(*job.zone); else packer.null();
+  if (job.zone)
+    packer.text(*job.zone);
+  else
+    packer.null();
   packer.key("together").flag(job.together);
   packer.key("scatter").flag(job.scatter);
   packer.key("loaners").flag(job.spot);
@@ -189,7 +215,10 @@
   packer.key("mark_every_s").number(job.checkpoint_every_s);
   packer.key("mark_s").number(job.save_s);
   packer.key("due_s");
-  if (job.due_s) packer.number(*job.due_s); else packer.null();
+  if (job.due_s)
+    packer.number(*job.due_s);
+  else
+    packer.null();
 }
 
 std::string_view to_text(JobState state) { return name_of(kJobStates, state); }
@@ -208,17 +237,38 @@
 
 JobStatus decode_status(const Object& object) {
   const Fields fields(object);
-  return {fields.text("uid"), pick(kJobStates, fields.text("status"), "status"), fields.integer_or("done", 0), fields.integer_or("running", 0)};
+  return {fields.text("uid"), pick(kJobStates, fields.text("status"), "status"),
+          fields.integer_or("done", 0), fields.integer_or("running", 0)};
 }
 
 std::string encode_report(const Report& report) {
   Packer packer;
-  packer.map(9).key("host").text(report.host).key("addr").text(report.addr).key("build").text(report.type);
-  packer.key("yard").text(report.zone).key("loaners").flag(report.spot).key("shift").integer(report.session);
-  packer.key("tick").integer(report.tick).key("baton").integer(report.token).key("shards").list(report.tasks.size());
+  packer.map(9)
+      .key("host")
+      .text(report.host)
+      .key("addr")
+      .text(report.addr)
+      .key("build")
+      .text(report.type);
+  packer.key("yard")
+      .text(report.zone)
+      .key("loaners")
+      .flag(report.spot)
+      .key("shift")
+      .integer(report.session);
+  packer.key("tick")
+      .integer(report.tick)
+      .key("baton")
+      .integer(report.token)
+      .key("shards")
+      .list(report.tasks.size());
   for (const auto& task : report.tasks) {
     const bool ended = task.state == TaskState::ended;
-    packer.map(ended ? 5 : 3).key("shard").text(task_name(task.job, task.index)).key("try").integer(task.attempt);
+    packer.map(ended ? 5 : 3)
+        .key("shard")
+        .text(task_name(task.job, task.index))
+        .key("try")
+        .integer(task.attempt);
     packer.key("status").text(name_of(kTaskStates, task.state));
     if (ended) packer.key("cause").text(name_of(kCauses, task.cause)).key("kept").flag(task.saved);
   }
@@ -250,7 +300,8 @@
   return packer.take();
 }
 
-std::string encode_direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
+std::string encode_direct_orders(std::uint64_t token, std::uint64_t session,
+                                 const std::vector<Order>& orders) {
   Packer packer;
   packer.map(3).key("baton").integer(token).key("shift").integer(session);
   pack_orders(packer, orders);
@@ -306,7 +357,8 @@
     flavor.spot_price = amount_or_zero(one, "low_price");
     flavor.ready_s = amount_or_zero(one, "ready_s");
     const auto [zone, zones_end] = elements(one.find("yards"), "yards");
-    for (const auto* name = zone; name != zones_end; ++name) flavor.zones.push_back(as_text(*name, "yards"));
+    for (const auto* name = zone; name != zones_end; ++name)
+      flavor.zones.push_back(as_text(*name, "yards"));
     flavors.push_back(std::move(flavor));
   }
   return flavors;
@@ -337,11 +389,13 @@
   CloudPage page;
   page.truncated = fields.flag_or("truncated", false);
   const auto [first, last] = elements(&fields.require("hosts"), "hosts");
-  for (const auto* item = first; item != last; ++item) page.hosts.push_back(decode_cloud_host(*item));
+  for (const auto* item = first; item != last; ++item)
+    page.hosts.push_back(decode_cloud_host(*item));
   return page;
 }
 
-std::string encode_rent(std::string_view name, std::string_view type, std::string_view zone, bool spot, int count) {
+std::string encode_rent(std::string_view name, std::string_view type, std::string_view zone,
+                        bool spot, int count) {
   Packer packer;
   packer.map(5).key("hire").text(name).key("build").text(type).key("yard").text(zone);
   packer.key("loaners").flag(spot).key("count").integer(static_cast<std::uint64_t>(count));
@@ -374,7 +428,8 @@
   listing.truncated = fields.flag_or("truncated", false);
   listing.revision = fields.integer("ledger_rev");
   const auto [first, last] = elements(&fields.require("entries"), "entries");
-  for (const auto* item = first; item != last; ++item) listing.entries.push_back(decode_entry(*item));
+  for (const auto* item = first; item != last; ++item)
+    listing.entries.push_back(decode_entry(*item));
   return listing;
 }
 
@@ -401,7 +456,8 @@
 std::string encode_txn(const Txn& txn) {
   Packer packer;
   packer.map(2).key("guards").list(txn.guards.size());
-  for (const auto& guard : txn.guards) packer.map(2).key("key").text(guard.key).key("stamp").integer(guard.stamp);
+  for (const auto& guard : txn.guards)
+    packer.map(2).key("key").text(guard.key).key("stamp").integer(guard.stamp);
   packer.key("writes").list(txn.writes.size());
   for (const auto& write : txn.writes) {
     if (!write.value) {
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -97,7 +97,8 @@
 };
 [[nodiscard]] std::string encode_orders(std::uint64_t token, const std::vector<Order>& orders);
 /// A command sent straight to a worker; void unless its session is this one.
-[[nodiscard]] std::string encode_direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders);
+[[nodiscard]] std::string encode_direct_orders(std::uint64_t token, std::uint64_t session,
+                                               const std::vector<Order>& orders);
 /// What a worker reads from the answer to its report.
 struct Orders {
   std::uint64_t token = 0;
@@ -140,7 +141,8 @@
   bool truncated = false;
 };
 [[nodiscard]] CloudPage decode_cloud_page(const Object& object);
-[[nodiscard]] std::string encode_rent(std::string_view name, std::string_view type, std::string_view zone, bool spot, int count);
+[[nodiscard]] std::string encode_rent(std::string_view name, std::string_view type,
+                                      std::string_view zone, bool spot, int count);
 [[nodiscard]] std::string encode_host_names(const std::vector<std::string>& hosts);
 [[nodiscard]] std::vector<std::string> decode_host_names(const Object& object);
 
--- a/tests/chaos_test.cpp
+++ b/tests/chaos_test.cpp
@@ -43,14 +43,17 @@
     if (t == 320) {
       for (const auto& id : services) world.cancel(id);
     }
-    if (jobs > 0 && world.random() < 0.04) world.cancel("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
-    if (jobs > 0) world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
+    if (jobs > 0 && world.random() < 0.04)
+      world.cancel("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
+    if (jobs > 0)
+      world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
     if (t >= next_trouble && t < 280) {
       trouble(world);
       if (world.random() < 0.4) trouble(world);
       next_trouble = t + 5 + world.random() * 25;
     }
-    ASSERT_TRUE(world.rules.broken().empty()) << "at " << t << " s: " << world.rules.broken().front();
+    ASSERT_TRUE(world.rules.broken().empty())
+        << "at " << t << " s: " << world.rules.broken().front();
   }
   // It is a service too: with the troubles over, arrays get done.
   EXPECT_GT(world.rules.accepted(), static_cast<std::size_t>(jobs) / 2);
