--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// The engine's time, chance and waiting on an Asio loop.
-class AsioRuntime : public engine::Runtime {
+class AsioEventLoop : public engine::EventLoop {
  public:
-  explicit AsioRuntime(asio::io_context& io) : io_(io), random_(std::random_device{}()) {}
+  explicit AsioEventLoop(asio::io_context& io) : io_(io), random_(std::random_device{}()) {}
 
   [[nodiscard]] double now() const override {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch())
@@ -66,11 +66,11 @@
 struct Controller::Parts {
   Parts(asio::io_context& io, const config::Settings& given)
       : settings(given),
-        runtime(io),
+        event_loop(io),
         store(io, net::parse_endpoint(settings.state_endpoint), rate_share(settings)),
         cloud(io, net::parse_endpoint(settings.cloud_endpoint)),
         workers(io, static_cast<std::size_t>(settings.fd_limit * constants::kWorkerSocketShare)),
-        node(settings, {runtime, store, cloud, workers}, runtime.incarnation()),
+        node(settings, {event_loop, store, cloud, workers}, event_loop.incarnation()),
         mesh(io, net::parse_endpoint(settings.mesh_addr), settings.peers,
              [this](mesh::Message message) { node.on_message(std::move(message)); }),
         server(io, net::parse_endpoint(settings.api_addr), server_limits(settings),
@@ -81,7 +81,7 @@
   }
 
   config::Settings settings;
-  AsioRuntime runtime;
+  AsioEventLoop event_loop;
   ledger::StateClient store;
   fleet::CloudClient cloud;
   fleet::WorkerClient workers;
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -63,7 +63,7 @@
 inline constexpr double kLeadLease = 3.0;
 /// Seconds. Interval of lease renewals and of term confirmations.
 inline constexpr double kRenewEvery = 0.8;
-/// Seconds. Spread of the moment at which followers stand for leadership.
+/// Seconds. Spread of the moment at which followers start an election.
 inline constexpr double kElectionJitter = 0.1;
 /// Candidacies remembered by a node that is not elected: the transaction of one
 /// that was given up can be applied only while its lease of `kLeadLease` lives,
@@ -72,9 +72,9 @@
 /// Seconds. Taken off W for timer steps and the time it takes to kill a task.
 /// Not for the way of an answer: a lease counts from the sending of the report,
 /// which lies before the moment of the answer, however late that arrives.
-inline constexpr double kAuthorityMargin = 1.5;
+inline constexpr double kLeaderLeaseMargin = 1.5;
 /// Seconds. Oldest knowledge of cancellations on which a task is started, unless
-/// nobody reaches the state service: a proof is asked for every second
+/// nobody reaches the state service: a read index is requested every second
 /// (`kProbeEvery`) and may take a slow answer or two to come.
 inline constexpr double kStartKnowledge = 4.0;
 /// Ratio. Steady clocks drift apart by at most 0.05%; doubled here.
@@ -86,7 +86,7 @@
 
 // --- mesh --------------------------------------------------------------------
 /// Seconds. Interval of heartbeats between controllers.
-inline constexpr double kBeatEvery = 0.8;
+inline constexpr double kHeartbeatEvery = 0.8;
 /// Seconds. A peer not heard from for this long counts as unreachable.
 inline constexpr double kPeerSilence = 2.6;
 /// Bytes. Largest message between controllers.
@@ -98,25 +98,25 @@
 /// worker gives up after 4 s.
 inline constexpr double kForwardTimeout = 3.4;
 
-// --- caretakers --------------------------------------------------------------
-/// Seconds. Life of the state lease on a caretaker's record.
-inline constexpr double kCareLease = 4.0;
-/// Seconds taken off that life: a caretaker falls silent before its record
+// --- zone delegates --------------------------------------------------------------
+/// Seconds. Life of the state lease on a zone delegate's record.
+inline constexpr double kDelegationLease = 4.0;
+/// Seconds taken off that life: a zone delegate falls silent before its record
 /// can be gone.
-inline constexpr double kCareMargin = 0.5;
-/// Seconds. Oldest knowledge of cancellations a caretaker may act on.
-inline constexpr double kCareKnowledge = 5.0;
+inline constexpr double kDelegationMargin = 0.5;
+/// Seconds. Oldest knowledge of cancellations a zone delegate may act on.
+inline constexpr double kDelegationKnowledge = 5.0;
 /// Seconds. A machine that comes back within this time after it was sent away
 /// found no other controller: each of a handful costs it a time-out of 4 s and
 /// a pause of 1 s.
 inline constexpr double kTurnedAwayMemory = 40.0;
-/// Seconds. How long the leader must be heard again before the care ends.
-inline constexpr double kCareEnd = 1.5;
+/// Seconds. How long the leader must be heard again before the delegation ends.
+inline constexpr double kDelegationEnd = 1.5;
 
 // --- engine ------------------------------------------------------------------
 /// Seconds. Interval of the engine's periodic work.
 inline constexpr double kTick = 0.25;
-/// Seconds. Longest a user's request waits for proof or commit.
+/// Seconds. Longest a user's request waits for a read index or a commit.
 inline constexpr double kUserDeadline = 4.0;
 /// Seconds. Longest a poll waits; users give up after 2 s.
 inline constexpr double kPollDeadline = 1.5;
@@ -128,15 +128,15 @@
 inline constexpr double kWatchPauseFollower = 0.1;
 /// Seconds. Pause after the state service did not serve a request.
 inline constexpr double kStateRetry = 0.3;
-/// Share of the state service's requests that proofs of currency of all nodes
-/// together may take: one proof serves every poll that waits, and the rest is
+/// Share of the state service's requests that read indexes of all nodes
+/// together may take: one serves every poll that waits, and the rest is
 /// for commits, watches and lease renewals.
-inline constexpr double kProofShare = 0.3;
+inline constexpr double kReadIndexShare = 0.3;
 /// Seconds. A node proves at least this often that it reaches the state service.
 inline constexpr double kProbeEvery = 1.0;
 /// Seconds. Without the state service for this long a node calls itself
 /// unready, unless the others see the same; each removal by the balancer
-/// doubles its pause, so short troubles are sat out.
+/// doubles its pause, so short faults are sat out.
 inline constexpr double kUnreadyAfter = 4.0;
 /// Seconds. Pause before the machine types are asked for again.
 inline constexpr double kTypesRetry = 1.0;
@@ -176,10 +176,10 @@
 /// Share of the socket limit for connections to workers.
 inline constexpr double kWorkerSocketShare = 0.08;
 /// Share of a lease after which a machine that shows no effect of what it was
-/// told, though its reports arrive, counts as deaf.
-inline constexpr double kDeafShare = 0.7;
-/// Leases after which a machine that stays deaf is returned to the cloud.
-inline constexpr double kDeafLeases = 3.0;
+/// told, though its reports arrive, counts as unresponsive.
+inline constexpr double kUnresponsiveShare = 0.7;
+/// Leases after which a machine that stays unresponsive is returned to the cloud.
+inline constexpr double kUnresponsiveLeases = 3.0;
 
 // --- overload ------------------------------------------------------------------
 /// Requests in progress: first limit, and the bounds it moves in.
@@ -225,7 +225,7 @@
 /// Share of its aim by which late work's next aim lies later, and how often.
 inline constexpr double kTierStep = 0.5;
 inline constexpr int kMaxTier = 8;
-/// Tasks of one job that stand in lists at once; a job of 100,000 tasks gets
+/// Tasks of one job that act as an unrecorded delegate lists at once; a job of 100,000 tasks gets
 /// its blocks as they are needed.
 inline constexpr std::size_t kWindowTasks = 256;
 /// Bytes of a block record that one task may take, as JSON.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -123,9 +123,9 @@
   return found == teams.end() ? nullptr : &*found;
 }
 
-double Settings::authority_s() const {
+double Settings::leader_lease_s() const {
   return std::max(lease_s * 0.1,
-                  cancel_s - lease_s * (1 + constants::kDrift) - constants::kAuthorityMargin);
+                  cancel_s - lease_s * (1 + constants::kDrift) - constants::kLeaderLeaseMargin);
 }
 
 double Settings::lease_over_s() const {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -34,7 +34,7 @@
 /// What the users aim at for one class of jobs.
 struct Objective {
   std::string kind;
-  std::string lane;
+  std::string job_class;
   double within_s = 0;
   double share = 0;
 };
@@ -70,7 +70,7 @@
   /// a leader may still answer reports, so that a cancellation it could not
   /// hear of is honoured in time: renewals end by then, and the workers'
   /// leases `lease_s` later.
-  [[nodiscard]] double authority_s() const;
+  [[nodiscard]] double leader_lease_s() const;
   /// Seconds after which a lease that nobody renewed is certainly over.
   [[nodiscard]] double lease_over_s() const;
   /// Seconds without a report after which a machine counts as silent.
--- a/src/engine/estimates.hpp
+++ b/src/engine/estimates.hpp
@@ -12,16 +12,16 @@
 
 class Estimates {
  public:
-  void learn(const std::string& lane, double expected_s, double actual_s) {
+  void learn(const std::string& job_class, double expected_s, double actual_s) {
     if (expected_s <= 0 || actual_s <= 0) return;
     const double ratio = std::clamp(actual_s / expected_s, 0.1, 10.0);
-    auto& known = ratios_.try_emplace(lane, 1.0).first->second;
+    auto& known = ratios_.try_emplace(job_class, 1.0).first->second;
     known += constants::kLearnRate * (ratio - known);
   }
   /// Seconds that a task of this class with this estimate is likely to run.
-  [[nodiscard]] double run_time(const std::string& lane, double expected_s) const {
+  [[nodiscard]] double run_time(const std::string& job_class, double expected_s) const {
     if (expected_s <= 0) return constants::kDefaultTaskTime;
-    const auto found = ratios_.find(lane);
+    const auto found = ratios_.find(job_class);
     return expected_s * (found == ratios_.end() ? 1.0 : found->second);
   }
 
--- a/src/engine/fleet_keeper.cpp
+++ b/src/engine/fleet_autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "engine/fleet_keeper.hpp"
+#include "engine/fleet_autoscaler.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -11,21 +11,22 @@
 
 namespace k = constants;
 
-FleetKeeper::FleetKeeper(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
-                         fleet::Cloud& cloud, Model& model, Estimates& estimates,
-                         std::uint64_t term, std::function<void(Host&)> gone)
+FleetAutoscaler::FleetAutoscaler(const config::Settings& settings, EventLoop& event_loop,
+                                 CommandQueue& queue, fleet::Cloud& cloud, Model& model,
+                                 Estimates& estimates, std::uint64_t term,
+                                 std::function<void(Host&)> host_lost)
     : settings_(settings),
-      runtime_(runtime),
+      loop_(event_loop),
       cloud_(cloud),
       model_(model),
       estimates_(estimates),
       term_(term),
-      gone_(std::move(gone)),
+      host_lost_(std::move(host_lost)),
       scope_(queue),
-      started_(runtime.now()) {}
+      started_(event_loop.now()) {}
 
-void FleetKeeper::tick() {
-  const double now = runtime_.now();
+void FleetAutoscaler::tick() {
+  const double now = loop_.now();
   if (!listing_ && now >= next_list_) {
     listing_ = true;
     listed_.clear();
@@ -39,11 +40,11 @@
   send_releases();
 }
 
-void FleetKeeper::read_list(const std::string& since) {
+void FleetAutoscaler::read_list(const std::string& since) {
   cloud_.list(since, scope_.wrap([this](std::optional<wire::CloudPage> page) {
     if (!page) {
       listing_ = false;
-      next_list_ = runtime_.now() + k::kFleetEvery;
+      next_list_ = loop_.now() + k::kFleetEvery;
       return;
     }
     listed_.insert(listed_.end(), page->hosts.begin(), page->hosts.end());
@@ -52,14 +53,14 @@
   }));
 }
 
-void FleetKeeper::finish_list() {
+void FleetAutoscaler::finish_list() {
   listing_ = false;
   ever_listed_ = true;
-  const double now = runtime_.now();
+  const double now = loop_.now();
   next_list_ = now + k::kListEvery;
   for (auto& [id, host] : model_.hosts()) host->listed = false;
   for (const auto& entry : listed_) {
-    // The list is late: what we deleted may stand in it for a while.
+    // The list is late: what we deleted may act as an unrecorded delegate it for a while.
     if (model_.released(entry.id)) continue;
     const bool known = model_.find_host(entry.id) != nullptr;
     auto& host = model_.host(entry.id);
@@ -70,18 +71,18 @@
       // It stopped on its own: the one thing the late list proves.
       host.listed_failed = true;
       spdlog::info("host {} failed, as the cloud lists it", host.id);
-      gone_(host);
+      host_lost_(host);
     }
   }
 }
 
-void FleetKeeper::release(Host& host) {
+void FleetAutoscaler::release(Host& host) {
   host.releasing = true;
-  model_.note(host);
+  model_.mark_dirty(host);
 }
 
-void FleetKeeper::send_releases() {
-  const double now = runtime_.now();
+void FleetAutoscaler::send_releases() {
+  const double now = loop_.now();
   if (releasing_ || now < next_release_) return;
   std::vector<std::string> names;
   for (const auto& [id, host] : model_.hosts()) {
@@ -93,20 +94,20 @@
   cloud_.release(names, scope_.wrap([this, names](bool ok) {
     releasing_ = false;
     if (!ok) {
-      next_release_ = runtime_.now() + k::kFleetEvery;
+      next_release_ = loop_.now() + k::kFleetEvery;
       return;
     }
     for (const auto& id : names) {
       auto* found = model_.find_host(id);
       if (found == nullptr) continue;
       spdlog::info("host {} returned", id);
-      gone_(*found);
+      host_lost_(*found);
       model_.remove_host(id);
     }
   }));
 }
 
-void FleetKeeper::review_hosts(double now) {
+void FleetAutoscaler::review_hosts(double now) {
   const double lease = settings_.lease_over_s();
   std::vector<Host*> silent;
   std::size_t heard = 0;
@@ -115,7 +116,7 @@
     std::size_t heard = 0;
   };
   std::map<std::string, Zone> zones;
-  std::vector<Host*> deaf;
+  std::vector<Host*> unresponsive;
   for (auto& [id, slot] : model_.hosts()) {
     auto& host = *slot;
     if (host.releasing || host.listed_failed) {
@@ -124,24 +125,24 @@
     }
     if (host.heard) {
       ++heard;
-      const bool mute = host.quiet(now) > settings_.silent_after_s();
+      const bool quiet = host.quiet(now) > settings_.silent_after_s();
       if (host.tasks.empty() && host.quarantined)
         release(host);
-      else if (mute)
+      else if (quiet)
         silent.push_back(&host);
-      else if (host.deaf)
-        deaf.push_back(&host);
+      else if (host.unresponsive)
+        unresponsive.push_back(&host);
       auto& zone = zones[host.zone];
       ++zone.heard;
-      if (mute) ++zone.silent;
+      if (quiet) ++zone.silent;
       continue;
     }
-    const auto* flavor = model_.flavor(host.type);
-    const double ready = flavor == nullptr ? 0 : flavor->ready_s;
+    const auto* machine_type = model_.machine_type(host.type);
+    const double ready = machine_type == nullptr ? 0 : machine_type->ready_s;
     // An adopted machine may have been up for long and simply not have found
     // us yet, so it also gets a lease's time from the takeover.
     const double since = std::max(host.rented_at, started_ + lease - k::kBootGiveUp * ready);
-    if (flavor != nullptr && host.tasks.empty() && now - since > k::kBootGiveUp * ready) {
+    if (machine_type != nullptr && host.tasks.empty() && now - since > k::kBootGiveUp * ready) {
       spdlog::info("host {} did not come up, returning it", host.id);
       release(host);
     }
@@ -149,12 +150,14 @@
   // One silent machine is most likely dead. When many fall silent at once it
   // is the network, and deleting them would turn a cut into a loss.
   // A cut may also take one zone alone, however few of all machines it holds.
-  const auto cut = [](std::size_t mute, std::size_t known) { return mute * 3 > known && mute > 1; };
+  const auto cut = [](std::size_t quiet, std::size_t known) {
+    return quiet * 3 > known && quiet > 1;
+  };
   const bool cut_everywhere = cut(silent.size(), heard);
   // The same holds for machines that don't hear us.
-  if (deaf.size() * 3 <= heard || deaf.size() == 1) {
-    for (auto* host : deaf) {
-      if (now - host->unheeded_since > k::kDeafLeases * lease) release(*host);
+  if (unresponsive.size() * 3 <= heard || unresponsive.size() == 1) {
+    for (auto* host : unresponsive) {
+      if (now - host->unacknowledged_since > k::kUnresponsiveLeases * lease) release(*host);
     }
   }
   for (auto* host : silent) {
@@ -167,14 +170,20 @@
   }
 }
 
-std::vector<sched::Pool> FleetKeeper::pools_of(const wire::Flavor& flavor, double now) const {
+std::vector<sched::Pool> FleetAutoscaler::pools_of(const wire::MachineType& machine_type,
+                                                   double now) const {
   std::vector<sched::Pool> pools;
-  const auto& zones = flavor.zones.empty() ? settings_.zones : flavor.zones;
+  const auto& zones = machine_type.zones.empty() ? settings_.zones : machine_type.zones;
   for (const auto& zone : zones) {
     for (const bool spot : {false, true}) {
-      sched::Pool pool{flavor.name, zone, spot, spot ? flavor.spot_price : flavor.price,
-                       0,           0,    false};
-      const auto state = pools_.find({flavor.name, zone, spot});
+      sched::Pool pool{machine_type.name,
+                       zone,
+                       spot,
+                       spot ? machine_type.spot_price : machine_type.price,
+                       0,
+                       0,
+                       false};
+      const auto state = pools_.find({machine_type.name, zone, spot});
       if (state != pools_.end()) {
         pool.blocked = state->second.blocked_until > now;
         pool.booting += state->second.pending;
@@ -183,8 +192,8 @@
     }
   }
   for (const auto& [id, host] : model_.hosts()) {
-    if (host->type != flavor.name || host->releasing || host->quarantined || host->recall_at ||
-        host->listed_failed)
+    if (host->type != machine_type.name || host->releasing || host->quarantined ||
+        host->recall_at || host->listed_failed)
       continue;
     const auto pool =
         std::find_if(pools.begin(), pools.end(), [&, one = host.get()](const sched::Pool& other) {
@@ -199,17 +208,18 @@
   return pools;
 }
 
-bool FleetKeeper::urgent(const Job& job, const wire::Flavor& flavor) const {
+bool FleetAutoscaler::urgent(const Job& job, const wire::MachineType& machine_type) const {
   const auto aim = aim_s(settings_, job);
   if (!aim) return false;
-  const double fetch = flavor.fetch_gb_per_s > 0 ? job.spec.image_gb / flavor.fetch_gb_per_s : 0;
-  const double slack = *aim - estimates_.run_time(job.spec.lane, job.spec.expect_s) - fetch;
-  return slack < k::kUrgentBoots * flavor.ready_s;
+  const double fetch =
+      machine_type.fetch_gb_per_s > 0 ? job.spec.image_gb / machine_type.fetch_gb_per_s : 0;
+  const double slack = *aim - estimates_.run_time(job.spec.job_class, job.spec.expect_s) - fetch;
+  return slack < k::kUrgentBoots * machine_type.ready_s;
 }
 
-double FleetKeeper::ending_soon(const Job& job, double within_s, double now) const {
+double FleetAutoscaler::ending_soon(const Job& job, double within_s, double now) const {
   double count = 0;
-  const double work = estimates_.run_time(job.spec.lane, job.spec.expect_s);
+  const double work = estimates_.run_time(job.spec.job_class, job.spec.expect_s);
   for (const auto& [number, block] : job.blocks) {
     for (const auto& task : block->tasks) {
       if (task.phase != Phase::assigned) continue;
@@ -220,15 +230,15 @@
   return count;
 }
 
-std::optional<std::string> FleetKeeper::zone_left_open(const Job& job,
-                                                       const std::vector<std::string>& zones) {
-  if (!job.spec.scatter) return std::nullopt;
+std::optional<std::string> FleetAutoscaler::zone_left_open(const Job& job,
+                                                           const std::vector<std::string>& zones) {
+  if (!job.spec.spread) return std::nullopt;
   const auto there = [&](const std::string& zone) {
     const auto found = job.per_zone.find(zone);
     return found == job.per_zone.end() ? std::size_t{0} : std::size_t{found->second};
   };
   const auto full = [&](const std::string& zone) {
-    return there(zone) >= sched::scatter_limit(job.spec.tasks);
+    return there(zone) >= sched::spread_limit(job.spec.tasks);
   };
   if (std::none_of(zones.begin(), zones.end(), full)) return std::nullopt;
   const auto best = std::min_element(zones.begin(), zones.end(), [&](const auto& a, const auto& b) {
@@ -237,15 +247,15 @@
   return full(*best) ? std::nullopt : std::optional(*best);
 }
 
-std::map<std::string, FleetKeeper::Bound> FleetKeeper::bound_to_zones(const wire::Flavor& flavor,
-                                                                      double now) const {
-  const sched::Amount whole{flavor.cpus, flavor.gpus, flavor.memory_gb};
+std::map<std::string, FleetAutoscaler::Bound> FleetAutoscaler::bound_to_zones(
+    const wire::MachineType& machine_type, double now) const {
+  const sched::Amount whole{machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
   std::map<std::string, Bound> bound;
-  const auto& zones = flavor.zones.empty() ? settings_.zones : flavor.zones;
+  const auto& zones = machine_type.zones.empty() ? settings_.zones : machine_type.zones;
   // Only jobs with tasks that have not found a place can be short of a zone.
   for (const auto& [id, job] : model_.jobs()) {
     const auto& spec = job->spec;
-    const bool halves = job->gang() && spec.scatter;
+    const bool halves = job->gang() && spec.spread;
     const auto open = halves ? std::nullopt : zone_left_open(*job, zones);
     if ((!spec.zone && !spec.together && !halves && !open) || job->cancelled ||
         job->failed_until > now || now - job->submitted < k::kZonePatience)
@@ -281,14 +291,14 @@
   return bound;
 }
 
-void FleetKeeper::rent_for_zones(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
-                                 double now) {
+void FleetAutoscaler::rent_for_zones(const wire::MachineType& machine_type,
+                                     const std::vector<sched::Pool>& pools, double now) {
   // The fleet's size follows all demand together, but a machine in one zone
   // is no use to work that may only run in another.
-  const sched::Amount whole{flavor.cpus, flavor.gpus, flavor.memory_gb};
+  const sched::Amount whole{machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
   wanted_zones_.clear();
   stranded_ = 0;
-  for (const auto& [zone, bound] : bound_to_zones(flavor, now)) {
+  for (const auto& [zone, bound] : bound_to_zones(machine_type, now)) {
     wanted_zones_[zone] = bound;
     double there = 0;
     for (const auto& pool : pools) {
@@ -296,7 +306,7 @@
     }
     for (const auto& [id, host] : model_.hosts()) {
       const bool kind =
-          host->type == flavor.name && host->zone == zone && (bound.spot || !host->spot);
+          host->type == machine_type.name && host->zone == zone && (bound.spot || !host->spot);
       if (kind && Planner::usable(*host, now, settings_))
         there += std::max(0.0, 1 - host->used.share_of(whole));
     }
@@ -313,26 +323,26 @@
   }
 }
 
-sched::Demand FleetKeeper::demand_of(const wire::Flavor& flavor, double now) {
-  const sched::Amount whole{flavor.cpus, flavor.gpus, flavor.memory_gb};
+sched::Demand FleetAutoscaler::demand_of(const wire::MachineType& machine_type, double now) {
+  const sched::Amount whole{machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
   sched::Demand demand;
   std::map<std::string, sched::Amount> wanted;
-  auto& arrivals = arrivals_.try_emplace(flavor.name, k::kArrivalMemory, now).first->second;
+  auto& arrivals = arrivals_.try_emplace(machine_type.name, k::kArrivalMemory, now).first->second;
   double ending = 0;
   std::uint64_t newest = counted_;
   for (const auto& [id, job] : model_.jobs()) {
     if (job->cancelled || job->failed_until > now || job->all_done()) continue;
     const auto& types = job->spec.types;
-    if (!types.empty() && std::find(types.begin(), types.end(), flavor.name) == types.end())
+    if (!types.empty() && std::find(types.begin(), types.end(), machine_type.name) == types.end())
       continue;
     const auto* team = settings_.team(job->spec.team);
     if (team == nullptr) continue;
     double share = job->need.share_of(whole);
     if (share > 1 + 1e-6) continue;
     share = 1.0 / std::floor(1.0 / share + 1e-6);
-    if (job->spec.spot) ending += share * ending_soon(*job, flavor.ready_s, now);
+    if (job->spec.spot) ending += share * ending_soon(*job, machine_type.ready_s, now);
     newest = std::max(newest, job->serial);
-    if (job->spec.spot && urgent(*job, flavor) && job->serial > counted_ &&
+    if (job->spec.spot && urgent(*job, machine_type) && job->serial > counted_ &&
         job->submitted > started_ + k::kArrivalSettle) {
       arrivals.add(now, share * std::min<double>(job->spec.tasks, constants::kWindowTasks));
     }
@@ -348,42 +358,43 @@
   // After a takeover nothing is known of arrivals: what was taken over did not
   // arrive just now, and ends without anything in its place would be wrong too.
   const bool known = term_ <= 1 || now > started_ + k::kArrivalSettle + k::kArrivalLearn;
-  const double change = known ? arrivals.per_second(now) * flavor.ready_s - ending : 0;
+  const double change = known ? arrivals.per_second(now) * machine_type.ready_s - ending : 0;
   demand.flexible = std::max(0.0, demand.flexible + settings_.tuning.foresight * change);
   demand.headroom =
       settings_.tuning.headroom_machines + settings_.tuning.headroom_share * demand.ordinary;
   return demand;
 }
 
-void FleetKeeper::plan(double now) {
+void FleetAutoscaler::plan(double now) {
   // Machines a former leader rented a moment ago show up in the late list
   // only after a while; renting before would buy them twice.
   const double wait = term_ <= 1 ? 0 : 2 * settings_.list_lag_s;
   allowance_ = settings_.cloud_rps * k::kRentShare * k::kFleetEvery;
   if (!ever_listed_ || now < started_ + wait) return;
-  for (const auto& flavor : model_.flavors()) {
-    const auto pools = pools_of(flavor, now);
-    rent_for_zones(flavor, pools, now);
-    const auto demand = demand_of(flavor, now);
+  for (const auto& machine_type : model_.machine_types()) {
+    const auto pools = pools_of(machine_type, now);
+    rent_for_zones(machine_type, pools, now);
+    const auto demand = demand_of(machine_type, now);
     for (const auto& rental : sched::plan_rentals(pools, demand)) {
       const auto& pool = pools[rental.pool];
       rent({pool.type, pool.zone, pool.spot}, rental.count);
     }
-    return_idle(flavor, pools, demand, now);
+    return_idle(machine_type, pools, demand, now);
   }
 }
 
-void FleetKeeper::return_idle(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
-                              const sched::Demand& demand, double now) {
+void FleetAutoscaler::return_idle(const wire::MachineType& machine_type,
+                                  const std::vector<sched::Pool>& pools,
+                                  const sched::Demand& demand, double now) {
   auto spare = sched::surplus(pools, demand);
   // What chance does to demand weighs less the larger the fleet.
   const double scale = std::clamp(
       std::sqrt(k::kIdleFleet / std::max<double>(1, static_cast<double>(model_.hosts().size()))),
       k::kIdleScaleMin, 1.0);
-  const double keep = settings_.tuning.idle_share * scale * flavor.ready_s;
+  const double keep = settings_.tuning.idle_share * scale * machine_type.ready_s;
   for (auto& [id, host] : model_.hosts()) {
-    if (host->type != flavor.name || !host->synced || host->releasing) continue;
-    if (!host->tasks.empty() || host->foreign) {
+    if (host->type != machine_type.name || !host->synchronized || host->releasing) continue;
+    if (!host->tasks.empty() || host->has_unknown_jobs) {
       host->idle_since = kNever;
       continue;
     }
@@ -408,7 +419,7 @@
   }
 }
 
-void FleetKeeper::rent(const PoolKey& key, int count) {
+void FleetAutoscaler::rent(const PoolKey& key, int count) {
   // A fleet that has far to grow is asked for in many requests at once: what
   // is not rented now boots later.
   for (; count > 0 && allowance_ >= 1; count -= k::kMaxRentCount, allowance_ -= 1) {
@@ -420,7 +431,7 @@
   }
 }
 
-void FleetKeeper::send_rent(const Request& request) {
+void FleetAutoscaler::send_rent(const Request& request) {
   const auto& [type, zone, spot] = request.pool;
   spdlog::info("renting {} x {} in {}{} as {}", request.count, type, zone, spot ? " (spot)" : "",
                request.name);
@@ -430,16 +441,16 @@
               }));
 }
 
-void FleetKeeper::on_rented(const Request& request, const fleet::RentResult& result) {
+void FleetAutoscaler::on_rented(const Request& request, const fleet::RentResult& result) {
   using Outcome = fleet::RentResult::Outcome;
   if (result.outcome == Outcome::unknown || result.outcome == Outcome::unavailable) {
     // The same name again: if it was carried out, it is answered the same.
-    runtime_.after(k::kFleetEvery, scope_.wrap([this, request] { send_rent(request); }));
+    loop_.after(k::kFleetEvery, scope_.wrap([this, request] { send_rent(request); }));
     return;
   }
   auto& pool = pools_[request.pool];
   const auto& [type, zone, spot] = request.pool;
-  const double now = runtime_.now();
+  const double now = loop_.now();
   pool.pending -= request.count;
   if (result.outcome == Outcome::ok) {
     for (const auto& id : result.hosts) {
--- a/src/engine/fleet_keeper.hpp
+++ b/src/engine/fleet_autoscaler.hpp
@@ -9,12 +9,12 @@
 
 namespace elmstall::engine {
 
-class FleetKeeper {
+class FleetAutoscaler {
  public:
   /// `term`: in the first nobody can have rented anything before us.
-  FleetKeeper(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
-              fleet::Cloud& cloud, Model& model, Estimates& estimates, std::uint64_t term,
-              std::function<void(Host&)> gone);
+  FleetAutoscaler(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
+                  fleet::Cloud& cloud, Model& model, Estimates& estimates, std::uint64_t term,
+                  std::function<void(Host&)> host_lost);
 
   void tick();
   /// Has the cloud delete the machine, which proves its tasks gone.
@@ -39,12 +39,13 @@
   void finish_list();
   void review_hosts(double now);
   void plan(double now);
-  void return_idle(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
+  void return_idle(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
                    const sched::Demand& demand, double now);
   void rent(const PoolKey& key, int count);
   void send_rent(const Request& request);
   void on_rented(const Request& request, const fleet::RentResult& result);
-  [[nodiscard]] std::vector<sched::Pool> pools_of(const wire::Flavor& flavor, double now) const;
+  [[nodiscard]] std::vector<sched::Pool> pools_of(const wire::MachineType& machine_type,
+                                                  double now) const;
   /// Work that waits for machines of one zone: bound there by its job, a gang
   /// that needs them together, or spread work that may have no more elsewhere.
   struct Bound {
@@ -54,22 +55,22 @@
   /// Where spread work may still go that has its most in another zone.
   [[nodiscard]] static std::optional<std::string> zone_left_open(
       const Job& job, const std::vector<std::string>& zones);
-  [[nodiscard]] std::map<std::string, Bound> bound_to_zones(const wire::Flavor& flavor,
+  [[nodiscard]] std::map<std::string, Bound> bound_to_zones(const wire::MachineType& machine_type,
                                                             double now) const;
-  void rent_for_zones(const wire::Flavor& flavor, const std::vector<sched::Pool>& pools,
+  void rent_for_zones(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
                       double now);
-  [[nodiscard]] sched::Demand demand_of(const wire::Flavor& flavor, double now);
+  [[nodiscard]] sched::Demand demand_of(const wire::MachineType& machine_type, double now);
   /// Its aim leaves no time to boot a machine for it.
-  [[nodiscard]] bool urgent(const Job& job, const wire::Flavor& flavor) const;
+  [[nodiscard]] bool urgent(const Job& job, const wire::MachineType& machine_type) const;
   [[nodiscard]] double ending_soon(const Job& job, double within_s, double now) const;
 
   const config::Settings& settings_;
-  Runtime& runtime_;
+  EventLoop& loop_;
   fleet::Cloud& cloud_;
   Model& model_;
   Estimates& estimates_;
   std::uint64_t term_;
-  std::function<void(Host&)> gone_;
+  std::function<void(Host&)> host_lost_;
   CommandScope scope_;
   std::map<PoolKey, PoolState> pools_;
   std::map<std::string, sched::ArrivalRate> arrivals_;
--- a/src/engine/committer.cpp
+++ b/src/engine/group_commit.cpp
@@ -1,4 +1,4 @@
-#include "engine/committer.hpp"
+#include "engine/group_commit.hpp"
 
 #include <algorithm>
 
@@ -9,25 +9,25 @@
 namespace k = constants;
 using ledger::Outcome;
 
-Committer::Committer(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
-                     ledger::Store& store, const ledger::Mirror& mirror, std::uint64_t term_stamp,
-                     Events events)
+GroupCommit::GroupCommit(const config::Settings& settings, EventLoop& event_loop,
+                         CommandQueue& queue, ledger::Store& store, const ledger::Mirror& mirror,
+                         std::uint64_t term_stamp, Events events)
     : settings_(settings),
-      runtime_(runtime),
+      loop_(event_loop),
       store_(store),
       mirror_(mirror),
       term_stamp_(term_stamp),
       events_(std::move(events)),
       scope_(queue),
-      wake_(runtime, queue) {
+      wake_(event_loop, queue) {
   for (const auto& [number, slot] : mirror.slots()) {
     slots_[number].stamp = slot.stamp;
     next_number_ = std::max(next_number_, slot.number + 1);
   }
 }
 
-Committer::Record* Committer::add(Record::Kind kind, std::string job,
-                                  std::function<ledger::Packed()> pack) {
+GroupCommit::Record* GroupCommit::add(Record::Kind kind, std::string job,
+                                      std::function<ledger::Packed()> pack) {
   auto record = std::make_unique<Record>();
   record->kind = kind;
   record->job = std::move(job);
@@ -38,8 +38,8 @@
   return result;
 }
 
-Committer::Record* Committer::adopt(Record::Kind kind, std::string job,
-                                    std::function<ledger::Packed()> pack, std::uint32_t slot) {
+GroupCommit::Record* GroupCommit::adopt(Record::Kind kind, std::string job,
+                                        std::function<ledger::Packed()> pack, std::uint32_t slot) {
   auto* record = add(kind, std::move(job), std::move(pack));
   record->revision = slots_[slot].stamp;
   record->slot = slot;
@@ -49,33 +49,33 @@
   return record;
 }
 
-void Committer::touch(Record& record) {
+void GroupCommit::mark_dirty(Record& record) {
   ++record.version;
   if (record.ticket != 0) return;
   record.ticket = next_ticket_++;
   dirty_[record.ticket] = &record;
 }
 
-void Committer::discard(Record& record, ledger::Packed last) {
+void GroupCommit::discard(Record& record, ledger::Packed last) {
   record.remove = true;
   record.job.clear();
   record.absent.clear();
   record.pack = [last = std::move(last)] { return last; };
-  touch(record);
+  mark_dirty(record);
 }
 
-void Committer::finish(Final final) {
+void GroupCommit::finish(Finalization final) {
   auto job = final.job;
   finals_.emplace(std::move(job), std::move(final));
 }
 
 // --- building a transaction ------------------------------------------------------
 
-std::size_t Committer::value_limit() const {
+std::size_t GroupCommit::value_limit() const {
   return static_cast<std::size_t>(settings_.state_value_kb * 1024 * k::kSlotFill);
 }
 
-std::uint32_t Committer::choose_slot(const Pending& pending) const {
+std::uint32_t GroupCommit::choose_slot(const Pending& pending) const {
   // The one with the least to carry; a new one while even that is too much.
   const auto carry = static_cast<std::size_t>(settings_.state_value_kb * 1024 * k::kSlotCarry);
   std::uint32_t fresh = 0;
@@ -93,13 +93,13 @@
   return best == nullptr || slots_.size() < k::kSlotsFirst ? fresh : best_number;
 }
 
-void Committer::add_finals(Pending& pending) {
+void GroupCommit::add_finals(Pending& pending) {
   std::vector<std::string> over;
   for (auto& [id, final] : finals_) {
     const auto* job = mirror_.job(id);
     if (job == nullptr) {
       // Written by a transaction of ours that seemed lost: a job's record is
-      // removed with its last word only.
+      // removed with its final state only.
       over.push_back(id);
       continue;
     }
@@ -119,8 +119,8 @@
   for (const auto& id : over) finished(id);
 }
 
-bool Committer::live(const Record& record, const Pending& pending) const {
-  // The last word on a job takes its blocks along; until it is written they
+bool GroupCommit::live(const Record& record, const Pending& pending) const {
+  // The final state of a job takes its blocks along; until it is written they
   // are carried, for a leader that found none would start from nothing.
   if (record.job.empty()) return true;
   return mirror_.job(record.job) != nullptr &&
@@ -128,7 +128,7 @@
              pending.finals.end();
 }
 
-void Committer::guard_absent(Pending& pending, const Record& record) {
+void GroupCommit::guard_absent(Pending& pending, const Record& record) {
   if (record.clean()) return;
   for (const auto& key : record.absent) {
     const bool known = std::any_of(pending.txn.guards.begin(), pending.txn.guards.end(),
@@ -137,14 +137,14 @@
   }
 }
 
-void Committer::put(Value& value, Record& record, ledger::Packed packed) {
+void GroupCommit::put(Value& value, Record& record, ledger::Packed packed) {
   value.json += packed.json;
   value.entries.push_back({record.serial, record.version, packed.json});
   (record.kind == Record::Kind::host ? value.hosts : value.blocks)
       .push_back(std::move(packed.bytes));
 }
 
-bool Committer::carry(Pending& pending, Value& value) {
+bool GroupCommit::carry(Pending& pending, Value& value) {
   const auto old = slots_.find(value.slot);
   if (old == slots_.end()) return true;
   for (const auto& [serial, record] : old->second.live) {
@@ -157,12 +157,12 @@
   return value.json <= value_limit() / 2;
 }
 
-void Committer::fill(Pending& pending, Value& value,
-                     std::map<std::uint64_t, Record*>::iterator& next) {
+void GroupCommit::fill(Pending& pending, Value& value,
+                       std::map<std::uint64_t, Record*>::iterator& next) {
   const auto limit = value_limit();
   for (; next != dirty_.end(); ++next) {
     auto& record = *next->second;
-    // Blocks of finished jobs go with the last word, when its turn comes.
+    // Blocks of finished jobs go with the final state, when its turn comes.
     if (record.slot == value.slot || !live(record, pending) || finals_.contains(record.job))
       continue;
     auto packed = record.pack();
@@ -172,7 +172,7 @@
   }
 }
 
-void Committer::add_values(Pending& pending) {
+void GroupCommit::add_values(Pending& pending) {
   auto next = dirty_.begin();
   const auto all = [&] { return next == dirty_.end(); };
   // Every transaction writes at least one value: its number tells, if the
@@ -196,12 +196,12 @@
            pending.json + value_limit() < k::kMaxTxnBytes);
 }
 
-void Committer::flush() {
+void GroupCommit::flush() {
   if (busy_ || (dirty_.empty() && finals_.empty())) return;
   // While the copy of the records is read anew jobs are missing in it, and
   // their blocks would not be carried along.
   if (!mirror_.loaded() || mirror_.revision() < wait_revision_) return;
-  const double now = runtime_.now();
+  const double now = loop_.now();
   if (now < next_commit_) return wake_.after(next_commit_ - now, [this] { flush(); });
   auto pending = std::make_shared<Pending>();
   pending->txn.guards.push_back({std::string(ledger::kTermKey), term_stamp_});
@@ -219,8 +219,8 @@
 
 // --- what became of it -------------------------------------------------------------
 
-void Committer::on_result(const std::shared_ptr<Pending>& pending,
-                          const ledger::CommitResult& result) {
+void GroupCommit::on_result(const std::shared_ptr<Pending>& pending,
+                            const ledger::CommitResult& result) {
   busy_ = false;
   switch (result.outcome) {
     case Outcome::ok:
@@ -251,7 +251,7 @@
   }
 }
 
-void Committer::read_back(const std::shared_ptr<Pending>& pending) {
+void GroupCommit::read_back(const std::shared_ptr<Pending>& pending) {
   busy_ = true;
   // One transaction is applied whole or not at all: one of its values tells.
   const auto& first = pending->values.front();
@@ -262,7 +262,7 @@
         scope_.wrap([this, pending, then = std::move(then)](const ledger::GetResult& result) {
           if (result.outcome == Outcome::ok || result.outcome == Outcome::missing)
             return then(result);
-          runtime_.after(k::kStateRetry, scope_.wrap([this, pending] { read_back(pending); }));
+          loop_.after(k::kStateRetry, scope_.wrap([this, pending] { read_back(pending); }));
         }));
   };
   ask(first.slot, [this, pending, ask](const ledger::GetResult& result) {
@@ -284,13 +284,13 @@
   });
 }
 
-void Committer::succeed(const Pending& pending, std::uint64_t revision) {
+void GroupCommit::succeed(const Pending& pending, std::uint64_t revision) {
   events_.confirmed(pending.sent);
   for (const auto& value : pending.values) settle(value, revision);
   for (const auto& id : pending.finals) finished(id);
 }
 
-void Committer::leave_slot(Record& record) {
+void GroupCommit::leave_slot(Record& record) {
   if (record.slot == Record::kNoSlot) return;
   auto& slot = slots_[record.slot];
   slot.json -= record.json;
@@ -298,7 +298,7 @@
   record.slot = Record::kNoSlot;
 }
 
-void Committer::settle(const Value& value, std::uint64_t revision) {
+void GroupCommit::settle(const Value& value, std::uint64_t revision) {
   slots_[value.slot].stamp = revision;
   for (const auto& entry : value.entries) {
     const auto found = records_.find(entry.serial);
@@ -323,7 +323,7 @@
   }
 }
 
-void Committer::finished(const std::string& job) {
+void GroupCommit::finished(const std::string& job) {
   const auto found = finals_.find(job);
   if (found == finals_.end()) return;
   for (auto* block : found->second.blocks) drop(*block);
@@ -331,15 +331,15 @@
   events_.finished(job);
 }
 
-void Committer::pause(double seconds) {
+void GroupCommit::pause(double seconds) {
   busy_ = true;
-  runtime_.after(seconds, scope_.wrap([this] {
+  loop_.after(seconds, scope_.wrap([this] {
     busy_ = false;
     flush();
   }));
 }
 
-void Committer::drop(Record& record) {
+void GroupCommit::drop(Record& record) {
   leave_slot(record);
   if (record.ticket != 0) dirty_.erase(record.ticket);
   records_.erase(record.serial);
--- a/src/engine/committer.hpp
+++ b/src/engine/group_commit.hpp
@@ -23,7 +23,7 @@
 
 namespace elmstall::engine {
 
-class Committer {
+class GroupCommit {
  public:
   /// One entry. `version` counts what is wanted, `written` what is known to be
   /// in the state service.
@@ -40,15 +40,15 @@
     std::vector<std::string> absent;
     [[nodiscard]] bool clean() const { return written == version; }
 
-    // The committer's own.
+    // The group commit's own.
     std::uint64_t serial = 0;
     std::uint64_t ticket = 0;  ///< place in the queue of changed records, 0: none
     static constexpr std::uint32_t kNoSlot = ~0U;
     std::uint32_t slot = kNoSlot;  ///< that holds its latest version
     std::size_t json = 0;          ///< bytes there
   };
-  /// The last word on a job, written together with the removal of its record.
-  struct Final {
+  /// The final state of a job, written together with the removal of its record.
+  struct Finalization {
     std::string job;
     ledger::FinalRecord record;
     std::vector<Record*> blocks;
@@ -60,20 +60,20 @@
     std::function<void(double sent)> confirmed;
   };
 
-  Committer(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
-            ledger::Store& store, const ledger::Mirror& mirror, std::uint64_t term_stamp,
-            Events events);
+  GroupCommit(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
+              ledger::Store& store, const ledger::Mirror& mirror, std::uint64_t term_stamp,
+              Events events);
 
   /// An entry that is not in the log yet.
   Record* add(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack);
   /// An entry that the log has in this slot.
   Record* adopt(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack,
                 std::uint32_t slot);
-  void touch(Record& record);
+  void mark_dirty(Record& record);
   /// Says that the entry is gone and forgets it; the pointer is not to be used
   /// again. `last`: its last packed form.
   void discard(Record& record, ledger::Packed last);
-  void finish(Final final);
+  void finish(Finalization final);
   [[nodiscard]] bool finishing(const std::string& job) const { return finals_.contains(job); }
   /// Sends the next transaction, if there is one and none is in flight.
   void flush();
@@ -126,7 +126,7 @@
   void finished(const std::string& job);
 
   const config::Settings& settings_;
-  Runtime& runtime_;
+  EventLoop& loop_;
   ledger::Store& store_;
   const ledger::Mirror& mirror_;
   std::uint64_t term_stamp_;
@@ -134,7 +134,7 @@
   CommandScope scope_;
   std::map<std::uint64_t, std::unique_ptr<Record>> records_;  ///< by serial
   std::map<std::uint64_t, Record*> dirty_;  ///< by ticket: first come, first written
-  std::map<std::string, Final> finals_;
+  std::map<std::string, Finalization> finals_;
   std::map<std::uint32_t, Slot> slots_;
   std::uint64_t next_serial_ = 1;
   std::uint64_t next_ticket_ = 1;
--- a/src/engine/leader.cpp
+++ b/src/engine/leader.cpp
@@ -22,7 +22,7 @@
 
 /// A controller answers machines of its own zone only; one whose zone the
 /// settings don't tell may be of any.
-bool may_care(const std::string& zone, const Host& host) {
+bool may_be_delegate(const std::string& zone, const Host& host) {
   return zone.empty() || zone == host.zone;
 }
 
@@ -31,37 +31,37 @@
 Leader::Leader(Context context, std::uint64_t term, std::uint64_t term_stamp, double confirmed)
     : context_(context),
       term_(term),
-      started_(context.runtime.now()),
+      started_(context.event_loop.now()),
       confirmed_(confirmed),
-      committer_(context.settings, context.runtime, context.queue, context.store, context.mirror,
-                 term_stamp,
-                 {[this](const std::string& job) { model_.remove_job(job); },
-                  // Not from inside the committer, which goes with the leader.
-                  [this] { context_.queue.post(context_.deposed); },
-                  [this](double sent) {
-                    confirm(sent);
-                    orders_due_ = true;
-                  }}),
-      model_(context.settings, committer_),
+      group_commit_(context.settings, context.event_loop, context.queue, context.store,
+                    context.mirror, term_stamp,
+                    {[this](const std::string& job) { model_.remove_job(job); },
+                     // Not from inside the group commit, which goes with the leader.
+                     [this] { context_.queue.post(context_.deposed); },
+                     [this](double sent) {
+                       confirm(sent);
+                       orders_due_ = true;
+                     }}),
+      model_(context.settings, group_commit_),
       planner_(context.settings, model_, estimates_),
-      fleet_(context.settings, context.runtime, context.queue, context.cloud, model_, estimates_,
-             term, [this](Host& host) { host_gone(host, "deleted or failed"); }),
+      fleet_(context.settings, context.event_loop, context.queue, context.cloud, model_, estimates_,
+             term, [this](Host& host) { release_host_tasks(host, "deleted or failed"); }),
       scope_(context.queue),
-      wake_(context.runtime, context.queue) {
+      wake_(context.event_loop, context.queue) {
   rebuild();
 }
 
-bool Leader::entitled() const {
+bool Leader::leader_lease_valid() const {
   // Both the term and what is known of cancellations must be recent enough.
-  const double known = std::min(confirmed_, context_.proof.current_as_of());
-  return context_.runtime.now() - known < context_.settings.authority_s();
+  const double known = std::min(confirmed_, context_.read_index.current_as_of());
+  return context_.event_loop.now() - known < context_.settings.leader_lease_s();
 }
 
 double Leader::inherited_until() const {
-  // Whoever led before may have answered reports until its authority ran
+  // Whoever led before may have answered reports until its leader lease ran
   // out, and what it answered last keeps a lease alive that much longer.
   const auto& settings = context_.settings;
-  return started_ + settings.authority_s() + settings.lease_over_s();
+  return started_ + settings.leader_lease_s() + settings.lease_over_s();
 }
 
 void Leader::record_host(Host& host, const ledger::Mirror::Host* stored) {
@@ -69,12 +69,14 @@
     return ledger::pack(ledger::HostEntry{
         host.id, false, {host.addr, host.type, host.zone, host.spot, host.retired}});
   };
-  constexpr auto kind = Committer::Record::Kind::host;
-  host.record = stored == nullptr ? committer_.add(kind, "", pack)
-                                  : committer_.adopt(kind, "", pack, stored->slot);
+  constexpr auto kind = GroupCommit::Record::Kind::host;
+  host.record = stored == nullptr ? group_commit_.add(kind, "", pack)
+                                  : group_commit_.adopt(kind, "", pack, stored->slot);
 }
 
-void Leader::set_flavors(const std::vector<wire::Flavor>& flavors) { model_.set_flavors(flavors); }
+void Leader::set_machine_types(const std::vector<wire::MachineType>& machine_types) {
+  model_.set_machine_types(machine_types);
+}
 
 // --- records -----------------------------------------------------------------
 
@@ -94,8 +96,8 @@
 }
 
 void Leader::add_job(const std::string& id, const ledger::JobRecord& record) {
-  const double age = std::max(0.0, context_.runtime.wall() - record.submitted);
-  auto& job = model_.add_job(id, record, context_.runtime.now() - age);
+  const double age = std::max(0.0, context_.event_loop.wall() - record.submitted);
+  auto& job = model_.add_job(id, record, context_.event_loop.now() - age);
   if (const auto* blocks = context_.mirror.blocks(id)) {
     for (const auto& [number, stored] : *blocks) {
       if (number < job.block_count) adopt_block(job, number, stored);
@@ -116,7 +118,7 @@
     // heard of the machine, and its task would count for its team for ever.
     auto* host = model_.find_host(known.host);
     if (host == nullptr) {
-      committer_.touch(*block.record);
+      group_commit_.mark_dirty(*block.record);
       continue;
     }
     model_.adopt(block.tasks[known.index - block.first], *host, known.attempt, started_);
@@ -127,7 +129,7 @@
 
 void Leader::on_change(const std::vector<ledger::Key>& keys) {
   for (const auto& key : keys) {
-    if (key.kind == ledger::Key::Kind::care) note_caretakers(context_.runtime.now());
+    if (key.kind == ledger::Key::Kind::delegation) update_delegations(context_.event_loop.now());
     if (key.kind != ledger::Key::Kind::job) continue;
     decide_ = true;
     const auto* stored = context_.mirror.job(key.id);
@@ -135,7 +137,8 @@
     auto* job = model_.job(key.id);
     if (job == nullptr) {
       spdlog::info("job {} accepted: {} tasks of class {} for {}", key.id,
-                   stored->record.spec.tasks, stored->record.spec.lane, stored->record.spec.team);
+                   stored->record.spec.tasks, stored->record.spec.job_class,
+                   stored->record.spec.team);
       add_job(key.id, stored->record);
     } else if (stored->record.cancelled && !job->cancelled) {
       job->cancelled = true;
@@ -144,8 +147,8 @@
   }
 }
 
-void Leader::on_cancelled(const std::string& id) {
-  // Comes on top of the records, which will tell too; it is no proof that they
+void Leader::on_cancellation(const std::string& id) {
+  // Comes on top of the records, which will tell too; it does not show that they
   // are current and prolongs nothing.
   auto* job = model_.job(id);
   if (job == nullptr || job->cancelled) return;
@@ -156,7 +159,7 @@
 
 void Leader::cancel(Job& job) {
   spdlog::info("job {} cancelled", job.id);
-  model_.ending().insert(&job);
+  model_.finalizable().insert(&job);
   for (auto& [number, block] : job.blocks) {
     for (auto& task : block->tasks) {
       planner_.forget(task);
@@ -169,27 +172,27 @@
   }
 }
 
-void Leader::close_jobs() {
-  for (auto* job : std::exchange(model_.ending(), {})) {
+void Leader::finalize_jobs() {
+  for (auto* job : std::exchange(model_.finalizable(), {})) {
     const auto& id = job->id;
-    if (committer_.finishing(id)) continue;
+    if (group_commit_.finishing(id)) continue;
     const bool over = job->cancelled ? job->on_hosts == 0 : job->all_done();
     if (!over) continue;
-    Committer::Final final{
+    GroupCommit::Finalization final{
         id,
         {job->cancelled ? wire::JobState::cancelled : wire::JobState::done, job->spec.tasks},
         {}};
     for (auto& [number, block] : job->blocks) final.blocks.push_back(block->record);
     spdlog::info("job {} is over: {}", id, wire::to_text(final.record.state));
-    committer_.finish(std::move(final));
+    group_commit_.finish(std::move(final));
   }
 }
 
 // --- machines ------------------------------------------------------------------
 
-void Leader::host_gone(Host& host, const char* why) {
-  planner_.gone(host);
-  model_.note(host);
+void Leader::release_host_tasks(Host& host, const char* why) {
+  planner_.remove_worker(host);
+  model_.mark_dirty(host);
   if (!host.tasks.empty())
     spdlog::info("host {}: {} tasks are gone with it ({})", host.id, host.tasks.size(), why);
   const auto tasks = host.tasks;
@@ -200,39 +203,39 @@
       model_.release(*task);
   }
   host.exited.clear();
-  host.orphans.clear();
-  model_.forget_orphans(host);
-  host.foreign = false;
+  host.unrecorded_tasks.clear();
+  model_.clear_unrecorded(host);
+  host.has_unknown_jobs = false;
 }
 
-void Leader::note_caretakers(double now) {
-  if (context_.mirror.cares().empty() && !any_cared_) return;
-  any_cared_ = !context_.mirror.cares().empty();
+void Leader::update_delegations(double now) {
+  if (context_.mirror.delegations().empty() && !any_delegated_) return;
+  any_delegated_ = !context_.mirror.delegations().empty();
   for (auto& [id, host] : model_.hosts()) {
-    const bool cared =
-        std::any_of(context_.mirror.cares().begin(), context_.mirror.cares().end(),
-                    [&](const auto& care) { return care.second.first == host->zone; });
+    const bool delegated =
+        std::any_of(context_.mirror.delegations().begin(), context_.mirror.delegations().end(),
+                    [&](const auto& delegation) { return delegation.second.first == host->zone; });
     // Also in the moment it ends: until now it may have answered.
-    if (cared || host->cared) host->cared_at = now;
-    host->cared = cared;
-    if (cared) unretire(*host);
+    if (delegated || host->delegated) host->delegated_at = now;
+    host->delegated = delegated;
+    if (delegated) unretire(*host);
   }
 }
 
 void Leader::retire(Host& host) {
   host.retired = true;
-  // Nobody may become a caretaker of its zone without seeing this, and whoever
+  // Nobody may become a zone delegate of its zone without seeing this, and whoever
   // is one already makes it fail. Others don't answer this machine, so their
-  // care must not: what is refused once for a whole zone's cut would hold up
+  // delegations must not: what is refused once for a whole zone's cut would hold up
   // everything else that is to be recorded.
   const auto& settings = context_.settings;
   const auto exclude = [&](const std::string& node, const std::string& zone) {
-    if (may_care(zone, host)) host.record->absent.push_back(ledger::care_key(node));
+    if (may_be_delegate(zone, host)) host.record->absent.push_back(ledger::delegation_key(node));
   };
   host.record->absent.clear();
   exclude(settings.node, settings.zone);
   for (const auto& peer : settings.peers) exclude(peer.name, peer.zone);
-  committer_.touch(*host.record);
+  group_commit_.mark_dirty(*host.record);
 }
 
 void Leader::unretire(Host& host) {
@@ -240,21 +243,21 @@
   host.retired = false;
   host.retired_at = kNever;
   host.record->absent.clear();
-  committer_.touch(*host.record);
+  group_commit_.mark_dirty(*host.record);
 }
 
 bool Leader::excluded(const Host& host, double now) const {
   const auto& settings = context_.settings;
   const double lease = settings.lease_over_s();
   // Whoever proved its records current before the retirement was written may
-  // have stood in without a word until its authority ran out.
-  if (now >= host.retired_at + settings.authority_s() + lease) return true;
+  // have acted as an unrecorded delegate without a record until its leader lease ran out.
+  if (now >= host.retired_at + settings.leader_lease_s() + lease) return true;
   return std::all_of(settings.peers.begin(), settings.peers.end(), [&](const config::Peer& peer) {
-    if (!may_care(peer.zone, host)) return true;
-    // Sooner by its word: it knows of the retirement, and what it answered
+    if (!may_be_delegate(peer.zone, host)) return true;
+    // Sooner if it says so: it knows of the retirement, and what it answered
     // before that has run out.
-    const auto word = context_.word(peer.name);
-    return word.revision >= host.record->revision && now >= word.answered_at + lease;
+    const auto read_state = context_.read_state(peer.name);
+    return read_state.revision >= host.record->revision && now >= read_state.answered_at + lease;
   });
 }
 
@@ -264,38 +267,39 @@
     if (host->tasks.empty()) continue;
     // A session may have begun just before we heard of it, and direct orders
     // start tasks in one that was never answered: hearing counts as well.
-    const double touched = std::max({host->last_answer, host->last_word, host->cared_at});
-    const double alive_until = std::max(host->inherited_until, touched + lease);
-    if (alive_until == kNever || host->cared || host->record == nullptr) continue;
+    const double last_touched =
+        std::max({host->last_answer, host->last_contact, host->delegated_at});
+    const double alive_until = std::max(host->inherited_until, last_touched + lease);
+    if (alive_until == kNever || host->delegated || host->record == nullptr) continue;
     if (!host->retired) {
       // Ahead of the lease's end, so that all who might answer it know by then.
-      const double silent_since = std::max(touched, started_);
+      const double silent_since = std::max(last_touched, started_);
       if (now >= std::min(alive_until, silent_since + context_.settings.silent_after_s()))
         retire(*host);
       continue;
     }
-    // Written, and the mirror has passed that point without a caretaker.
+    // Written, and the mirror has passed that point without a zone delegate.
     if (!host->record->clean() || context_.mirror.revision() < host->record->revision) continue;
     if (host->retired_at == kNever) host->retired_at = now;
     if (now < alive_until || !excluded(*host, now)) continue;
-    host_gone(*host, "its lease is over");
-    host->synced = false;
+    release_host_tasks(*host, "its lease is over");
+    host->synchronized = false;
   }
 }
 
 // --- reports ---------------------------------------------------------------------
 
-bool Leader::news(const Host& host, const wire::Report& report) {
+bool Leader::is_newer(const Host& host, const wire::Report& report) {
   // Late copies: the task list is as old as the report.
   return !host.heard || std::pair(report.session, report.tick) > std::pair(host.session, host.tick);
 }
 
 void Leader::on_report(wire::Report report, net::Responder respond) {
-  const double now = context_.runtime.now();
-  if (!entitled()) return respond({503, {}, 0});
+  const double now = context_.event_loop.now();
+  if (!leader_lease_valid()) return respond({503, {}, 0});
   if (model_.released(report.host)) return respond({503, {}, 0});
   auto& host = model_.host(report.host);
-  if (!news(host, report)) {
+  if (!is_newer(host, report)) {
     // Either a late copy, or it crossed a reply to direct orders, which is
     // newer: then the worker is waiting, and its lease has to be renewed.
     const bool crossed =
@@ -304,7 +308,7 @@
     host.last_answer = now;
     return respond({200, wire::encode_orders(token(host), cancelled_orders(host)), 0});
   }
-  judge_hearing(host, report, now);
+  check_responsiveness(host, report, now);
   // A worker has one report in flight and drops late answers: what the last
   // answer ordered was carried out before this report, or never will be.
   host.answered_orders = false;
@@ -320,8 +324,8 @@
   if (!host.exchanging) orders = orders_for(host);
   host.answered_orders = beyond_clearing(orders);
   if (host.exchanging) orders = cancelled_orders(host);
-  const bool awaited = host.answered_orders || !host.synced;
-  if (awaited && host.unheeded_since == kNever) host.unheeded_since = now;
+  const bool awaited = host.answered_orders || !host.synchronized;
+  if (awaited && host.unacknowledged_since == kNever) host.unacknowledged_since = now;
   host.last_answer = now;
   respond({200, wire::encode_orders(token(host), orders), 0});
 }
@@ -330,14 +334,14 @@
   // Never as far as the next term's tokens.
   if (host.fence + 1 >= 1U << k::kTokenFenceBits) return;
   ++host.fence;
-  host.synced = false;
-  model_.note(host);
+  host.synchronized = false;
+  model_.mark_dirty(host);
 }
 
-void Leader::judge_hearing(Host& host, const wire::Report& report, double now) {
+void Leader::check_responsiveness(Host& host, const wire::Report& report, double now) {
   // Reports that arrive prove that a machine lives, not that it hears us: our
   // answers may be lost on the way, and with them its lease.
-  const bool heeds =
+  const bool responds =
       report.token >= token(host) &&
       std::all_of(host.tasks.begin(), host.tasks.end(), [&](const Task* task) {
         if (!host.answered_orders || task->phase != Phase::assigned || task->seen || !task->offered)
@@ -347,22 +351,23 @@
                              return one.index == task->index && one.job == task->job->id;
                            });
       });
-  if (heeds) {
-    if (host.deaf) spdlog::info("host {} hears us again", host.id);
-    host.deaf = false;
-    host.unheeded_since = kNever;
+  if (responds) {
+    if (host.unresponsive) spdlog::info("host {} hears us again", host.id);
+    host.unresponsive = false;
+    host.unacknowledged_since = kNever;
   }
   // Its lease ran out sooner than it could have, had our last answer come.
-  const bool lapsed = host.grounded && report.session > host.session &&
+  const bool lapsed = host.session_known && report.session > host.session &&
                       now - host.last_answer < context_.settings.lease_s * (1 - k::kDrift);
-  const bool unheeded = host.unheeded_since != kNever &&
-                        now - host.unheeded_since > k::kDeafShare * context_.settings.lease_s;
-  if (host.deaf || (!lapsed && !unheeded)) return;
+  const bool unacknowledged =
+      host.unacknowledged_since != kNever &&
+      now - host.unacknowledged_since > k::kUnresponsiveShare * context_.settings.lease_s;
+  if (host.unresponsive || (!lapsed && !unacknowledged)) return;
   spdlog::info("host {} does not hear us: {}", host.id,
                lapsed ? "its lease ran out while its reports were answered"
                       : "it shows no effect of our answers");
-  host.deaf = true;
-  host.unheeded_since = now;
+  host.unresponsive = true;
+  host.unacknowledged_since = now;
   raise_fence(host);
 }
 
@@ -371,38 +376,39 @@
   model_.describe(host, report.type, report.zone, report.spot, report.addr);
   if (host.record == nullptr) {
     record_host(host, nullptr);
-    committer_.touch(*host.record);
+    group_commit_.mark_dirty(*host.record);
     spdlog::info("host {} ({} in {}{}) reports", host.id, host.type, host.zone,
                  host.spot ? ", spot" : "");
   }
   // A later session knows nothing of the tasks of an earlier one. That proves
-  // something only for a synchronised host: of others, two late reports may
+  // something only for a synchronized host: of others, two late reports may
   // show two sessions that were both over before its tasks began.
   // What was ordered in that session is void in this, however late it comes.
-  if (host.grounded && report.session > host.session) host_gone(host, "its session ended");
+  if (host.session_known && report.session > host.session)
+    release_host_tasks(host, "its session ended");
   unretire(host);
   // Direct orders reach machines that reach nobody, and renew no lease: what
-  // starts there ends with it. Only the first word in a term counts as much as
+  // starts there ends with it. Only the first contact in a term counts as much as
   // a report, which may be long in coming.
   if (own || !host.heard) host.last_report = now;
-  host.last_word = now;
+  host.last_contact = now;
   host.heard = true;
   host.session = report.session;
   host.tick = report.tick;
-  model_.note(host);
+  model_.mark_dirty(host);
   // Only we can have taught it this token, so this report was sent after the
   // takeover, or after the fence was raised, and older orders are void there.
-  host.synced = report.token >= token(host);
-  host.grounded = host.grounded || host.synced;
+  host.synchronized = report.token >= token(host);
+  host.session_known = host.session_known || host.synchronized;
   if (report.recall_s) host.recall_at = now + *report.recall_s;
   host.exited.clear();
-  host.orphans.clear();
-  model_.forget_orphans(host);
-  host.foreign = false;
+  host.unrecorded_tasks.clear();
+  model_.clear_unrecorded(host);
+  host.has_unknown_jobs = false;
   for (auto* task : host.tasks) task->seen = false;
   for (const auto& task : report.tasks) read_task(host, task, now);
   // While direct orders are in flight a report may be older than their effect.
-  if (host.synced && !host.exchanging) absent_tasks(host);
+  if (host.synchronized && !host.exchanging) absent_tasks(host);
   if (host.recall_at) handle_recall(host, now);
   model_.attention().insert(&host);
   orders_due_ = true;
@@ -420,11 +426,11 @@
       host.exited.push_back(name);
       return;
     }
-    host.orphans.push_back(name);
+    host.unrecorded_tasks.push_back(name);
     if (job != nullptr)
-      model_.add_orphan(host, *job);
+      model_.add_unrecorded(host, *job);
     else
-      host.foreign = true;
+      host.has_unknown_jobs = true;
     return;
   }
   task->seen = true;
@@ -442,7 +448,7 @@
     case EndCause::done:
       if (job.cancelled) return model_.release(task);
       if (task.running_since != kNever)
-        estimates_.learn(job.spec.lane, job.spec.expect_s, now - task.running_since);
+        estimates_.learn(job.spec.job_class, job.spec.expect_s, now - task.running_since);
       // A service's replica runs until it is cancelled; should one end by
       // itself it is started again.
       if (job.service()) return model_.release(task);
@@ -507,7 +513,7 @@
     const auto& spec = task->job->spec;
     const double left = *host.recall_at - now;
     const double ran = task->running_since == kNever ? 0 : now - task->running_since;
-    const double needs = estimates_.run_time(spec.lane, spec.expect_s) - ran;
+    const double needs = estimates_.run_time(spec.job_class, spec.expect_s) - ran;
     // What can't end in time starts elsewhere at once.
     if (task->job->service() || spec.checkpoint_every_s > 0 || needs > left)
       stop_task(model_, *task, true);
@@ -519,15 +525,15 @@
   // start the attempt anew.
   auto* job = model_.job(exited.job);
   if (job == nullptr) return true;
-  if (committer_.finishing(exited.job)) return false;
+  if (group_commit_.finishing(exited.job)) return false;
   const auto block =
       job->blocks.find(exited.index / ledger::block_size(context_.settings.state_value_kb));
   return block == job->blocks.end() || block->second->record->clean();
 }
 
 bool Leader::may_start() const {
-  const double known = std::min(confirmed_, context_.proof.current_as_of());
-  return context_.runtime.now() - known < k::kStartKnowledge || context_.outage();
+  const double known = std::min(confirmed_, context_.read_index.current_as_of());
+  return context_.event_loop.now() - known < k::kStartKnowledge || context_.outage();
 }
 
 std::vector<wire::Order> Leader::cancelled_orders(const Host& host) const {
@@ -545,7 +551,7 @@
 std::vector<wire::Order> Leader::orders_for(Host& host) {
   std::vector<wire::Order> orders = cancelled_orders(host);
   const bool starting = may_start();
-  for (const auto& name : host.orphans) {
+  for (const auto& name : host.unrecorded_tasks) {
     if (orders.size() >= k::kMaxOrders) break;
     orders.push_back({wire::Verb::stop, name.job, name.index, name.attempt, 0});
   }
@@ -575,12 +581,12 @@
 // --- direct orders -----------------------------------------------------------------
 
 void Leader::give_orders() {
-  if (!std::exchange(orders_due_, false) || !entitled()) return;
-  const double now = context_.runtime.now();
+  if (!std::exchange(orders_due_, false) || !leader_lease_valid()) return;
+  const double now = context_.event_loop.now();
   auto& attention = model_.attention();
   for (auto it = attention.begin(); it != attention.end();) {
     auto* host = *it;
-    if (!host->synced) {
+    if (!host->synchronized) {
       it = attention.erase(it);  // its next report brings it back
       continue;
     }
@@ -618,29 +624,29 @@
   auto* host = model_.find_host(id);
   if (host == nullptr) return;
   host->exchanging = false;
-  host->exchanged_at = context_.runtime.now();
+  host->exchanged_at = context_.event_loop.now();
   model_.attention().insert(host);
-  const double now = context_.runtime.now();
+  const double now = context_.event_loop.now();
   if (result.outcome == Outcome::never || result.outcome == Outcome::unknown) {
     host->direct_after = now + k::kOrdersPause;
-    // They may yet be carried out, minutes later. From now on every word to
+    // They may yet be carried out, minutes later. From now on every message to
     // the machine carries a higher token, which makes them void; until the
     // machine has shown it, nothing that they name is given to another.
     if (result.outcome == Outcome::unknown && stated) raise_fence(*host);
     return;
   }
-  if (!result.report || result.report->host != id || !news(*host, *result.report)) return;
+  if (!result.report || result.report->host != id || !is_newer(*host, *result.report)) return;
   read_report(*host, *result.report, false, now);
 }
 
-void Leader::synchronise(double now) {
+void Leader::synchronize_hosts(double now) {
   // After a takeover: nothing may be moved before a machine has shown the new
   // token, and its next report may be long in coming.
   std::size_t left = k::kSyncPerTick;
   for (auto& [id, host] : model_.hosts()) {
     if (left == 0 || exchanges_ >= k::kExchangesMax) return;
     const bool known =
-        host->recorded() && !host->addr.empty() && !host->grounded && !host->releasing;
+        host->recorded() && !host->addr.empty() && !host->session_known && !host->releasing;
     if (!known || host->exchanging || now < host->direct_after) continue;
     if (host->heard && now - host->last_answer < 1) continue;  // its answer is on the way
     --left;
@@ -651,30 +657,30 @@
 
 void Leader::tick() {
   decide_ = true;
-  note_caretakers(context_.runtime.now());
-  expire_hosts(context_.runtime.now());
+  update_delegations(context_.event_loop.now());
+  expire_hosts(context_.event_loop.now());
   fleet_.tick();
   const bool starting = may_start();
   if (std::exchange(starting_, starting) != starting)
     spdlog::info(starting ? "starting tasks again"
                           : "starting nothing until the records are known to be current");
-  if (entitled()) synchronise(context_.runtime.now());
+  if (leader_lease_valid()) synchronize_hosts(context_.event_loop.now());
   orders_due_ = true;
 }
 
 void Leader::after_batch() {
-  const double now = context_.runtime.now();
+  const double now = context_.event_loop.now();
   if (decide_) {
     if (now >= next_decide_) {
       decide_ = false;
       next_decide_ = now + k::kDecideEvery;
       planner_.decide(now);
-      close_jobs();
+      finalize_jobs();
     } else {
       wake_.after(next_decide_ - now, [] {});
     }
   }
-  committer_.flush();
+  group_commit_.flush();
   give_orders();
 }
 
--- a/src/engine/leader.hpp
+++ b/src/engine/leader.hpp
@@ -2,16 +2,16 @@
 // takeover, gone when the term is.
 #pragma once
 
-#include "engine/fleet_keeper.hpp"
+#include "engine/fleet_autoscaler.hpp"
 #include "engine/planner.hpp"
-#include "engine/proof.hpp"
+#include "engine/read_index.hpp"
 #include "fleet/workers.hpp"
 #include "net/http_server.hpp"
 
 namespace elmstall::engine {
 
 /// What another controller said of itself.
-struct Word {
+struct PeerReadState {
   std::uint64_t revision = 0;   ///< its copy of the records is at least this far
   double answered_at = kNever;  ///< it answered no report on its own after this
 };
@@ -20,14 +20,14 @@
  public:
   struct Context {
     const config::Settings& settings;
-    Runtime& runtime;
+    EventLoop& event_loop;
     CommandQueue& queue;
     ledger::Store& store;
     fleet::Cloud& cloud;
     fleet::Workers& workers;
     const ledger::Mirror& mirror;
-    const Proof& proof;
-    std::function<Word(const std::string& peer)> word;
+    const ReadIndex& read_index;
+    std::function<PeerReadState(const std::string& peer)> read_state;
     /// Every other controller is heard and says that the state service does
     /// not answer it either: nobody confirms anything.
     std::function<bool()> outage;
@@ -37,10 +37,10 @@
   /// `confirmed`: when the request that won the term was sent.
   Leader(Context context, std::uint64_t term, std::uint64_t term_stamp, double confirmed);
 
-  void set_flavors(const std::vector<wire::Flavor>& flavors);
+  void set_machine_types(const std::vector<wire::MachineType>& machine_types);
   void on_report(wire::Report report, net::Responder respond);
   /// Another controller has recorded that this job is cancelled.
-  void on_cancelled(const std::string& job);
+  void on_cancellation(const std::string& job);
   void on_change(const std::vector<ledger::Key>& keys);
   /// A request that proved the term to be current was sent at this time.
   void confirm(double sent) { confirmed_ = std::max(confirmed_, sent); }
@@ -49,7 +49,7 @@
   [[nodiscard]] std::uint64_t term() const { return term_; }
   [[nodiscard]] std::uint64_t token() const { return term_ << constants::kTokenFenceBits; }
   /// May this node still act for the controllers.
-  [[nodiscard]] bool entitled() const;
+  [[nodiscard]] bool leader_lease_valid() const;
   [[nodiscard]] Model& model() { return model_; }
   [[nodiscard]] const Planner& planner() const { return planner_; }
 
@@ -58,9 +58,9 @@
   void adopt_block(Job& job, std::uint32_t number, const ledger::Mirror::Block& stored);
   void add_job(const std::string& id, const ledger::JobRecord& record);
   void cancel(Job& job);
-  void close_jobs();
-  void host_gone(Host& host, const char* why);
-  void note_caretakers(double now);
+  void finalize_jobs();
+  void release_host_tasks(Host& host, const char* why);
+  void update_delegations(double now);
   void expire_hosts(double now);
   void retire(Host& host);
   /// Nobody else may be answering this machine, or did so within a lease.
@@ -70,14 +70,14 @@
   [[nodiscard]] double inherited_until() const;
 
   [[nodiscard]] std::uint64_t token(const Host& host) const { return token() + host.fence; }
-  [[nodiscard]] static bool news(const Host& host, const wire::Report& report);
+  [[nodiscard]] static bool is_newer(const Host& host, const wire::Report& report);
   void answer(Host& host, const net::Responder& respond, double now);
   void raise_fence(Host& host);
-  void judge_hearing(Host& host, const wire::Report& report, double now);
+  void check_responsiveness(Host& host, const wire::Report& report, double now);
   void give_orders();
   void exchange(Host& host, std::vector<wire::Order> orders);
   void on_exchange(const std::string& id, bool stated, const fleet::OrdersResult& result);
-  void synchronise(double now);
+  void synchronize_hosts(double now);
   /// `own`: it came as a report, not as the reply to direct orders.
   void read_report(Host& host, const wire::Report& report, bool own, double now);
   void read_task(Host& host, const wire::TaskReport& report, double now);
@@ -97,15 +97,15 @@
   std::uint64_t term_;
   double started_;
   double confirmed_;
-  Committer committer_;
+  GroupCommit group_commit_;
   Model model_;
   Estimates estimates_;
   Planner planner_;
-  FleetKeeper fleet_;
+  FleetAutoscaler fleet_;
   std::size_t exchanges_ = 0;  ///< in flight
   bool orders_due_ = true;
-  bool starting_ = true;   ///< as last told in the log
-  bool any_cared_ = true;  ///< some machine may have a caretaker
+  bool starting_ = true;       ///< as last told in the log
+  bool any_delegated_ = true;  ///< some machine may have a zone delegate
   /// Something happened that scheduling has to look at; users' polls and the
   /// answers of the state service are not of that kind.
   bool decide_ = true;
--- a/src/engine/model.cpp
+++ b/src/engine/model.cpp
@@ -31,7 +31,7 @@
           .first->second;
   by_serial_[job->serial] = job.get();
   open_.insert(job.get());
-  ending_.insert(job.get());
+  finalizable_.insert(job.get());
   include_need(*job);
   return *(jobs_[id] = std::move(job));
 }
@@ -41,7 +41,7 @@
   if (found == jobs_.end()) return;
   by_serial_.erase(found->second->serial);
   open_.erase(found->second.get());
-  ending_.erase(found->second.get());
+  finalizable_.erase(found->second.get());
   jobs_.erase(found);
 }
 
@@ -103,9 +103,10 @@
   const auto pack = [&block] {
     return ledger::pack(ledger::BlockEntry{block.job->id, block.number, record_of(block)});
   };
-  block.record = stored == nullptr
-                     ? committer_.add(Committer::Record::Kind::block, job.id, pack)
-                     : committer_.adopt(Committer::Record::Kind::block, job.id, pack, stored->slot);
+  block.record =
+      stored == nullptr
+          ? group_commit_.add(GroupCommit::Record::Kind::block, job.id, pack)
+          : group_commit_.adopt(GroupCommit::Record::Kind::block, job.id, pack, stored->slot);
   return block;
 }
 
@@ -139,23 +140,23 @@
   const auto found = hosts_.find(id);
   if (found == hosts_.end()) return;
   released_.insert(id);
-  forget_orphans(*found->second);
-  touched_.erase(found->second.get());
+  clear_unrecorded(*found->second);
+  dirty_.erase(found->second.get());
   attention_.erase(found->second.get());
   if (found->second->record != nullptr)
-    committer_.discard(*found->second->record, ledger::pack(ledger::HostEntry{id, true, {}}));
+    group_commit_.discard(*found->second->record, ledger::pack(ledger::HostEntry{id, true, {}}));
   hosts_.erase(found);
 }
 
-void Model::note(Host& host) {
-  if (std::exchange(host.touched, true)) return;
-  touched_.insert(&host);
+void Model::mark_dirty(Host& host) {
+  if (std::exchange(host.dirty, true)) return;
+  dirty_.insert(&host);
 }
 
-std::vector<Host*> Model::take_touched() {
-  std::vector<Host*> hosts(touched_.begin(), touched_.end());
-  touched_.clear();
-  for (auto* host : hosts) host->touched = false;
+std::vector<Host*> Model::take_dirty() {
+  std::vector<Host*> hosts(dirty_.begin(), dirty_.end());
+  dirty_.clear();
+  for (auto* host : hosts) host->dirty = false;
   return hosts;
 }
 
@@ -183,18 +184,18 @@
   }
 }
 
-void Model::set_flavors(std::vector<wire::Flavor> flavors) {
-  flavors_ = std::move(flavors);
+void Model::set_machine_types(std::vector<wire::MachineType> machine_types) {
+  machine_types_ = std::move(machine_types);
   for (auto& [id, host] : hosts_) {
-    if (const auto* known = flavor(host->type))
+    if (const auto* known = machine_type(host->type))
       host->capacity = {known->cpus, known->gpus, known->memory_gb};
   }
 }
 
-const wire::Flavor* Model::flavor(const std::string& type) const {
-  const auto found = std::find_if(flavors_.begin(), flavors_.end(),
+const wire::MachineType* Model::machine_type(const std::string& type) const {
+  const auto found = std::find_if(machine_types_.begin(), machine_types_.end(),
                                   [&](const auto& one) { return one.name == type; });
-  return found == flavors_.end() ? nullptr : &*found;
+  return found == machine_types_.end() ? nullptr : &*found;
 }
 
 void Model::describe(Host& host, const std::string& type, const std::string& zone, bool spot,
@@ -204,7 +205,7 @@
   host.type = type;
   host.spot = spot;
   if (!addr.empty()) host.addr = addr;
-  if (const auto* known = flavor(type))
+  if (const auto* known = machine_type(type))
     host.capacity = {known->cpus, known->gpus, known->memory_gb};
 }
 
@@ -217,7 +218,7 @@
   ++task.job->per_zone[host.zone];
   ++task.job->on_hosts;
   ++on_hosts_[static_cast<std::size_t>(task.job->spec.priority)];
-  note(host);
+  mark_dirty(host);
 }
 
 void Model::detach(Task& task) {
@@ -231,15 +232,15 @@
   --task.job->on_hosts;
   --on_hosts_[static_cast<std::size_t>(task.job->spec.priority)];
   open_.insert(task.job);
-  ending_.insert(task.job);
-  note(host);
+  finalizable_.insert(task.job);
+  mark_dirty(host);
   task.host = nullptr;
   task.offered = task.seen = task.stopping = false;
   task.wind_down_s = 0;
   task.running_since = kNever;
 }
 
-void Model::touch(Task& task) { committer_.touch(*task.block->record); }
+void Model::mark_dirty(Task& task) { group_commit_.mark_dirty(*task.block->record); }
 
 void Model::plan(Task& task, Host& host) {
   attach(task, host);
@@ -261,7 +262,7 @@
   task.since = now;
   attention_.insert(&host);
   ++task.attempt;
-  touch(task);
+  mark_dirty(task);
   task.needs = task.block->record->version;
   task.job->begun = true;
   const auto image = task.job->image;
@@ -282,7 +283,7 @@
 void Model::release(Task& task) {
   detach(task);
   task.phase = Phase::pending;
-  touch(task);
+  mark_dirty(task);
 }
 
 void Model::complete(Task& task) {
@@ -291,8 +292,8 @@
   auto& block = *task.block;
   block.done[task.index - block.first] = true;
   ++task.job->finished_tasks;
-  ending_.insert(task.job);
-  touch(task);
+  finalizable_.insert(task.job);
+  mark_dirty(task);
   if (std::all_of(block.done.begin(), block.done.end(), [](bool done) { return done; })) {
     // The record needs only the bits from here on.
     block.tasks.clear();
@@ -300,17 +301,17 @@
   }
 }
 
-void Model::add_orphan(Host& host, const Job& job) {
-  host.orphaned += job.need;
+void Model::add_unrecorded(Host& host, const Job& job) {
+  host.unrecorded_use += job.need;
   auto& usage = usage_[job.spec.team];
   usage += job.need;
-  host.orphan_usage.emplace_back(&usage, job.need);
+  host.unrecorded_team_use.emplace_back(&usage, job.need);
 }
 
-void Model::forget_orphans(Host& host) {
-  for (const auto& [usage, need] : host.orphan_usage) *usage -= need;
-  host.orphan_usage.clear();
-  host.orphaned = {};
+void Model::clear_unrecorded(Host& host) {
+  for (const auto& [usage, need] : host.unrecorded_team_use) *usage -= need;
+  host.unrecorded_team_use.clear();
+  host.unrecorded_use = {};
 }
 
 const sched::Amount& Model::usage(const std::string& team) const {
@@ -333,10 +334,10 @@
     if (job.per_zone.empty() && !job.zone_choice.empty() && job.zone_choice != host.zone)
       return false;
   }
-  if (spec.scatter) {
+  if (spec.spread) {
     const auto found = job.per_zone.find(host.zone);
     const std::size_t there = found == job.per_zone.end() ? 0 : found->second;
-    if (there + 1 > sched::scatter_limit(spec.tasks)) return false;
+    if (there + 1 > sched::spread_limit(spec.tasks)) return false;
   }
   return true;
 }
--- a/src/engine/model.hpp
+++ b/src/engine/model.hpp
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "engine/committer.hpp"
+#include "engine/group_commit.hpp"
 #include "sched/group.hpp"
 #include "sched/resources.hpp"
 
@@ -69,7 +69,7 @@
   std::uint32_t first = 0;
   std::vector<bool> done;
   std::vector<Task> tasks;  ///< empty once all are done
-  Committer::Record* record = nullptr;
+  GroupCommit::Record* record = nullptr;
   [[nodiscard]] bool all_done() const { return tasks.empty(); }
 };
 
@@ -124,10 +124,10 @@
   std::uint64_t tick = 0;
   /// A report that carried the token of its latest fence was received: what it
   /// lists is exact, what it does not list is not there.
-  bool synced = false;
+  bool synchronized = false;
   /// Was so once in this term: its session is known, and a later one ends all
   /// that was ordered in this.
-  bool grounded = false;
+  bool session_known = false;
   /// Raised whenever orders may be under way that nobody can tell of; makes
   /// them void as soon as the machine has seen it.
   std::uint32_t fence = 0;
@@ -136,33 +136,33 @@
   bool answered_orders = false;  ///< the last answer carried orders that the next report will show
   double direct_after = kNever;  ///< no direct orders before
   /// Since when it has shown no effect of what it was told.
-  double unheeded_since = kNever;
-  bool deaf = false;
+  double unacknowledged_since = kNever;
+  bool unresponsive = false;
   bool heard = false;  ///< any report in this term
   double last_report =
       kNever;  ///< of its own accord: a machine that can't reach us shows nothing else
-  double last_word = kNever;    ///< that, or a reply to direct orders
-  double last_answer = kNever;  ///< when a report was last answered with 200
+  double last_contact = kNever;  ///< that, or a reply to direct orders
+  double last_answer = kNever;   ///< when a report was last answered with 200
   /// Until then a former leader may have kept its lease alive.
   double inherited_until = kNever;
-  /// A caretaker may be answering it.
-  bool cared = false;
-  double cared_at = kNever;
+  /// A zone delegate may be answering it.
+  bool delegated = false;
+  double delegated_at = kNever;
   /// Recorded as such; its tasks are gone once that is written.
   bool retired = false;
   /// When that was first seen to be written.
   double retired_at = kNever;
   std::optional<double> recall_at;
   TaskSet tasks;
-  sched::Amount used;      ///< by `tasks`, planned ones included
-  sched::Amount orphaned;  ///< by reported tasks that are not there by our will
+  sched::Amount used;            ///< by `tasks`, planned ones included
+  sched::Amount unrecorded_use;  ///< by reported tasks that are not there by our will
   /// The same for each team's use of them.
-  std::vector<std::pair<sched::Amount*, sched::Amount>> orphan_usage;
-  bool foreign = false;  ///< reports tasks unknown to us
+  std::vector<std::pair<sched::Amount*, sched::Amount>> unrecorded_team_use;
+  bool has_unknown_jobs = false;  ///< reports tasks unknown to us
   std::vector<Exited> exited;
-  std::vector<Exited> orphans;       ///< running tasks that are not there by our will
-  std::deque<std::uint32_t> images;  ///< believed to be cached, latest last
-  bool touched = false;              ///< the planner has to look at it again
+  std::vector<Exited> unrecorded_tasks;  ///< running tasks that are not there by our will
+  std::deque<std::uint32_t> images;      ///< believed to be cached, latest last
+  bool dirty = false;                    ///< the planner has to look at it again
   std::set<std::string> failed_jobs;
   bool quarantined = false;
   bool releasing = false;
@@ -170,16 +170,16 @@
   bool listed_failed = false;
   double idle_since = kNever;
   double rented_at = kNever;
-  Committer::Record* record = nullptr;
+  GroupCommit::Record* record = nullptr;
   [[nodiscard]] bool recorded() const { return record != nullptr && record->revision != 0; }
-  [[nodiscard]] sched::Amount room() const { return capacity - used - orphaned; }
+  [[nodiscard]] sched::Amount room() const { return capacity - used - unrecorded_use; }
   [[nodiscard]] bool caches(std::uint32_t image) const {
     return std::find(images.begin(), images.end(), image) != images.end();
   }
-  /// Seconds since anybody heard of it. The end of a caretaker's time counts:
+  /// Seconds since anybody heard of it. The end of a zone delegate's time counts:
   /// the machine needs a moment to find its leader again.
   [[nodiscard]] double quiet(double now) const {
-    return cared ? 0 : now - std::max(last_report, cared_at);
+    return delegated ? 0 : now - std::max(last_report, delegated_at);
   }
 };
 
@@ -192,8 +192,8 @@
 /// one spot, so that usage, zones and records always agree with it.
 class Model {
  public:
-  Model(const config::Settings& settings, Committer& committer)
-      : settings_(settings), committer_(committer) {}
+  Model(const config::Settings& settings, GroupCommit& group_commit)
+      : settings_(settings), group_commit_(group_commit) {}
 
   Job& add_job(const std::string& id, const ledger::JobRecord& record, double submitted);
   void remove_job(const std::string& id);
@@ -210,8 +210,8 @@
   /// Deleted in this term: what still arrives from it is late.
   [[nodiscard]] bool released(const std::string& id) const { return released_.contains(id); }
   /// Capacity and name of the type, once both are known.
-  void set_flavors(std::vector<wire::Flavor> flavors);
-  [[nodiscard]] const wire::Flavor* flavor(const std::string& type) const;
+  void set_machine_types(std::vector<wire::MachineType> machine_types);
+  [[nodiscard]] const wire::MachineType* machine_type(const std::string& type) const;
   void describe(Host& host, const std::string& type, const std::string& zone, bool spot,
                 const std::string& addr);
 
@@ -224,27 +224,29 @@
   void complete(Task& task);
   /// A reported task of the job that is not there by our will: it takes room
   /// and counts for its team all the same.
-  void add_orphan(Host& host, const Job& job);
-  void forget_orphans(Host& host);
+  void add_unrecorded(Host& host, const Job& job);
+  void clear_unrecorded(Host& host);
   /// Takes over an assignment found in the records.
   void adopt(Task& task, Host& host, std::uint64_t attempt, double now);
 
   [[nodiscard]] const sched::Amount& usage(const std::string& team) const;
   [[nodiscard]] std::map<std::string, std::unique_ptr<Job>>& jobs() { return jobs_; }
   [[nodiscard]] std::map<std::string, std::unique_ptr<Host>>& hosts() { return hosts_; }
-  [[nodiscard]] const std::vector<wire::Flavor>& flavors() const { return flavors_; }
+  [[nodiscard]] const std::vector<wire::MachineType>& machine_types() const {
+    return machine_types_;
+  }
 
   // What has changed, so that nobody has to walk through everything.
-  /// Jobs that may have tasks which wait and stand in no list.
+  /// Jobs that may have tasks which wait and act as an unrecorded delegate no list.
   [[nodiscard]] JobSet& open() { return open_; }
   /// Jobs of which a task has ended or gone.
-  [[nodiscard]] JobSet& ending() { return ending_; }
+  [[nodiscard]] JobSet& finalizable() { return finalizable_; }
   /// Machines that may have orders to be given.
   [[nodiscard]] HostSet& attention() { return attention_; }
   [[nodiscard]] const TaskSet& planned() const { return planned_; }
   /// Machines whose room, tasks or state have changed, in order.
-  [[nodiscard]] std::vector<Host*> take_touched();
-  void note(Host& host);
+  [[nodiscard]] std::vector<Host*> take_dirty();
+  void mark_dirty(Host& host);
   /// Least that any task takes, in each dimension: a machine with less room
   /// than this has none.
   [[nodiscard]] const sched::Amount& least_need() const { return least_need_; }
@@ -261,21 +263,21 @@
  private:
   void attach(Task& task, Host& host);
   void detach(Task& task);
-  void touch(Task& task);
+  void mark_dirty(Task& task);
   void include_need(const Job& job);
   [[nodiscard]] static ledger::BlockRecord record_of(const Block& block);
 
   const config::Settings& settings_;
-  Committer& committer_;
-  std::vector<wire::Flavor> flavors_;
+  GroupCommit& group_commit_;
+  std::vector<wire::MachineType> machine_types_;
   std::uint64_t next_serial_ = 1;
   std::map<std::string, std::unique_ptr<Job>> jobs_;
   std::unordered_map<std::uint64_t, Job*> by_serial_;
   std::unordered_map<std::string, std::uint32_t> image_numbers_;
   JobSet open_;
-  JobSet ending_;
+  JobSet finalizable_;
   TaskSet planned_;
-  HostSet touched_;
+  HostSet dirty_;
   HostSet attention_;
   sched::Amount least_need_;
   std::size_t on_hosts_[4] = {};
--- a/src/engine/node.cpp
+++ b/src/engine/node.cpp
@@ -13,25 +13,25 @@
 
 Node::Node(const config::Settings& settings, Ports ports, std::string incarnation)
     : settings_(settings),
-      runtime_(ports.runtime),
+      loop_(ports.event_loop),
       store_(ports.store),
       cloud_(ports.cloud),
       workers_(ports.workers),
       incarnation_(std::move(incarnation)),
-      queue_(ports.runtime, [this] { after_batch(); }),
+      queue_(ports.event_loop, [this] { after_batch(); }),
       scope_(queue_),
-      proof_(
-          ports.runtime, queue_, ports.store, mirror_,
-          static_cast<double>(settings.peers.size() + 1) / (k::kProofShare * settings.state_rps)),
-      gateway_(settings, ports.runtime, queue_, ports.store, mirror_, proof_,
-               [this](const std::string& job) { spread_cancelled(job); }),
-      caretaker_(settings, ports.runtime, queue_, ports.store, mirror_, proof_) {}
+      read_index_(ports.event_loop, queue_, ports.store, mirror_,
+                  static_cast<double>(settings.peers.size() + 1) /
+                      (k::kReadIndexShare * settings.state_rps)),
+      user_api_(settings, ports.event_loop, queue_, ports.store, mirror_, read_index_,
+                [this](const std::string& job) { broadcast_cancellation(job); }),
+      zone_delegate_(settings, ports.event_loop, queue_, ports.store, mirror_, read_index_) {}
 
 void Node::start(mesh::Mesh& mesh) {
   mesh_ = &mesh;
   // Nobody counts as silent before having had the time to speak: a restarted
-  // node would take care of its zone for no reason.
-  for (const auto& peer : settings_.peers) peers_[peer.name].heard = runtime_.now();
+  // node would become delegate of its zone for no reason.
+  for (const auto& peer : settings_.peers) peers_[peer.name].heard = loop_.now();
   queue_.post([this] {
     load("");
     fetch_types();
@@ -47,9 +47,10 @@
 
 void Node::on_message(mesh::Message message) {
   queue_.post([this, message = std::move(message)]() mutable {
-    if (const auto* news = std::get_if<mesh::Beat>(&message)) return on_beat(*news);
+    if (const auto* heartbeat = std::get_if<mesh::Heartbeat>(&message))
+      return on_heartbeat(*heartbeat);
     if (const auto* cancelled = std::get_if<mesh::Cancelled>(&message))
-      return on_cancelled(cancelled->job);
+      return on_cancellation(cancelled->job);
     if (auto* report = std::get_if<mesh::ForwardedReport>(&message)) {
       auto respond = [this, node = report->node, id = report->id](const net::Response& response) {
         mesh_->send(node, mesh::ForwardedReply{id, response.status, response.body});
@@ -88,14 +89,14 @@
     };
     on_report(request.body, yielding, false);
   } else if (path == jobs) {
-    if (only("POST")) gateway_.submit(request.body, std::move(respond));
+    if (only("POST")) user_api_.submit(request.body, std::move(respond));
   } else if (path.starts_with(jobs) && path[jobs.size()] == '/') {
     std::string id = path.substr(jobs.size() + 1);
     if (id.ends_with(cancel)) {
       id.resize(id.size() - cancel.size());
-      if (only("POST")) gateway_.cancel(id, std::move(respond));
+      if (only("POST")) user_api_.cancel(id, std::move(respond));
     } else if (only("GET")) {
-      gateway_.poll(id, std::move(respond));
+      user_api_.poll(id, std::move(respond));
     }
   } else {
     respond({404, {}, 0});
@@ -113,21 +114,21 @@
   // A machine that has heard of a later term drops what is answered in an
   // earlier one, and stays with whoever answers while its lease runs out.
   learn_term(report.token >> k::kTokenFenceBits, "");
-  if (!forwarded && send_home(report, respond)) return;
+  if (!forwarded && redirect_to_zone(report, respond)) return;
   if (leader_) return leader_->on_report(std::move(report), std::move(respond));
   if (forwarded) return respond({503, {}, 0});
-  pass_on({std::move(report), body, std::move(respond), runtime_.now() + k::kForwardTimeout});
+  forward_report({std::move(report), body, std::move(respond), loop_.now() + k::kForwardTimeout});
 }
 
 bool Node::heard(const std::string& peer) const {
   const auto found = peers_.find(peer);
-  return found != peers_.end() && runtime_.now() - found->second.heard < k::kPeerSilence;
+  return found != peers_.end() && loop_.now() - found->second.heard < k::kPeerSilence;
 }
 
 bool Node::leader_heard() const { return leader_ || heard(known_leader_); }
 
-Caretaker::View Node::view() const {
-  Caretaker::View view{leader_heard(), state_reachable(k::kPeerSilence), {}};
+ZoneDelegate::View Node::view() const {
+  ZoneDelegate::View view{leader_heard(), state_reachable(k::kPeerSilence), {}};
   if (view.leader_heard || view.state_reachable) return view;
   for (const auto& peer : settings_.peers) {
     if (peer.zone == settings_.zone && heard(peer.name) && !peers_.at(peer.name).leader_heard)
@@ -136,13 +137,13 @@
   return view;
 }
 
-bool Node::send_home(const wire::Report& report, const net::Responder& respond) {
+bool Node::redirect_to_zone(const wire::Report& report, const net::Responder& respond) {
   // Workers report to a controller of their own zone, which passes reports on
   // to the leader. When the zone is cut off, or the leader ends, they are
   // already where their leases can be kept alive: finding the way there takes
   // two time-outs of 4 s, about as long as a short lease.
   if (report.zone == settings_.zone) return false;
-  const double now = runtime_.now();
+  const double now = loop_.now();
   auto& last = redirects_[report.host];
   // Back so soon: it could not reach that node.
   if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
@@ -155,26 +156,26 @@
   return false;
 }
 
-void Node::pass_on(Caretaker::Waiting waiting) {
-  if (caretaker_.active() || !leader_heard()) {
+void Node::forward_report(ZoneDelegate::Waiting waiting) {
+  if (zone_delegate_.active() || !leader_heard()) {
     if (known_leader_.empty()) return waiting.respond({503, {}, 0});
-    return caretaker_.on_report(std::move(waiting), view());
+    return zone_delegate_.on_report(std::move(waiting), view());
   }
   const auto id = next_forward_++;
   mesh_->send(known_leader_, mesh::ForwardedReport{settings_.node, id, waiting.body});
   forwarded_[id] = {std::move(waiting), known_leader_};
 }
 
-void Node::serve(Caretaker::Waiting waiting) {
+void Node::dispatch_waiting(ZoneDelegate::Waiting waiting) {
   if (leader_) return leader_->on_report(std::move(waiting.report), std::move(waiting.respond));
-  pass_on(std::move(waiting));
+  forward_report(std::move(waiting));
 }
 
-void Node::tend_forwarded() {
-  const double now = runtime_.now();
-  // Those that waited for care while no leader was heard.
-  if (leader_ || (leader_heard() && !caretaker_.active())) {
-    for (auto& one : caretaker_.take_waiting()) serve(std::move(one));
+void Node::retry_or_expire_forwarded() {
+  const double now = loop_.now();
+  // Those that waited for a delegation while no leader was heard.
+  if (leader_ || (leader_heard() && !zone_delegate_.active())) {
+    for (auto& one : zone_delegate_.take_waiting()) dispatch_waiting(std::move(one));
   }
   auto forwarded = std::move(forwarded_);
   forwarded_.clear();
@@ -182,8 +183,8 @@
     if (now >= one.waiting.until) {
       one.waiting.respond({503, {}, 0});
     } else if (leader_ || one.leader != known_leader_ || !leader_heard()) {
-      // Its leader is gone or not to be heard: to the next one, or into care.
-      serve(std::move(one.waiting));
+      // Its leader is gone or not to be heard: to the next one, or to the zone delegate.
+      dispatch_waiting(std::move(one.waiting));
     } else {
       forwarded_[id] = std::move(one);
     }
@@ -191,7 +192,7 @@
 }
 
 bool Node::state_reachable(double within_s) const {
-  return runtime_.now() - proof_.last_success() < within_s;
+  return loop_.now() - read_index_.last_success() < within_s;
 }
 
 bool Node::common_outage() const {
@@ -202,7 +203,7 @@
 }
 
 bool Node::ready() const {
-  if (!mirror_.loaded() || flavors_.empty()) return false;
+  if (!mirror_.loaded() || machine_types_.empty()) return false;
   if (state_reachable()) return true;
   // Everybody sees the same outage: taking all nodes away helps nobody. Nodes
   // that are silent don't count either way, but one witness is needed.
@@ -222,7 +223,7 @@
   store_.list(std::string(ledger::kLive), since,
               scope_.wrap([this, since](const ledger::ListResult& result) {
                 if (result.outcome != Outcome::ok) {
-                  runtime_.after(k::kStateRetry, scope_.wrap([this, since] { load(since); }));
+                  loop_.after(k::kStateRetry, scope_.wrap([this, since] { load(since); }));
                   return;
                 }
                 mirror_.load(result.listing);
@@ -244,8 +245,8 @@
                  switch (result.outcome) {
                    case Outcome::ok: {
                      changed(mirror_.apply(result.changes));
-                     runtime_.after(leader_ ? k::kWatchPauseLeader : k::kWatchPauseFollower,
-                                    scope_.wrap([this] { watch(); }));
+                     loop_.after(leader_ ? k::kWatchPauseLeader : k::kWatchPauseFollower,
+                                 scope_.wrap([this] { watch(); }));
                      return;
                    }
                    case Outcome::compacted:
@@ -253,7 +254,7 @@
                    case Outcome::unknown:
                      return watch();
                    default:
-                     runtime_.after(k::kStateRetry, scope_.wrap([this] { watch(); }));
+                     loop_.after(k::kStateRetry, scope_.wrap([this] { watch(); }));
                  }
                }));
 }
@@ -262,26 +263,27 @@
   if (mirror_.lead()) learn_term(mirror_.lead()->term, mirror_.lead()->node);
   learn_term(mirror_.term(), known_leader_);
   if (leader_) leader_->on_change(keys);
-  if (flavors_.empty() && mirror_.types()) {
-    use_types(wire::decode_flavors(wire::Document::parse(mirror_.types()->packed).root()));
+  if (machine_types_.empty() && mirror_.types()) {
+    use_types(wire::decode_machine_types(wire::Document::parse(mirror_.types()->packed).root()));
   }
-  proof_.check();
-  elect();
+  read_index_.check();
+  consider_election();
 }
 
 // --- machine types -------------------------------------------------------------------
 
 void Node::fetch_types() {
-  cloud_.flavors(scope_.wrap([this](std::optional<std::vector<wire::Flavor>> flavors) {
-    if (flavors && !flavors->empty()) return use_types(std::move(*flavors));
-    runtime_.after(k::kTypesRetry, scope_.wrap([this] { fetch_types(); }));
-  }));
+  cloud_.machine_types(
+      scope_.wrap([this](std::optional<std::vector<wire::MachineType>> machine_types) {
+        if (machine_types && !machine_types->empty()) return use_types(std::move(*machine_types));
+        loop_.after(k::kTypesRetry, scope_.wrap([this] { fetch_types(); }));
+      }));
 }
 
-void Node::use_types(std::vector<wire::Flavor> flavors) {
-  flavors_ = std::move(flavors);
-  gateway_.set_flavors(flavors_);
-  if (leader_) leader_->set_flavors(flavors_);
+void Node::use_types(std::vector<wire::MachineType> machine_types) {
+  machine_types_ = std::move(machine_types);
+  user_api_.set_machine_types(machine_types_);
+  if (leader_) leader_->set_machine_types(machine_types_);
 }
 
 // --- leadership ------------------------------------------------------------------------
@@ -291,7 +293,7 @@
   if (term >= known_term_ && !leader.empty() && (term > known_term_ || known_leader_.empty()))
     known_leader_ = leader;
   known_term_ = std::max(known_term_, term);
-  if (leader_ && leader_->term() < known_term_) lose("a higher term is known");
+  if (leader_ && leader_->term() < known_term_) step_down("a higher term is known");
 }
 
 bool Node::leadership_open() const {
@@ -313,7 +315,7 @@
   return *found;
 }
 
-void Node::elect() {
+void Node::consider_election() {
   if (leader_ || !mirror_.loaded()) return;
   if (mirror_.earlier_layout()) {
     if (!std::exchange(refused_layout_, true))
@@ -323,31 +325,31 @@
           ledger::kLive);
     return;
   }
-  if (const auto candidacy = won()) return win(*candidacy);
-  if (!leadership_open() || standing_) {
-    stand_at_ = -1;
+  if (const auto candidacy = won()) return become_leader(*candidacy);
+  if (!leadership_open() || election_running_) {
+    election_at_ = -1;
     return;
   }
-  const double now = runtime_.now();
-  if (stand_at_ < 0) stand_at_ = now + runtime_.random() * k::kElectionJitter;
-  if (now >= stand_at_) stand();
+  const double now = loop_.now();
+  if (election_at_ < 0) election_at_ = now + loop_.random() * k::kElectionJitter;
+  if (now >= election_at_) start_election();
 }
 
-void Node::stand() {
-  standing_ = true;
-  stand_at_ = -1;
+void Node::start_election() {
+  election_running_ = true;
+  election_at_ = -1;
   store_.grant(k::kLeadLease, scope_.wrap([this](const ledger::GrantResult& granted) {
     // Somebody else may have won while the lease was asked for.
     if (granted.outcome == Outcome::ok && !leader_ && leadership_open())
-      return campaign(granted.lease);
-    stand_down(k::kStateRetry);
+      return request_leadership(granted.lease);
+    back_off(k::kStateRetry);
   }));
 }
 
-void Node::campaign(std::uint64_t lease) {
+void Node::request_leadership(std::uint64_t lease) {
   const auto term = mirror_.term() + 1;
   const Candidacy candidacy{incarnation_ + "/" + std::to_string(next_candidacy_++), lease,
-                            runtime_.now()};
+                            loop_.now()};
   candidacies_.push_back(candidacy);
   if (candidacies_.size() > k::kCandidaciesKept) candidacies_.erase(candidacies_.begin());
   wire::Txn txn;
@@ -360,68 +362,70 @@
     // Won or not, the mirror will tell: it must hold all that came before
     // this term in any case. Should it tell too late, the lease is over and
     // another try is due.
-    stand_down(result.outcome == Outcome::ok ? k::kLeadLease : k::kStateRetry);
+    back_off(result.outcome == Outcome::ok ? k::kLeadLease : k::kStateRetry);
   }));
 }
 
-void Node::stand_down(double after_s) {
-  runtime_.after(after_s, scope_.wrap([this] {
-    if (!leader_) standing_ = false;
-    elect();
+void Node::back_off(double after_s) {
+  loop_.after(after_s, scope_.wrap([this] {
+    if (!leader_) election_running_ = false;
+    consider_election();
   }));
 }
 
-void Node::win(const Candidacy& candidacy) {
+void Node::become_leader(const Candidacy& candidacy) {
   Leader::Context context{settings_,
-                          runtime_,
+                          loop_,
                           queue_,
                           store_,
                           cloud_,
                           workers_,
                           mirror_,
-                          proof_,
+                          read_index_,
                           [this](const std::string& peer) {
                             const auto found = peers_.find(peer);
-                            return found == peers_.end() ? Word{} : found->second.word;
+                            return found == peers_.end() ? PeerReadState{}
+                                                         : found->second.read_state;
                           },
                           [this] { return common_outage(); },
-                          [this] { lose("the term is over"); }};
-  caretaker_.end("this node leads");
+                          [this] { step_down("the term is over"); }};
+  zone_delegate_.end("this node leads");
   lease_ = candidacy.lease;
   leader_ = std::make_unique<Leader>(context, mirror_.term(), mirror_.term_stamp(), candidacy.sent);
   // Each wins at most once: names and tokens of a term must not be used again.
   candidacies_.clear();
-  standing_ = true;
+  election_running_ = true;
   known_term_ = mirror_.term();
   known_leader_ = settings_.node;
   types_recorded_ = false;
-  if (!flavors_.empty()) leader_->set_flavors(flavors_);
+  if (!machine_types_.empty()) leader_->set_machine_types(machine_types_);
   next_renew_ = 0;
-  beat();
+  send_heartbeat();
 }
 
-void Node::lose(const char* why) {
+void Node::step_down(const char* why) {
   if (!leader_) return;
   spdlog::info("no longer leading in term {}: {}", leader_->term(), why);
   leader_.reset();
-  standing_ = false;
+  election_running_ = false;
   if (known_leader_ == settings_.node) known_leader_.clear();
 }
 
 void Node::renew() {
-  const double sent = runtime_.now();
+  const double sent = loop_.now();
   next_renew_ = sent + k::kRenewEvery;
   store_.renew(lease_, scope_.wrap([this, term = leader_->term()](Outcome outcome) {
     if (outcome == Outcome::missing && leader_ && leader_->term() == term)
-      lose("the lease ran out");
+      step_down("the lease ran out");
   }));
   wire::Txn txn;
   txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()}};
   // The machine types ride along once, for nodes that start while the cloud
   // does not answer.
-  if (!types_recorded_ && !flavors_.empty() && !mirror_.types()) {
+  if (!types_recorded_ && !machine_types_.empty() && !mirror_.types()) {
     txn.guards.push_back({std::string(ledger::kTypesKey), 0});
-    txn.writes.push_back({std::string(ledger::kTypesKey), wire::encode_flavors(flavors_), 0});
+    txn.writes.push_back(
+        {std::string(ledger::kTypesKey), wire::encode_machine_types(machine_types_), 0});
   }
   types_recorded_ = true;
   store_.commit(std::move(txn), scope_.wrap([this, sent, term = leader_->term()](
@@ -430,61 +434,61 @@
     if (result.outcome == Outcome::ok) leader_->confirm(sent);
     const bool deposed = std::find(result.failed.begin(), result.failed.end(), ledger::kTermKey) !=
                          result.failed.end();
-    if (result.outcome == Outcome::conflict && deposed) lose("the term is over");
+    if (result.outcome == Outcome::conflict && deposed) step_down("the term is over");
   }));
 }
 
 // --- mesh ------------------------------------------------------------------------------
 
-void Node::beat() {
-  next_beat_ = runtime_.now() + k::kBeatEvery;
+void Node::send_heartbeat() {
+  next_heartbeat_ = loop_.now() + k::kHeartbeatEvery;
   told_leader_heard_ = leader_heard();
-  mesh_->broadcast(mesh::Beat{settings_.node, known_term_, known_leader_, state_reachable(),
-                              told_leader_heard_, mirror_.loaded() ? mirror_.revision() : 0,
-                              runtime_.now() - caretaker_.answered_at()});
+  mesh_->broadcast(mesh::Heartbeat{settings_.node, known_term_, known_leader_, state_reachable(),
+                                   told_leader_heard_, mirror_.loaded() ? mirror_.revision() : 0,
+                                   loop_.now() - zone_delegate_.answered_at()});
 }
 
-void Node::on_beat(const mesh::Beat& news) {
-  auto& peer = peers_[news.node];
-  peer.heard = runtime_.now();
-  peer.state_reachable = news.state_reachable;
-  peer.leader_heard = news.leader_heard;
+void Node::on_heartbeat(const mesh::Heartbeat& heartbeat) {
+  auto& peer = peers_[heartbeat.node];
+  peer.heard = loop_.now();
+  peer.state_reachable = heartbeat.state_reachable;
+  peer.leader_heard = heartbeat.leader_heard;
   // However late this comes, what was answered was answered before it was sent.
-  peer.word.revision = std::max(peer.word.revision, news.revision);
-  peer.word.answered_at =
-      std::max(peer.word.answered_at, runtime_.now() - news.answered_ago_s * (1 - k::kDrift));
-  learn_term(news.term, news.leader);
+  peer.read_state.revision = std::max(peer.read_state.revision, heartbeat.revision);
+  peer.read_state.answered_at = std::max(peer.read_state.answered_at,
+                                         loop_.now() - heartbeat.answered_ago_s * (1 - k::kDrift));
+  learn_term(heartbeat.term, heartbeat.leader);
 }
 
-void Node::spread_cancelled(const std::string& job) {
+void Node::broadcast_cancellation(const std::string& job) {
   mesh_->broadcast(mesh::Cancelled{job});
-  on_cancelled(job);
+  on_cancellation(job);
 }
 
-void Node::on_cancelled(const std::string& job) {
-  if (leader_) leader_->on_cancelled(job);
+void Node::on_cancellation(const std::string& job) {
+  if (leader_) leader_->on_cancellation(job);
 }
 
 // --- time ------------------------------------------------------------------------------
 
 void Node::tick() {
-  const double now = runtime_.now();
-  runtime_.after(k::kTick, scope_.wrap([this] { tick(); }));
+  const double now = loop_.now();
+  loop_.after(k::kTick, scope_.wrap([this] { tick(); }));
   if (now >= next_probe_) {
     next_probe_ = now + k::kProbeEvery;
-    proof_.request(k::kProbeEvery, [](bool) {});
+    read_index_.request(k::kProbeEvery, [](bool) {});
   }
-  proof_.check();
+  read_index_.check();
   std::erase_if(redirects_,
                 [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
-  tend_forwarded();
-  elect();
-  caretaker_.tick(view());
+  retry_or_expire_forwarded();
+  consider_election();
+  zone_delegate_.tick(view());
   if (leader_) {
     if (now >= next_renew_) renew();
     if (leader_) leader_->tick();
   }
-  if (now >= next_beat_ || told_leader_heard_ != leader_heard()) beat();
+  if (now >= next_heartbeat_ || told_leader_heard_ != leader_heard()) send_heartbeat();
 }
 
 void Node::after_batch() {
--- a/src/engine/node.hpp
+++ b/src/engine/node.hpp
@@ -4,9 +4,9 @@
 #include <memory>
 
 #include "config/constants.hpp"
-#include "engine/caretaker.hpp"
-#include "engine/gateway.hpp"
 #include "engine/leader.hpp"
+#include "engine/user_api.hpp"
+#include "engine/zone_delegate.hpp"
 #include "mesh/mesh.hpp"
 
 namespace elmstall::engine {
@@ -14,7 +14,7 @@
 class Node {
  public:
   struct Ports {
-    Runtime& runtime;
+    EventLoop& event_loop;
     ledger::Store& store;
     fleet::Cloud& cloud;
     fleet::Workers& workers;
@@ -37,10 +37,10 @@
     double heard = -1e18;
     bool state_reachable = true;
     bool leader_heard = true;
-    Word word;
+    PeerReadState read_state;
   };
   struct Forwarded {
-    Caretaker::Waiting waiting;
+    ZoneDelegate::Waiting waiting;
     std::string leader;
   };
   /// One attempt to be elected. Its transaction may be applied long after it
@@ -58,17 +58,17 @@
   void handle(const net::Request& request, net::Responder respond);
   void on_report(const std::string& body, net::Responder respond, bool forwarded);
   /// Sends the worker to a node of its zone, if it should go there.
-  bool send_home(const wire::Report& report, const net::Responder& respond);
-  void pass_on(Caretaker::Waiting waiting);
+  bool redirect_to_zone(const wire::Report& report, const net::Responder& respond);
+  void forward_report(ZoneDelegate::Waiting waiting);
   /// For a report that has waited: the leader answers it if that is this node
   /// by now.
-  void serve(Caretaker::Waiting waiting);
-  void tend_forwarded();
+  void dispatch_waiting(ZoneDelegate::Waiting waiting);
+  void retry_or_expire_forwarded();
   [[nodiscard]] bool heard(const std::string& peer) const;
   [[nodiscard]] bool leader_heard() const;
   /// Every controller is heard, and the state service answers none of them.
   [[nodiscard]] bool common_outage() const;
-  [[nodiscard]] Caretaker::View view() const;
+  [[nodiscard]] ZoneDelegate::View view() const;
   void tick();
   void after_batch();
 
@@ -79,33 +79,33 @@
 
   // machine types
   void fetch_types();
-  void use_types(std::vector<wire::Flavor> flavors);
+  void use_types(std::vector<wire::MachineType> machine_types);
 
   // leadership
   [[nodiscard]] bool leadership_open() const;
   /// The candidacy that the records show as won, if it is ours to act on.
   [[nodiscard]] std::optional<Candidacy> won() const;
-  void elect();
-  void stand();
-  void campaign(std::uint64_t lease);
+  void consider_election();
+  void start_election();
+  void request_leadership(std::uint64_t lease);
   /// Unless elected by then: another try is allowed after so many seconds.
-  void stand_down(double after_s);
-  void win(const Candidacy& candidacy);
-  void lose(const char* why);
+  void back_off(double after_s);
+  void become_leader(const Candidacy& candidacy);
+  void step_down(const char* why);
   void renew();
   void learn_term(std::uint64_t term, const std::string& leader);
 
   // mesh
-  void beat();
-  void on_beat(const mesh::Beat& beat);
+  void send_heartbeat();
+  void on_heartbeat(const mesh::Heartbeat& send_heartbeat);
   /// A cancellation was recorded here: the leader hears of it at once.
-  void spread_cancelled(const std::string& job);
-  void on_cancelled(const std::string& job);
+  void broadcast_cancellation(const std::string& job);
+  void on_cancellation(const std::string& job);
   /// The state service answered within this many seconds.
   [[nodiscard]] bool state_reachable(double within_s = constants::kUnreadyAfter) const;
 
   const config::Settings& settings_;
-  Runtime& runtime_;
+  EventLoop& loop_;
   ledger::Store& store_;
   fleet::Cloud& cloud_;
   fleet::Workers& workers_;
@@ -114,24 +114,24 @@
   CommandQueue queue_;
   CommandScope scope_;
   ledger::Mirror mirror_;
-  Proof proof_;
-  Gateway gateway_;
-  Caretaker caretaker_;
+  ReadIndex read_index_;
+  UserApi user_api_;
+  ZoneDelegate zone_delegate_;
   std::unique_ptr<Leader> leader_;
-  std::vector<wire::Flavor> flavors_;
+  std::vector<wire::MachineType> machine_types_;
   bool types_recorded_ = false;
 
   std::uint64_t known_term_ = 0;  ///< highest heard of, from records or peers
   std::string known_leader_;
-  bool standing_ = false;
+  bool election_running_ = false;
   std::vector<Candidacy> candidacies_;  ///< that may still win, latest last
   std::uint64_t next_candidacy_ = 1;
   bool refused_layout_ = false;  ///< said so
-  double stand_at_ = -1;
+  double election_at_ = -1;
   std::uint64_t lease_ = 0;  ///< that `lead` hangs on
   double next_renew_ = 0;
-  double next_beat_ = 0;
-  bool told_leader_heard_ = true;  ///< in the last beat
+  double next_heartbeat_ = 0;
+  bool told_leader_heard_ = true;  ///< in the last heartbeat
   double next_probe_ = 0;
   std::map<std::string, Peer> peers_;
   std::map<std::uint64_t, Forwarded> forwarded_;
--- a/src/engine/planner.cpp
+++ b/src/engine/planner.cpp
@@ -24,15 +24,16 @@
 std::optional<double> aim_s(const config::Settings& settings, const Job& job) {
   if (job.spec.due_s) return job.spec.due_s;
   for (const auto& aim : settings.objectives) {
-    if (aim.kind == "finished" && aim.lane == job.spec.lane && aim.within_s > 0)
+    if (aim.kind == "finished" && aim.job_class == job.spec.job_class && aim.within_s > 0)
       return aim.within_s;
   }
   return std::nullopt;
 }
 
 bool Planner::usable(const Host& host, double now, const config::Settings& settings) {
-  return host.synced && !host.deaf && host.recorded() && !host.releasing && !host.quarantined &&
-         !host.recall_at && !host.foreign && now - host.last_report < settings.silent_after_s();
+  return host.synchronized && !host.unresponsive && host.recorded() && !host.releasing &&
+         !host.quarantined && !host.recall_at && !host.has_unknown_jobs &&
+         now - host.last_report < settings.silent_after_s();
 }
 
 bool Planner::may_run(const Job& job, const Host& host) const {
@@ -58,7 +59,7 @@
   return job.team != nullptr && sched::within_guarantee(*job.team, *job.team_usage + job.need);
 }
 
-int Planner::rank(const Job& job) const {
+int Planner::precedence(const Job& job) const {
   // Priority first, then guaranteed work, then (in the lists) the deadline.
   return static_cast<int>(job.spec.priority) * 2 + (guaranteed(job) ? 1 : 0);
 }
@@ -72,7 +73,7 @@
 
 void Planner::update_worker(Host& host, double now) {
   ++steps_;
-  if (!usable(host, now, settings_)) return gone(host);
+  if (!usable(host, now, settings_)) return remove_worker(host);
   const auto room = host.room();
   if (model_.least_need().fits(room))
     roomy_.insert(&host);
@@ -96,21 +97,22 @@
   if (now >= next_review_) {
     next_review_ = now + constants::kReviewEvery;
     model_.refresh_least_need();
-    for (const auto& [id, host] : model_.hosts()) model_.note(*host);
+    for (const auto& [id, host] : model_.hosts()) model_.mark_dirty(*host);
     const auto may = eligible();
     for (auto& [name, group] : groups_) group.settle_inbox(may);
   }
-  for (auto* host : model_.take_touched()) update_worker(*host, now);
+  for (auto* host : model_.take_dirty()) update_worker(*host, now);
 }
 
-void Planner::gone(Host& host) {
+void Planner::remove_worker(Host& host) {
   roomy_.erase(&host);
   if (const auto found = groups_.find(group_name(host)); found != groups_.end())
     found->second.remove_worker(host.id);
 }
 
-Planner::Standing Planner::standing(const Job& job, double now) const {
-  Standing place{rank(job), 0, 0, estimates_.run_time(job.spec.lane, job.spec.expect_s)};
+Planner::QueuePosition Planner::queue_position(const Job& job, double now) const {
+  QueuePosition place{precedence(job), 0, 0,
+                      estimates_.run_time(job.spec.job_class, job.spec.expect_s)};
   const auto aim = aim_s(settings_, job);
   place.due = job.submitted + aim.value_or(constants::kNoAim);
   const double waited = now - job.submitted;
@@ -134,7 +136,7 @@
   if (now < next_reorder_) return;
   next_reorder_ = now + constants::kReorderEvery;
   // All tasks of a job stand alike.
-  std::map<std::uint64_t, Standing> known;
+  std::map<std::uint64_t, QueuePosition> known;
   const auto may = eligible();
   for (auto& [name, group] : groups_) {
     if (group.queued() == 0) continue;
@@ -142,9 +144,9 @@
       const auto* job = model_.job_of(entry.id);
       if (job == nullptr) return;
       auto found = known.find(job->serial);
-      if (found == known.end()) found = known.emplace(job->serial, standing(*job, now)).first;
+      if (found == known.end()) found = known.emplace(job->serial, queue_position(*job, now)).first;
       const auto& place = found->second;
-      entry = {entry.id, place.rank, place.tier, place.due, place.work_s};
+      entry = {entry.id, place.precedence, place.tier, place.due, place.work_s};
     });
     moves_ += group.balance(settings_.tuning.threshold_tasks, may);
   }
@@ -153,10 +155,10 @@
 void Planner::enlist(Job& job, std::vector<Task*> tasks, double now) {
   if (tasks.empty()) return;
   std::vector<sched::Queued> block;
-  const auto place = standing(job, now);
+  const auto place = queue_position(job, now);
   for (auto* task : tasks) {
     task->listed = true;
-    block.push_back({task->id, place.rank, place.tier, place.due, place.work_s});
+    block.push_back({task->id, place.precedence, place.tier, place.due, place.work_s});
   }
   // The block goes to the group with the lowest mean wait that may run it.
   sched::Group* best = nullptr;
@@ -222,7 +224,7 @@
       model_.unplan(*task);
       continue;
     }
-    sched::Amount taken = host.orphaned;
+    sched::Amount taken = host.unrecorded_use;
     for (const auto* other : host.tasks) {
       if (other->phase == Phase::assigned) taken += other->job->need;
     }
@@ -279,8 +281,10 @@
 }
 
 double Planner::score(const Job& job, const Host& host) const {
-  const auto* flavor = model_.flavor(host.type);
-  const double rate = flavor == nullptr || flavor->fetch_gb_per_s <= 0 ? 1 : flavor->fetch_gb_per_s;
+  const auto* machine_type = model_.machine_type(host.type);
+  const double rate = machine_type == nullptr || machine_type->fetch_gb_per_s <= 0
+                          ? 1
+                          : machine_type->fetch_gb_per_s;
   double points = host.caches(job.image) ? 0 : -job.spec.image_gb / rate;
   const auto found = job.per_zone.find(host.zone);
   points -= found == job.per_zone.end()
@@ -388,8 +392,8 @@
       waiting.push_back(job);
   }
   std::stable_sort(waiting.begin(), waiting.end(), [this](const Job* a, const Job* b) {
-    const int x = rank(*a);
-    const int y = rank(*b);
+    const int x = precedence(*a);
+    const int y = precedence(*b);
     return x != y ? x > y : a->submitted < b->submitted;
   });
   for (auto* job : waiting) {
--- a/src/engine/planner.hpp
+++ b/src/engine/planner.hpp
@@ -13,10 +13,10 @@
       : settings_(settings), model_(model), estimates_(estimates) {}
 
   void decide(double now);
-  /// The task stands in no list any more.
+  /// The task acts as an unrecorded delegate no list any more.
   void forget(Task& task);
   /// The machine takes no tasks, or is about to be forgotten.
-  void gone(Host& host);
+  void remove_worker(Host& host);
   [[nodiscard]] static bool usable(const Host& host, double now, const config::Settings& settings);
   [[nodiscard]] const std::map<std::string, sched::Group>& groups() const { return groups_; }
   /// Moves made by equation (1) so far.
@@ -31,9 +31,9 @@
     std::vector<Task*> victims;
   };
 
-  /// What is listed of a job stands in the lists like this.
-  struct Standing {
-    int rank = 0;
+  /// What is listed of a job acts as an unrecorded delegate the lists like this.
+  struct QueuePosition {
+    int precedence = 0;
     int tier = 0;
     double due = 0;
     double work_s = 0;
@@ -45,7 +45,7 @@
   void update_workers(double now);
   void queue_blocks(double now);
   void enlist(Job& job, std::vector<Task*> tasks, double now);
-  [[nodiscard]] Standing standing(const Job& job, double now) const;
+  [[nodiscard]] QueuePosition queue_position(const Job& job, double now) const;
   void reorder(double now);
   void settle_planned(double now);
   void place_direct(double now);
@@ -76,7 +76,7 @@
   [[nodiscard]] bool may_stop(const Job& job, const Task& victim) const;
   [[nodiscard]] double lost_work(const Task& victim, double now) const;
   [[nodiscard]] double score(const Job& job, const Host& host) const;
-  [[nodiscard]] int rank(const Job& job) const;
+  [[nodiscard]] int precedence(const Job& job) const;
   [[nodiscard]] bool guaranteed(const Job& job) const;
   [[nodiscard]] static std::string group_name(const Host& host) {
     return host.type + "/" + host.zone;
--- a/src/engine/queue.hpp
+++ b/src/engine/queue.hpp
@@ -12,9 +12,9 @@
 using Command = std::function<void()>;
 
 /// Time, chance and waiting, so that tests can drive the engine.
-class Runtime {
+class EventLoop {
  public:
-  virtual ~Runtime() = default;
+  virtual ~EventLoop() = default;
   [[nodiscard]] virtual double now() const = 0;   ///< steady, seconds
   [[nodiscard]] virtual double wall() const = 0;  ///< time of day, seconds since 1970
   [[nodiscard]] virtual double random() = 0;      ///< in [0, 1)
@@ -27,14 +27,14 @@
 /// follows from them is decided once.
 class CommandQueue {
  public:
-  CommandQueue(Runtime& runtime, std::function<void()> after_batch)
-      : runtime_(runtime), after_batch_(std::move(after_batch)) {}
+  CommandQueue(EventLoop& event_loop, std::function<void()> after_batch)
+      : loop_(event_loop), after_batch_(std::move(after_batch)) {}
 
   void post(Command command) {
     commands_.push_back(std::move(command));
     if (scheduled_) return;
     scheduled_ = true;
-    runtime_.defer([this, alive = std::weak_ptr<char>(alive_)] {
+    loop_.defer([this, alive = std::weak_ptr<char>(alive_)] {
       if (!alive.expired()) drain();
     });
   }
@@ -48,7 +48,7 @@
     after_batch_();
   }
 
-  Runtime& runtime_;
+  EventLoop& loop_;
   std::function<void()> after_batch_;
   std::vector<Command> commands_;
   bool scheduled_ = false;
@@ -82,19 +82,19 @@
 /// A wake-up that many may ask for and that comes once.
 class Wake {
  public:
-  Wake(Runtime& runtime, CommandQueue& queue) : runtime_(runtime), scope_(queue) {}
+  Wake(EventLoop& event_loop, CommandQueue& queue) : loop_(event_loop), scope_(queue) {}
 
   /// Nothing new while one is to come.
   void after(double seconds, Command command) {
     if (std::exchange(armed_, true)) return;
-    runtime_.after(seconds, scope_.wrap([this, command = std::move(command)] {
+    loop_.after(seconds, scope_.wrap([this, command = std::move(command)] {
       armed_ = false;
       command();
     }));
   }
 
  private:
-  Runtime& runtime_;
+  EventLoop& loop_;
   CommandScope scope_;
   bool armed_ = false;
 };
--- a/src/engine/proof.cpp
+++ b/src/engine/read_index.cpp
@@ -1,19 +1,19 @@
-#include "engine/proof.hpp"
+#include "engine/read_index.hpp"
 
 #include <algorithm>
 
 namespace elmstall::engine {
 
-void Proof::request(double patience_s, Waiter waiter) {
-  next_.push_back({runtime_.now(), runtime_.now() + patience_s, 0, std::move(waiter)});
+void ReadIndex::request(double patience_s, Waiter waiter) {
+  next_.push_back({loop_.now(), loop_.now() + patience_s, 0, std::move(waiter)});
   probe();
 }
 
-void Proof::probe() {
+void ReadIndex::probe() {
   if (probing_ || next_.empty()) return;
   // Polls follow each other without a pause; a request for each of them would
   // take the state service's rate from the commits that all wait for.
-  const double now = runtime_.now();
+  const double now = loop_.now();
   if (now < next_probe_) return wake_.after(next_probe_ - now, [this] { probe(); });
   next_probe_ = now + gap_;
   probing_ = true;
@@ -23,7 +23,7 @@
              scope_.wrap([this, covered](const ledger::GetResult& result) mutable {
                probing_ = false;
                if (result.outcome == ledger::Outcome::missing) {
-                 last_success_ = runtime_.now();
+                 last_success_ = loop_.now();
                  for (auto& one : covered) {
                    one.revision = result.revision;
                    waiting_.push_back(std::move(one));
@@ -36,8 +36,8 @@
              }));
 }
 
-void Proof::check() {
-  const double now = runtime_.now();
+void ReadIndex::check() {
+  const double now = loop_.now();
   std::vector<Waiting> ready;
   std::vector<Waiting> left;
   for (auto& one : waiting_) {
--- a/src/engine/proof.hpp
+++ b/src/engine/read_index.hpp
@@ -1,4 +1,4 @@
-// Proof that the mirror is current, taken once for all who wait for it: one
+// ReadIndex that the mirror is current, taken once for all who wait for it: one
 // cheap request tells the present revision, and answers wait until the
 // mirror has reached it.
 #pragma once
@@ -12,18 +12,18 @@
 
 namespace elmstall::engine {
 
-class Proof {
+class ReadIndex {
  public:
   using Waiter = std::function<void(bool current)>;
 
   /// `gap`: seconds between two requests, which serve all who came meanwhile.
-  Proof(Runtime& runtime, CommandQueue& queue, ledger::Store& store, const ledger::Mirror& mirror,
-        double gap)
-      : runtime_(runtime),
+  ReadIndex(EventLoop& event_loop, CommandQueue& queue, ledger::Store& store,
+            const ledger::Mirror& mirror, double gap)
+      : loop_(event_loop),
         store_(store),
         mirror_(mirror),
         scope_(queue),
-        wake_(runtime, queue),
+        wake_(event_loop, queue),
         gap_(gap) {}
 
   /// Calls back with true once the mirror holds all that was committed
@@ -46,7 +46,7 @@
   /// Asks on behalf of all who wait, if any do and nothing is under way.
   void probe();
 
-  Runtime& runtime_;
+  EventLoop& loop_;
   ledger::Store& store_;
   const ledger::Mirror& mirror_;
   CommandScope scope_;
--- a/src/engine/gateway.cpp
+++ b/src/engine/user_api.cpp
@@ -1,4 +1,4 @@
-#include "engine/gateway.hpp"
+#include "engine/user_api.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -12,61 +12,62 @@
 namespace k = constants;
 using ledger::Outcome;
 
-Gateway::CallPtr Gateway::enter(net::Responder respond, double patience_s) {
+UserApi::CallPtr UserApi::enter(net::Responder respond, double patience_s) {
   if (!limit_.try_enter()) {
     respond({503, {}, k::kRetryAfter});
     return nullptr;
   }
-  const double now = runtime_.now();
+  const double now = loop_.now();
   auto call = std::make_shared<Call>();
   call->deadline = now + patience_s;
   call->respond = [this, now, respond = std::move(respond)](net::Response response) {
     // A 503 tells of the state service, not of our own load.
-    limit_.leave(response.status == 503 ? -1 : runtime_.now() - now);
+    limit_.leave(response.status == 503 ? -1 : loop_.now() - now);
     respond(std::move(response));
   };
   return call;
 }
 
-void Gateway::later(const CallPtr& call) const { call->respond({503, {}, k::kRetryAfter}); }
+void UserApi::later(const CallPtr& call) const { call->respond({503, {}, k::kRetryAfter}); }
 
-void Gateway::answer(const CallPtr& call, int status, const wire::JobStatus& state,
+void UserApi::answer(const CallPtr& call, int status, const wire::JobStatus& state,
                      bool counts) const {
   call->respond({status, wire::encode_status(state, counts), 0});
 }
 
-void Gateway::refuse(const CallPtr& call, int status, const std::string& text) const {
+void UserApi::refuse(const CallPtr& call, int status, const std::string& text) const {
   wire::Packer packer;
   packer.map(1).key("error").text(text);
   call->respond({status, packer.take(), 0});
 }
 
-void Gateway::retry(const CallPtr& call, std::function<void()> again) {
-  if (runtime_.now() + k::kStateRetry >= call->deadline) return later(call);
-  runtime_.after(k::kStateRetry / 2, scope_.wrap(std::move(again)));
+void UserApi::retry(const CallPtr& call, std::function<void()> again) {
+  if (loop_.now() + k::kStateRetry >= call->deadline) return later(call);
+  loop_.after(k::kStateRetry / 2, scope_.wrap(std::move(again)));
 }
 
-void Gateway::if_known(const CallPtr& call, bool counts, std::function<void()> otherwise) {
+void UserApi::if_known(const CallPtr& call, bool counts, std::function<void()> otherwise) {
   const auto& id = call->id;
-  // What is final never changes: no proof is needed.
+  // What is final never changes: no read index is needed.
   if (mirror_.final_state(id)) return answer(call, 200, mirror_.status(id), counts);
-  proof_.request(call->deadline - runtime_.now(), [this, call, counts,
-                                                   otherwise = std::move(otherwise)](bool current) {
-    if (!current) return later(call);
-    if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr)
-      return answer(call, 200, mirror_.status(call->id), counts);
-    // Not among the live jobs; it may be over since before this node began.
-    store_.get(ledger::final_key(call->id),
-               scope_.wrap([this, call, counts, otherwise](const ledger::GetResult& result) {
-                 if (result.outcome == Outcome::missing) return otherwise();
-                 if (result.outcome != Outcome::ok) return later(call);
-                 mirror_.remember_final(call->id, ledger::decode_final(result.entry.value));
-                 answer(call, 200, mirror_.status(call->id), counts);
-               }));
-  });
+  read_index_.request(
+      call->deadline - loop_.now(),
+      [this, call, counts, otherwise = std::move(otherwise)](bool current) {
+        if (!current) return later(call);
+        if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr)
+          return answer(call, 200, mirror_.status(call->id), counts);
+        // Not among the live jobs; it may be over since before this node began.
+        store_.get(ledger::final_key(call->id),
+                   scope_.wrap([this, call, counts, otherwise](const ledger::GetResult& result) {
+                     if (result.outcome == Outcome::missing) return otherwise();
+                     if (result.outcome != Outcome::ok) return later(call);
+                     mirror_.remember_final(call->id, ledger::decode_final(result.entry.value));
+                     answer(call, 200, mirror_.status(call->id), counts);
+                   }));
+      });
 }
 
-void Gateway::poll(const std::string& id, net::Responder respond) {
+void UserApi::poll(const std::string& id, net::Responder respond) {
   auto call = enter(std::move(respond), k::kPollDeadline);
   if (!call) return;
   call->id = id;
@@ -74,32 +75,34 @@
   if_known(call, true, [this, call] { refuse(call, 404, "no such job"); });
 }
 
-std::string Gateway::objection(wire::JobSpec& spec) const {
+std::string UserApi::objection(wire::JobSpec& spec) const {
   const auto* team = settings_.team(spec.team);
   if (team == nullptr) return "unknown team";
   const sched::Amount need{spec.cpus, spec.gpus, spec.memory_gb};
   if (!spec.types.empty()) {
     std::erase_if(spec.types, [this](const std::string& type) {
-      return std::none_of(flavors_.begin(), flavors_.end(),
-                          [&](const auto& flavor) { return flavor.name == type; });
+      return std::none_of(machine_types_.begin(), machine_types_.end(),
+                          [&](const auto& machine_type) { return machine_type.name == type; });
     });
     if (spec.types.empty()) return "no allowed machine type exists";
   }
-  const bool fits = std::any_of(flavors_.begin(), flavors_.end(), [&](const wire::Flavor& flavor) {
-    const bool type_ok = spec.types.empty() || std::find(spec.types.begin(), spec.types.end(),
-                                                         flavor.name) != spec.types.end();
-    const bool zone_ok =
-        !spec.zone || flavor.zones.empty() ||
-        std::find(flavor.zones.begin(), flavor.zones.end(), *spec.zone) != flavor.zones.end();
-    return type_ok && zone_ok && need.fits({flavor.cpus, flavor.gpus, flavor.memory_gb});
-  });
+  const bool fits = std::any_of(
+      machine_types_.begin(), machine_types_.end(), [&](const wire::MachineType& machine_type) {
+        const bool type_ok = spec.types.empty() || std::find(spec.types.begin(), spec.types.end(),
+                                                             machine_type.name) != spec.types.end();
+        const bool zone_ok = !spec.zone || machine_type.zones.empty() ||
+                             std::find(machine_type.zones.begin(), machine_type.zones.end(),
+                                       *spec.zone) != machine_type.zones.end();
+        return type_ok && zone_ok &&
+               need.fits({machine_type.cpus, machine_type.gpus, machine_type.memory_gb});
+      });
   if (!fits) return "a task fits no allowed machine type";
   const double count = spec.kind == wire::JobKind::service ? spec.tasks : 1;
   if (!sched::within_limit(*team, need * count)) return "more than the team's limit";
   return {};
 }
 
-void Gateway::submit(const std::string& body, net::Responder respond) {
+void UserApi::submit(const std::string& body, net::Responder respond) {
   auto call = enter(std::move(respond), k::kUserDeadline);
   if (!call) return;
   try {
@@ -118,7 +121,7 @@
   if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr) {
     return if_known(call, false, [this, call] { later(call); });
   }
-  if (flavors_.empty()) return later(call);
+  if (machine_types_.empty()) return later(call);
   if (const auto problem = objection(call->spec); !problem.empty()) {
     // An id that was accepted before keeps its answer, whatever is sent now.
     return if_known(call, false, [this, call, problem] { refuse(call, 422, problem); });
@@ -126,13 +129,13 @@
   create(call);
 }
 
-void Gateway::create(const CallPtr& call) {
+void UserApi::create(const CallPtr& call) {
   wire::Txn txn;
   // Guarded on the final record too: a copy of this request that arrives
   // after the job is over must not create it again.
   txn.guards = {{ledger::job_key(call->id), 0}, {ledger::final_key(call->id), 0}};
   txn.writes = {{ledger::job_key(call->id),
-                 ledger::encode(ledger::JobRecord{call->spec, false, runtime_.wall()}), 0}};
+                 ledger::encode(ledger::JobRecord{call->spec, false, loop_.wall()}), 0}};
   store_.commit(std::move(txn), scope_.wrap([this, call](const ledger::CommitResult& result) {
     switch (result.outcome) {
       case Outcome::ok:
@@ -149,7 +152,7 @@
   }));
 }
 
-void Gateway::confirm_create(const CallPtr& call) {
+void UserApi::confirm_create(const CallPtr& call) {
   store_.get(ledger::job_key(call->id), scope_.wrap([this, call](const ledger::GetResult& result) {
     if (result.outcome == Outcome::ok)
       return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
@@ -158,7 +161,7 @@
   }));
 }
 
-void Gateway::cancel(const std::string& id, net::Responder respond) {
+void UserApi::cancel(const std::string& id, net::Responder respond) {
   auto call = enter(std::move(respond), k::kUserDeadline);
   if (!call) return;
   call->id = id;
@@ -166,11 +169,11 @@
   mark_cancelled(call);
 }
 
-void Gateway::mark_cancelled(const CallPtr& call) {
+void UserApi::mark_cancelled(const CallPtr& call) {
   const auto* job = mirror_.job(call->id);
   if (job == nullptr) {
     // Over, unknown, or too new for this mirror.
-    return proof_.request(call->deadline - runtime_.now(), [this, call](bool current) {
+    return read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
       if (!current && !mirror_.final_state(call->id)) return later(call);
       if (mirror_.job(call->id) != nullptr) return mark_cancelled(call);
       if_known(call, false, [this, call] { refuse(call, 404, "no such job"); });
@@ -191,7 +194,7 @@
       return retry(call, [this, call] { mark_cancelled(call); });
     // Changed by somebody else, or perhaps by this very request: look again
     // with a mirror that is current.
-    proof_.request(call->deadline - runtime_.now(), [this, call](bool current) {
+    read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
       if (!current) return later(call);
       retry(call, [this, call] { mark_cancelled(call); });
     });
--- a/src/engine/gateway.hpp
+++ b/src/engine/user_api.hpp
@@ -6,27 +6,29 @@
 
 #include "config/settings.hpp"
 #include "engine/limiter.hpp"
-#include "engine/proof.hpp"
+#include "engine/read_index.hpp"
 #include "net/http_server.hpp"
 
 namespace elmstall::engine {
 
-class Gateway {
+class UserApi {
  public:
   /// `cancelled`: called for each cancellation recorded, before its user is told.
-  Gateway(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
-          ledger::Store& store, ledger::Mirror& mirror, Proof& proof,
+  UserApi(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
+          ledger::Store& store, ledger::Mirror& mirror, ReadIndex& read_index,
           std::function<void(const std::string& job)> cancelled)
       : settings_(settings),
-        runtime_(runtime),
+        loop_(event_loop),
         store_(store),
         mirror_(mirror),
-        proof_(proof),
+        read_index_(read_index),
         cancelled_(std::move(cancelled)),
         scope_(queue),
         limit_(settings.tuning.requests_max) {}
 
-  void set_flavors(const std::vector<wire::Flavor>& flavors) { flavors_ = flavors; }
+  void set_machine_types(const std::vector<wire::MachineType>& machine_types) {
+    machine_types_ = machine_types;
+  }
   void submit(const std::string& body, net::Responder respond);
   void poll(const std::string& id, net::Responder respond);
   void cancel(const std::string& id, net::Responder respond);
@@ -56,13 +58,13 @@
   [[nodiscard]] std::string objection(wire::JobSpec& spec) const;
 
   const config::Settings& settings_;
-  Runtime& runtime_;
+  EventLoop& loop_;
   ledger::Store& store_;
   ledger::Mirror& mirror_;
-  Proof& proof_;
+  ReadIndex& read_index_;
   std::function<void(const std::string& job)> cancelled_;
   CommandScope scope_;
-  std::vector<wire::Flavor> flavors_;
+  std::vector<wire::MachineType> machine_types_;
   ConcurrencyLimit limit_;
 };
 
--- a/src/engine/caretaker.cpp
+++ b/src/engine/zone_delegate.cpp
@@ -1,4 +1,4 @@
-#include "engine/caretaker.hpp"
+#include "engine/zone_delegate.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -11,23 +11,23 @@
 namespace k = constants;
 using ledger::Outcome;
 
-void Caretaker::on_report(Waiting waiting, const View& view) {
+void ZoneDelegate::on_report(Waiting waiting, const View& view) {
   if (waiting.report.zone != settings_.zone) return waiting.respond({503, {}, 0});
   // It would drop an answer of ours, and be kept here while its lease runs out.
   if (waiting.report.token >> k::kTokenFenceBits > mirror_.term())
     return waiting.respond({503, {}, 0});
-  if (entitled() || may_stand_in(waiting.report.host, view))
+  if (delegation_valid() || may_answer_unrecorded(waiting.report.host, view))
     return answer(waiting.report, waiting.respond);
   waiting_.push_back(std::move(waiting));
   if (state_ == State::idle) begin();
 }
 
-bool Caretaker::may_stand_in(const std::string& host, const View& view) const {
-  const double now = runtime_.now();
+bool ZoneDelegate::may_answer_unrecorded(const std::string& host, const View& view) const {
+  const double now = loop_.now();
   if (view.leader_heard || view.state_reachable || !mirror_.loaded()) return false;
   // As for a leader: what is known of the term and of cancellations must be
   // recent enough, in the moment of the answer.
-  if (now - proof_.current_as_of() >= settings_.authority_s()) return false;
+  if (now - read_index_.current_as_of() >= settings_.leader_lease_s()) return false;
   if (!view.neighbour.empty()) return true;
   // Perhaps only this node is cut off, and its workers can do better elsewhere:
   // one that was sent away and is back could not.
@@ -35,8 +35,8 @@
   return sent != turned_away_.end() && now > sent->second;
 }
 
-void Caretaker::turn_away(const Waiting& one, const View& view) {
-  turned_away_[one.report.host] = runtime_.now();
+void ZoneDelegate::turn_away(const Waiting& one, const View& view) {
+  turned_away_[one.report.host] = loop_.now();
   // In a zone that is cut off the others are not to be reached, and trying
   // them takes 5 s each. With us or our neighbour it is heard when the cut ends.
   if (!view.neighbour.empty())
@@ -45,14 +45,15 @@
     one.respond({503, {}, 0});
 }
 
-bool Caretaker::entitled() const {
-  const double now = runtime_.now();
+bool ZoneDelegate::delegation_valid() const {
+  const double now = loop_.now();
   return state_ == State::active &&
-         now < renewed_ + k::kCareLease * (1 - k::kDrift) - k::kCareMargin && mirror_.loaded() &&
-         mirror_.revision() >= revision_ && now - proof_.current_as_of() < k::kCareKnowledge;
+         now < renewed_ + k::kDelegationLease * (1 - k::kDrift) - k::kDelegationMargin &&
+         mirror_.loaded() && mirror_.revision() >= revision_ &&
+         now - read_index_.current_as_of() < k::kDelegationKnowledge;
 }
 
-void Caretaker::answer(const wire::Report& report, const net::Responder& respond) {
+void ZoneDelegate::answer(const wire::Report& report, const net::Responder& respond) {
   const auto found = mirror_.hosts().find(report.host);
   // Unknown to the leader, or about to be called gone: not ours to keep.
   if (found == mirror_.hosts().end() || found->second.record.retired) return respond({503, {}, 0});
@@ -63,7 +64,7 @@
     if (job == nullptr || !job->record.cancelled || task.state == wire::TaskState::ended) continue;
     orders.push_back({wire::Verb::stop, task.job, task.index, task.attempt, 0});
   }
-  answered_at_ = runtime_.now();
+  answered_at_ = loop_.now();
   // The leader may have raised this machine's fence: a lower token than it has
   // seen would be dropped, and with it the lease.
   const bool present = report.token >> k::kTokenFenceBits == mirror_.term();
@@ -73,10 +74,10 @@
        0});
 }
 
-bool Caretaker::may_start_cancelled(const wire::Report& report) const {
+bool ZoneDelegate::may_start_cancelled(const wire::Report& report) const {
   // A `run` that is held on its way is carried out whenever it arrives, as
   // long as the machine has seen no higher token and its session lives. A
-  // caretaker has no higher token to give, so it ends the session instead.
+  // zone delegate has no higher token to give, so it ends the session instead.
   for (const auto& id : mirror_.cancelled()) {
     const auto* blocks = mirror_.blocks(id);
     if (blocks == nullptr) continue;
@@ -97,40 +98,40 @@
   return false;
 }
 
-void Caretaker::begin() {
+void ZoneDelegate::begin() {
   state_ = State::starting;
   const auto round = ++round_;
-  const double sent = runtime_.now();
+  const double sent = loop_.now();
   const auto fail = [this, round] {
     if (round == round_) state_ = State::idle;
   };
-  store_.grant(
-      k::kCareLease, scope_.wrap([this, round, fail, sent](const ledger::GrantResult& granted) {
-        if (round != round_) return;
-        if (granted.outcome != Outcome::ok) return fail();
-        lease_ = granted.lease;
-        wire::Txn txn;
-        // By its own version too: an earlier attempt's transaction that is applied
-        // later would hang the record on that attempt's lease.
-        const auto key = ledger::care_key(settings_.node);
-        const auto own = mirror_.cares().find(settings_.node);
-        txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()},
-                      {key, own == mirror_.cares().end() ? 0 : own->second.second}};
-        txn.writes = {{key, ledger::encode(ledger::CareRecord{settings_.zone}), lease_}};
-        store_.commit(std::move(txn), scope_.wrap([this, round, fail,
-                                                   sent](const ledger::CommitResult& result) {
-          if (round != round_) return;
-          if (result.outcome != Outcome::ok) return fail();
-          spdlog::info("taking care of {}: its leader can't be heard", settings_.zone);
-          state_ = State::active;
-          renewed_ = sent;  // the lease was granted later than this
-          revision_ = result.revision;
-        }));
-      }));
+  store_.grant(k::kDelegationLease, scope_.wrap([this, round, fail,
+                                                 sent](const ledger::GrantResult& granted) {
+    if (round != round_) return;
+    if (granted.outcome != Outcome::ok) return fail();
+    lease_ = granted.lease;
+    wire::Txn txn;
+    // By its own version too: an earlier attempt's transaction that is applied
+    // later would hang the record on that attempt's lease.
+    const auto key = ledger::delegation_key(settings_.node);
+    const auto own = mirror_.delegations().find(settings_.node);
+    txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()},
+                  {key, own == mirror_.delegations().end() ? 0 : own->second.second}};
+    txn.writes = {{key, ledger::encode(ledger::DelegationRecord{settings_.zone}), lease_}};
+    store_.commit(std::move(txn),
+                  scope_.wrap([this, round, fail, sent](const ledger::CommitResult& result) {
+                    if (round != round_) return;
+                    if (result.outcome != Outcome::ok) return fail();
+                    spdlog::info("zone delegate of {}: its leader is unreachable", settings_.zone);
+                    state_ = State::active;
+                    renewed_ = sent;  // the lease was granted later than this
+                    revision_ = result.revision;
+                  }));
+  }));
 }
 
-void Caretaker::renew() {
-  const double sent = runtime_.now();
+void ZoneDelegate::renew() {
+  const double sent = loop_.now();
   next_renew_ = sent + k::kRenewEvery;
   store_.renew(lease_, scope_.wrap([this, sent, round = round_](Outcome outcome) {
     if (round != round_) return;
@@ -141,27 +142,27 @@
   }));
 }
 
-void Caretaker::end(const char* why) {
-  const bool cared = std::exchange(state_, State::idle) == State::active;
+void ZoneDelegate::end(const char* why) {
+  const bool delegated = std::exchange(state_, State::idle) == State::active;
   ++round_;
   heard_since_ = -1;
-  if (!cared) return;
-  spdlog::info("no longer taking care of {}: {}", settings_.zone, why);
+  if (!delegated) return;
+  spdlog::info("no longer zone delegate of {}: {}", settings_.zone, why);
   // Falling silent first, then removing the record; should that fail the
   // lease removes it.
-  const auto found = mirror_.cares().find(settings_.node);
-  if (found == mirror_.cares().end()) return;
+  const auto found = mirror_.delegations().find(settings_.node);
+  if (found == mirror_.delegations().end()) return;
   wire::Txn txn;
-  txn.guards = {{ledger::care_key(settings_.node), found->second.second}};
-  txn.writes = {{ledger::care_key(settings_.node), std::nullopt, 0}};
+  txn.guards = {{ledger::delegation_key(settings_.node), found->second.second}};
+  txn.writes = {{ledger::delegation_key(settings_.node), std::nullopt, 0}};
   store_.commit(std::move(txn), [](const ledger::CommitResult&) {});
 }
 
-void Caretaker::answer_waiting(const View& view) {
-  const double now = runtime_.now();
+void ZoneDelegate::answer_waiting(const View& view) {
+  const double now = loop_.now();
   std::vector<Waiting> left;
   for (auto& one : waiting_) {
-    if (entitled() || may_stand_in(one.report.host, view))
+    if (delegation_valid() || may_answer_unrecorded(one.report.host, view))
       answer(one.report, one.respond);
     else if (now >= one.until)
       turn_away(one, view);
@@ -171,8 +172,8 @@
   waiting_ = std::move(left);
 }
 
-void Caretaker::tick(const View& view) {
-  const double now = runtime_.now();
+void ZoneDelegate::tick(const View& view) {
+  const double now = loop_.now();
   answer_waiting(view);
   std::erase_if(turned_away_, [&](const auto& entry) {
     return view.leader_heard || now - entry.second > k::kTurnedAwayMemory;
@@ -182,7 +183,7 @@
     heard_since_ = -1;
   else if (heard_since_ < 0)
     heard_since_ = now;
-  if (view.leader_heard && now - heard_since_ >= k::kCareEnd)
+  if (view.leader_heard && now - heard_since_ >= k::kDelegationEnd)
     return end("its leader is heard again");
   if (now >= next_renew_) renew();
 }
--- a/src/engine/caretaker.hpp
+++ b/src/engine/zone_delegate.hpp
@@ -1,14 +1,14 @@
 // Keeps the leases of a zone's machines alive while their leader can't.
 //
 // A follower that gets reports of machines whose leader it can't hear either
-// records that it takes care of its zone, and then renews leases: it starts
+// records that it is the delegate of its zone, and then renews leases: it starts
 // nothing and stops only tasks of cancelled jobs. The record hangs on a state
 // lease, and reports are answered under it only while that lease certainly
 // lives.
 //
 // Where the zone is cut off from the state service too, nothing can be
-// recorded. Then it stands in: it answers in the same way without a record, as
-// long as a leader may without the state service, W after its last proof that
+// recorded. Then it acts as an unrecorded delegate: it answers in the same way without a record, as
+// long as a leader may without the state service, W after the last read index that showed that
 // its records are current, and only machines that are not recorded as retired.
 // A leader that gives a machine up reckons with that (docs/design.md, rule 6).
 #pragma once
@@ -18,22 +18,22 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "engine/proof.hpp"
+#include "engine/read_index.hpp"
 #include "net/http_server.hpp"
 
 namespace elmstall::engine {
 
-class Caretaker {
+class ZoneDelegate {
  public:
-  Caretaker(const config::Settings& settings, Runtime& runtime, CommandQueue& queue,
-            ledger::Store& store, const ledger::Mirror& mirror, const Proof& proof)
+  ZoneDelegate(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
+               ledger::Store& store, const ledger::Mirror& mirror, const ReadIndex& read_index)
       : settings_(settings),
-        runtime_(runtime),
+        loop_(event_loop),
         store_(store),
         mirror_(mirror),
-        proof_(proof),
+        read_index_(read_index),
         scope_(queue),
-        answered_at_(runtime.now()) {}
+        answered_at_(event_loop.now()) {}
 
   /// What the node sees of the world around it.
   struct View {
@@ -56,9 +56,9 @@
   void on_report(Waiting waiting, const View& view);
   /// Reports that still wait, for whoever can answer them now.
   [[nodiscard]] std::vector<Waiting> take_waiting() { return std::exchange(waiting_, {}); }
-  /// Renews the care, or ends it when the leader can be heard again.
+  /// Renews the delegation, or ends it when the leader can be heard again.
   void tick(const View& view);
-  /// Answers nobody from here on; does nothing where there is no care.
+  /// Answers nobody from here on; does nothing where there is no delegation.
   void end(const char* why);
   [[nodiscard]] bool active() const { return state_ != State::idle; }
   /// When a report was last answered on the own account; when the process
@@ -72,17 +72,17 @@
   void renew();
   void answer_waiting(const View& view);
   void turn_away(const Waiting& one, const View& view);
-  [[nodiscard]] bool entitled() const;
-  [[nodiscard]] bool may_stand_in(const std::string& host, const View& view) const;
+  [[nodiscard]] bool delegation_valid() const;
+  [[nodiscard]] bool may_answer_unrecorded(const std::string& host, const View& view) const;
   void answer(const wire::Report& report, const net::Responder& respond);
   /// The records place a task of a cancelled job there that it does not show.
   [[nodiscard]] bool may_start_cancelled(const wire::Report& report) const;
 
   const config::Settings& settings_;
-  Runtime& runtime_;
+  EventLoop& loop_;
   ledger::Store& store_;
   const ledger::Mirror& mirror_;
-  const Proof& proof_;
+  const ReadIndex& read_index_;
   CommandScope scope_;
   State state_ = State::idle;
   std::uint64_t round_ = 0;  ///< answers to an earlier round are ignored
--- a/src/fleet/cloud.hpp
+++ b/src/fleet/cloud.hpp
@@ -19,7 +19,8 @@
 class Cloud {
  public:
   virtual ~Cloud() = default;
-  virtual void flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) = 0;
+  virtual void machine_types(
+      std::function<void(std::optional<std::vector<wire::MachineType>>)> done) = 0;
   virtual void list(const std::string& since,
                     std::function<void(std::optional<wire::CloudPage>)> done) = 0;
   virtual void rent(const std::string& name, const std::string& type, const std::string& zone,
--- a/src/fleet/cloud_client.cpp
+++ b/src/fleet/cloud_client.cpp
@@ -22,7 +22,7 @@
   if (auto hosts = decoded(reply, wire::decode_host_names)) return {Outcome::ok, std::move(*hosts)};
   switch (reply.status) {
     case 503:
-      // Two kinds of 503: nothing to be had, or the interface is in trouble.
+      // Two kinds of 503: nothing to be had, or the interface is in fault.
       return {reply.body.find("no capacity") != std::string::npos ? Outcome::no_capacity
                                                                   : Outcome::unavailable,
               {}};
@@ -40,10 +40,11 @@
 CloudClient::CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint)
     : client_(io, endpoint, 4) {}
 
-void CloudClient::flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) {
+void CloudClient::machine_types(
+    std::function<void(std::optional<std::vector<wire::MachineType>>)> done) {
   client_.request("GET", "/flavors", {}, constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) {
-                    done(decoded(reply, wire::decode_flavors));
+                    done(decoded(reply, wire::decode_machine_types));
                   });
 }
 
--- a/src/fleet/cloud_client.hpp
+++ b/src/fleet/cloud_client.hpp
@@ -11,7 +11,8 @@
  public:
   CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint);
 
-  void flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) override;
+  void machine_types(
+      std::function<void(std::optional<std::vector<wire::MachineType>>)> done) override;
   void list(const std::string& since,
             std::function<void(std::optional<wire::CloudPage>)> done) override;
   void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
--- a/src/ledger/mirror.cpp
+++ b/src/ledger/mirror.cpp
@@ -18,7 +18,7 @@
   blocks_.clear();
   hosts_.clear();
   slots_.clear();
-  cares_.clear();
+  delegations_.clear();
   earlier_layout_ = false;
 }
 
@@ -35,7 +35,7 @@
 
 std::vector<Key> Mirror::apply(const wire::Changes& changes) {
   const bool was_loaded = loaded();
-  std::vector<Key> touched;
+  std::vector<Key> changed;
   for (const auto& change : changes.log) {
     auto key = parse_key(change.key);
     // A page that was read later may hold a newer value than this change.
@@ -44,14 +44,14 @@
       put(key, *change.value, change.stamp);
     else
       erase(key);
-    touched.push_back(std::move(key));
+    changed.push_back(std::move(key));
   }
   revision_ = std::max(revision_, changes.revision);
-  if (!was_loaded && loaded()) drop_orphans();
-  return touched;
+  if (!was_loaded && loaded()) drop_ownerless_blocks();
+  return changed;
 }
 
-void Mirror::drop_orphans() {
+void Mirror::drop_ownerless_blocks() {
   // Old values of the log still speak of jobs that are over; what is said of
   // a job counts only while its own record is there.
   std::erase_if(blocks_, [this](const auto& entry) { return !jobs_.contains(entry.first); });
@@ -73,9 +73,9 @@
       const auto found = slots_.find(key.number);
       return found == slots_.end() ? 0 : found->second.stamp;
     }
-    case Key::Kind::care: {
-      const auto found = cares_.find(key.id);
-      return found == cares_.end() ? 0 : found->second.second;
+    case Key::Kind::delegation: {
+      const auto found = delegations_.find(key.id);
+      return found == delegations_.end() ? 0 : found->second.second;
     }
     default:
       return 0;
@@ -101,8 +101,8 @@
     if (block.number <= value.number) block = {value.number, slot, entry.record};
   }
   for (const auto& entry : value.hosts) {
-    if (entry.gone) {
-      // Only while it is the latest word: late copies of old values may still
+    if (entry.removed) {
+      // Only while it is the latest entry: late copies of old values may still
       // name the host, whose end the leader then finds out anew.
       const auto found = hosts_.find(entry.id);
       if (found != hosts_.end() && found->second.number <= value.number) hosts_.erase(found);
@@ -136,8 +136,8 @@
     case Key::Kind::earlier:
       earlier_layout_ = true;
       break;
-    case Key::Kind::care:
-      cares_[key.id] = {decode_care(packed).zone, stamp};
+    case Key::Kind::delegation:
+      delegations_[key.id] = {decode_delegation(packed).zone, stamp};
       break;
     case Key::Kind::final:
       remember_final(key.id, decode_final(packed));
@@ -157,8 +157,8 @@
       cancelled_.erase(key.id);
       if (loaded()) blocks_.erase(key.id);
       break;
-    case Key::Kind::care:
-      cares_.erase(key.id);
+    case Key::Kind::delegation:
+      delegations_.erase(key.id);
       break;
     default:
       break;
--- a/src/ledger/mirror.hpp
+++ b/src/ledger/mirror.hpp
@@ -60,9 +60,10 @@
   [[nodiscard]] const std::map<std::uint32_t, Slot>& slots() const { return slots_; }
   /// Records of a layout that this program does not read: it must not lead.
   [[nodiscard]] bool earlier_layout() const { return earlier_layout_; }
-  /// Zone of every node that is a caretaker, by node.
-  [[nodiscard]] const std::map<std::string, std::pair<std::string, std::uint64_t>>& cares() const {
-    return cares_;
+  /// Zone of every node that is a zone delegate, by node.
+  [[nodiscard]] const std::map<std::string, std::pair<std::string, std::uint64_t>>& delegations()
+      const {
+    return delegations_;
   }
   [[nodiscard]] std::optional<FinalRecord> final_state(const std::string& id) const;
   void remember_final(const std::string& id, const FinalRecord& record);
@@ -78,7 +79,7 @@
   void decode_and_put(const Key& key, const std::string& packed, std::uint64_t stamp);
   void put_slot(std::uint32_t slot, const SlotRecord& record, std::uint64_t stamp);
   void erase(const Key& key);
-  void drop_orphans();
+  void drop_ownerless_blocks();
   [[nodiscard]] std::uint64_t stamp_of(const Key& key) const;
 
   bool listed_ = false;
@@ -96,7 +97,7 @@
   std::map<std::string, Host> hosts_;
   std::map<std::uint32_t, Slot> slots_;
   bool earlier_layout_ = false;
-  std::map<std::string, std::pair<std::string, std::uint64_t>> cares_;  ///< zone and stamp
+  std::map<std::string, std::pair<std::string, std::uint64_t>> delegations_;  ///< zone and stamp
   std::unordered_map<std::string, FinalRecord> finals_;
   std::deque<std::string> final_order_;
 };
--- a/src/ledger/records.cpp
+++ b/src/ledger/records.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view kSlots = "elm/l/log/";
 constexpr std::string_view kEarlierBlocks = "elm/l/block/";
 constexpr std::string_view kEarlierHosts = "elm/l/host/";
-constexpr std::string_view kCares = "elm/l/care/";
+constexpr std::string_view kDelegations = "elm/l/care/";
 constexpr std::string_view kFinals = "elm/f/";
 
 std::string joined(std::string_view prefix, std::string_view id) {
@@ -48,7 +48,7 @@
 
 std::string job_key(std::string_view id) { return joined(kJobs, id); }
 std::string slot_key(std::uint32_t number) { return joined(kSlots, std::to_string(number)); }
-std::string care_key(std::string_view node) { return joined(kCares, node); }
+std::string delegation_key(std::string_view node) { return joined(kDelegations, node); }
 std::string final_key(std::string_view id) { return joined(kFinals, id); }
 
 Key parse_key(std::string_view key) {
@@ -57,7 +57,7 @@
   if (key == kLeadKey) return {Key::Kind::lead, {}, 0};
   if (key == kTypesKey) return {Key::Kind::types, {}, 0};
   if (key.starts_with(kJobs)) return {Key::Kind::job, rest(kJobs), 0};
-  if (key.starts_with(kCares)) return {Key::Kind::care, rest(kCares), 0};
+  if (key.starts_with(kDelegations)) return {Key::Kind::delegation, rest(kDelegations), 0};
   if (key.starts_with(kFinals)) return {Key::Kind::final, rest(kFinals), 0};
   if (key.starts_with(kSlots)) {
     Key parsed{Key::Kind::slot, {}, 0};
@@ -125,7 +125,7 @@
 
 Packed pack(const HostEntry& entry) {
   wire::Packer packer;
-  if (entry.gone) return {packer.list(1).text(entry.id).take(), kJsonList + json_text(entry.id)};
+  if (entry.removed) return {packer.list(1).text(entry.id).take(), kJsonList + json_text(entry.id)};
   const auto& host = entry.record;
   packer.list(5).text(entry.id).text(host.addr).text(host.type).text(host.zone);
   packer.integer((host.spot ? 1U : 0U) | (host.retired ? 2U : 0U));
@@ -143,7 +143,7 @@
   return packer.take();
 }
 
-std::string encode(const CareRecord& record) {
+std::string encode(const DelegationRecord& record) {
   wire::Packer packer;
   return packer.map(1).key("zone").text(record.zone).take();
 }
@@ -219,7 +219,7 @@
   return slot;
 }
 
-CareRecord decode_care(std::string_view packed) {
+DelegationRecord decode_delegation(std::string_view packed) {
   return {wire::Document::parse(packed).fields().text("zone")};
 }
 
--- a/src/ledger/records.hpp
+++ b/src/ledger/records.hpp
@@ -25,14 +25,24 @@
 [[nodiscard]] std::string job_key(std::string_view id);
 /// One value of the ledger log.
 [[nodiscard]] std::string slot_key(std::uint32_t number);
-/// Says that this node may keep leases of its zone alive, see Caretaker.
-[[nodiscard]] std::string care_key(std::string_view node);
+/// Says that this node may keep leases of its zone alive, see ZoneDelegate.
+[[nodiscard]] std::string delegation_key(std::string_view node);
 [[nodiscard]] std::string final_key(std::string_view id);
 
 /// A key taken apart.
 struct Key {
   /// `earlier`: of a layout before the ledger log, which this program can't read.
-  enum class Kind : std::uint8_t { other, term, lead, types, job, slot, care, final, earlier };
+  enum class Kind : std::uint8_t {
+    other,
+    term,
+    lead,
+    types,
+    job,
+    slot,
+    delegation,
+    final,
+    earlier
+  };
   Kind kind = Kind::other;
   std::string id;
   std::uint32_t number = 0;
@@ -70,10 +80,10 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  /// The leader is about to call its tasks gone: no caretaker may answer it.
+  /// The leader is about to call its tasks gone: no zone delegate may answer it.
   bool retired = false;
 };
-struct CareRecord {
+struct DelegationRecord {
   std::string zone;
 };
 /// What one value of the ledger log says of a block or a host: its whole state
@@ -86,7 +96,7 @@
 };
 struct HostEntry {
   std::string id;
-  bool gone = false;
+  bool removed = false;
   HostRecord record;
 };
 struct SlotRecord {
@@ -99,7 +109,7 @@
   std::string bytes;
   std::size_t json = 0;  ///< most bytes that it takes as JSON, as limits are counted
 };
-/// The last word on a job.
+/// The final state of a job.
 struct FinalRecord {
   wire::JobState state = wire::JobState::done;
   std::uint64_t tasks = 0;
@@ -112,14 +122,14 @@
 [[nodiscard]] Packed pack(const HostEntry& entry);
 [[nodiscard]] std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
                                       const std::vector<std::string>& hosts);
-[[nodiscard]] std::string encode(const CareRecord& record);
+[[nodiscard]] std::string encode(const DelegationRecord& record);
 [[nodiscard]] std::string encode(const FinalRecord& record);
 
 [[nodiscard]] TermRecord decode_term(std::string_view packed);
 [[nodiscard]] LeadRecord decode_lead(std::string_view packed);
 [[nodiscard]] JobRecord decode_job(std::string_view packed);
 [[nodiscard]] SlotRecord decode_slot(std::string_view packed);
-[[nodiscard]] CareRecord decode_care(std::string_view packed);
+[[nodiscard]] DelegationRecord decode_delegation(std::string_view packed);
 [[nodiscard]] FinalRecord decode_final(std::string_view packed);
 
 /// Tasks per block: a full block takes less than half of one value.
--- a/src/mesh/messages.hpp
+++ b/src/mesh/messages.hpp
@@ -12,7 +12,7 @@
 namespace elmstall::mesh {
 
 /// Sent about once a second, and when something in it changes.
-struct Beat {
+struct Heartbeat {
   std::string node;
   std::uint64_t term = 0;  ///< highest term known
   std::string leader;      ///< who holds it, if known
@@ -61,7 +61,7 @@
   }
 };
 
-using Message = std::variant<Beat, ForwardedReport, ForwardedReply, Cancelled>;
+using Message = std::variant<Heartbeat, ForwardedReport, ForwardedReply, Cancelled>;
 
 [[nodiscard]] std::string encode(const Message& message);
 /// Throws std::exception on bad input.
--- a/src/sched/fleet_plan.cpp
+++ b/src/sched/fleet_plan.cpp
@@ -17,7 +17,7 @@
 }
 
 /// Spreads `count` machines over the open pools of a kind, emptiest first.
-int spread(const std::vector<Pool>& pools, bool spot, int count, std::vector<int>& extra) {
+int distribute(const std::vector<Pool>& pools, bool spot, int count, std::vector<int>& extra) {
   while (count > 0) {
     std::size_t best = pools.size();
     for (std::size_t i = 0; i < pools.size(); ++i) {
@@ -39,14 +39,14 @@
   const int ordinary_have = total(pools, false);
   const int spot_have = total(pools, true);
   const int ordinary_want = whole(demand.ordinary + demand.headroom);
-  spread(pools, false, std::max(0, ordinary_want - ordinary_have), extra);
+  distribute(pools, false, std::max(0, ordinary_want - ordinary_have), extra);
 
   // What ordinary machines have left over serves flexible work too.
   const double left = std::max(0.0, std::max(ordinary_have, ordinary_want) - demand.ordinary);
   int missing = std::max(0, whole(demand.flexible - left) - spot_have);
-  missing = spread(pools, true, missing, extra);
+  missing = distribute(pools, true, missing, extra);
   // No spot to be had: the work still has to be done.
-  spread(pools, false, missing, extra);
+  distribute(pools, false, missing, extra);
 
   std::vector<Rental> rentals;
   for (std::size_t i = 0; i < pools.size(); ++i) {
--- a/src/sched/group.cpp
+++ b/src/sched/group.cpp
@@ -7,7 +7,7 @@
 namespace elmstall::sched {
 
 bool Queued::before(const Queued& other) const {
-  if (rank != other.rank) return rank > other.rank;
+  if (precedence != other.precedence) return precedence > other.precedence;
   if (tier != other.tier) return tier < other.tier;
   if (due != other.due) return due < other.due;
   return id < other.id;
@@ -145,7 +145,7 @@
   std::size_t moved = 0;
   for (const auto& transfer : balance_round(std::move(loads), threshold_tasks)) {
     auto& to = *order[transfer.to];
-    // From the tail: what stands in front starts soonest where it is.
+    // From the tail: what acts as an unrecorded delegate front starts soonest where it is.
     std::vector<Queued> taken;
     change(*order[transfer.from], [&](Worker& from) {
       for (std::size_t at = from.list.size(); at-- > 0 && taken.size() < transfer.tasks;) {
--- a/src/sched/group.hpp
+++ b/src/sched/group.hpp
@@ -24,10 +24,10 @@
 /// A task that waits in a list.
 struct Queued {
   TaskId id = 0;
-  int rank = 0;       ///< higher goes first
-  int tier = 0;       ///< then the lower: 0 can still be in time
-  double due = 0;     ///< then the earlier
-  double work_s = 0;  ///< anticipated run time
+  int precedence = 0;  ///< higher goes first
+  int tier = 0;        ///< then the lower: 0 can still be in time
+  double due = 0;      ///< then the earlier
+  double work_s = 0;   ///< anticipated run time
   [[nodiscard]] bool before(const Queued& other) const;
 };
 
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -154,8 +154,8 @@
   const Fields fields(object);
   JobSpec job;
   job.id = decode_job_id(object);
-  job.lane = fields.text("lane");
-  check_text(job.lane, "lane");
+  job.job_class = fields.text("lane");
+  check_text(job.job_class, "lane");
   job.team = fields.text("owner");
   check_text(job.team, "owner");
   job.kind = pick(kKinds, fields.text("shape"), "shape");
@@ -171,7 +171,7 @@
     job.types.push_back(as_text(*item, "builds"));
   job.zone = fields.maybe_text("yard");
   job.together = fields.flag("together");
-  job.scatter = fields.flag("scatter");
+  job.spread = fields.flag("scatter");
   job.spot = fields.flag("loaners");
   job.image = fields.text("bundle");
   if (job.image.size() > 200) throw Malformed("field 'bundle' is too long");
@@ -186,7 +186,7 @@
 void pack_job(Packer& packer, const JobSpec& job) {
   packer.map(20);
   packer.key("uid").text(job.id);
-  packer.key("lane").text(job.lane);
+  packer.key("lane").text(job.job_class);
   packer.key("owner").text(job.team);
   packer.key("shape").text(name_of(kKinds, job.kind));
   packer.key("rank").text(name_of(kPriorities, job.priority));
@@ -207,7 +207,7 @@
   else
     packer.null();
   packer.key("together").flag(job.together);
-  packer.key("scatter").flag(job.scatter);
+  packer.key("scatter").flag(job.spread);
   packer.key("loaners").flag(job.spot);
   packer.key("bundle").text(job.image);
   packer.key("pull_gb").number(job.image_gb);
@@ -340,46 +340,46 @@
   return std::string(job) + "/" + std::to_string(index);
 }
 
-std::vector<Flavor> decode_flavors(const Object& object) {
+std::vector<MachineType> decode_machine_types(const Object& object) {
   const Fields fields(object);
-  std::vector<Flavor> flavors;
+  std::vector<MachineType> machine_types;
   const auto [first, last] = elements(&fields.require("builds"), "builds");
   for (const auto* item = first; item != last; ++item) {
     const Fields one(*item);
-    Flavor flavor;
-    flavor.name = one.text("name");
-    flavor.cpus = amount(one, "cores");
-    flavor.gpus = amount_or_zero(one, "cards");
-    flavor.memory_gb = amount(one, "ram_gb");
-    flavor.cache_gb = amount_or_zero(one, "local_gb");
-    flavor.fetch_gb_per_s = amount_or_zero(one, "fetch_gb_per_s");
-    flavor.price = amount_or_zero(one, "price");
-    flavor.spot_price = amount_or_zero(one, "low_price");
-    flavor.ready_s = amount_or_zero(one, "ready_s");
+    MachineType machine_type;
+    machine_type.name = one.text("name");
+    machine_type.cpus = amount(one, "cores");
+    machine_type.gpus = amount_or_zero(one, "cards");
+    machine_type.memory_gb = amount(one, "ram_gb");
+    machine_type.cache_gb = amount_or_zero(one, "local_gb");
+    machine_type.fetch_gb_per_s = amount_or_zero(one, "fetch_gb_per_s");
+    machine_type.price = amount_or_zero(one, "price");
+    machine_type.spot_price = amount_or_zero(one, "low_price");
+    machine_type.ready_s = amount_or_zero(one, "ready_s");
     const auto [zone, zones_end] = elements(one.find("yards"), "yards");
     for (const auto* name = zone; name != zones_end; ++name)
-      flavor.zones.push_back(as_text(*name, "yards"));
-    flavors.push_back(std::move(flavor));
+      machine_type.zones.push_back(as_text(*name, "yards"));
+    machine_types.push_back(std::move(machine_type));
   }
-  return flavors;
+  return machine_types;
 }
 
-std::string encode_flavors(const std::vector<Flavor>& flavors) {
+std::string encode_machine_types(const std::vector<MachineType>& machine_types) {
   Packer packer;
-  packer.map(1).key("builds").list(flavors.size());
-  for (const auto& flavor : flavors) {
+  packer.map(1).key("builds").list(machine_types.size());
+  for (const auto& machine_type : machine_types) {
     packer.map(10);
-    packer.key("name").text(flavor.name);
-    packer.key("cores").number(flavor.cpus);
-    packer.key("cards").number(flavor.gpus);
-    packer.key("ram_gb").number(flavor.memory_gb);
-    packer.key("local_gb").number(flavor.cache_gb);
-    packer.key("fetch_gb_per_s").number(flavor.fetch_gb_per_s);
-    packer.key("price").number(flavor.price);
-    packer.key("low_price").number(flavor.spot_price);
-    packer.key("ready_s").number(flavor.ready_s);
-    packer.key("yards").list(flavor.zones.size());
-    for (const auto& zone : flavor.zones) packer.text(zone);
+    packer.key("name").text(machine_type.name);
+    packer.key("cores").number(machine_type.cpus);
+    packer.key("cards").number(machine_type.gpus);
+    packer.key("ram_gb").number(machine_type.memory_gb);
+    packer.key("local_gb").number(machine_type.cache_gb);
+    packer.key("fetch_gb_per_s").number(machine_type.fetch_gb_per_s);
+    packer.key("price").number(machine_type.price);
+    packer.key("low_price").number(machine_type.spot_price);
+    packer.key("ready_s").number(machine_type.ready_s);
+    packer.key("yards").list(machine_type.zones.size());
+    for (const auto& zone : machine_type.zones) packer.text(zone);
   }
   return packer.take();
 }
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -21,7 +21,7 @@
 /// What a user asks for.
 struct JobSpec {
   std::string id;
-  std::string lane;
+  std::string job_class;
   std::string team;
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
@@ -32,7 +32,7 @@
   std::vector<std::string> types;  ///< allowed machine types; empty: any
   std::optional<std::string> zone;
   bool together = false;
-  bool scatter = false;
+  bool spread = false;
   bool spot = false;
   std::string image;
   double image_gb = 0;
@@ -111,7 +111,7 @@
 [[nodiscard]] std::string task_name(std::string_view job, std::uint32_t index);
 
 // --- cloud -------------------------------------------------------------------
-struct Flavor {
+struct MachineType {
   std::string name;
   double cpus = 0;
   double gpus = 0;
@@ -123,8 +123,8 @@
   double ready_s = 0;
   std::vector<std::string> zones;
 };
-[[nodiscard]] std::vector<Flavor> decode_flavors(const Object& object);
-[[nodiscard]] std::string encode_flavors(const std::vector<Flavor>& flavors);
+[[nodiscard]] std::vector<MachineType> decode_machine_types(const Object& object);
+[[nodiscard]] std::string encode_machine_types(const std::vector<MachineType>& machine_types);
 
 struct CloudHost {
   enum class State : std::uint8_t { booting, running, failed };
--- a/tests/chaos_test.cpp
+++ b/tests/chaos_test.cpp
@@ -4,16 +4,16 @@
 
 #include <cstdlib>
 
-#include "support/troubles.hpp"
+#include "support/faults.hpp"
 
 namespace elmstall::test {
 namespace {
 
-void trouble(World& world) {
+void fault(World& world) {
   const auto node = world.pick(3);
   const double length = 2 + world.random() * 30;
   // Those of this search: seeds of earlier failures still play the same history.
-  single_troubles()[world.pick(20)].begin(world, node, length);
+  single_faults()[world.pick(20)].begin(world, node, length);
 }
 
 /// ELMSTALL_CHAOS_SEEDS: how many histories to play, for longer searches.
@@ -31,7 +31,7 @@
   if (GetParam() % 3 == 0) world.cloud.capacity = 60;
   int jobs = 0;
   std::vector<std::string> services;
-  double next_trouble = 30;
+  double next_fault = 30;
   for (double t = 0; t < 400; t += 1) {
     world.run_until(t);
     if (t < 260 && world.random() < 0.12) {
@@ -47,15 +47,15 @@
       world.cancel("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
     if (jobs > 0)
       world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
-    if (t >= next_trouble && t < 280) {
-      trouble(world);
-      if (world.random() < 0.4) trouble(world);
-      next_trouble = t + 5 + world.random() * 25;
+    if (t >= next_fault && t < 280) {
+      fault(world);
+      if (world.random() < 0.4) fault(world);
+      next_fault = t + 5 + world.random() * 25;
     }
     ASSERT_TRUE(world.rules.broken().empty())
         << "at " << t << " s: " << world.rules.broken().front();
   }
-  // It is a service too: with the troubles over, arrays get done.
+  // It is a service too: with the faults over, arrays get done.
   EXPECT_GT(world.rules.accepted(), static_cast<std::size_t>(jobs) / 2);
   EXPECT_GT(world.rules.finished(), 0U);
   // And nobody is forgotten: every job is answered for, each as well as the
