--- a/tests/meetings_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -1,9 +1,9 @@
-// Where two troubles meet: one test or more for each meeting that users have
+// Where two faults meet: one test or more for each concurrent fault that users have
 // named. Times and moments are drawn through, for most of these were broken
-// only when the second trouble began at one particular step of the first.
+// only when the second fault began at one particular step of the first.
 #include <gtest/gtest.h>
 
-#include "support/scenes.hpp"
+#include "support/scenarios.hpp"
 
 namespace elmstall::test {
 namespace {
@@ -24,7 +24,7 @@
   for (auto& [id, worker] : world.workers) worker->clock = 0.9995;
 }
 
-// --- cancellations and authority ------------------------------------------------------
+// --- cancellations and leader lease ------------------------------------------------------
 
 /// The state service refuses the leader alone, another controller confirms a
 /// cancellation, and then nobody reaches the state service for longer than
@@ -67,7 +67,7 @@
 }
 
 /// Layer 1, the bound W: the leader hears of nothing.
-TEST(MeetingGap, ALeaderThatHearsNobodyStopsInTime) {
+TEST(StaleLeader, ALeaderThatHearsNobodyStopsInTime) {
   for (int step = 0; step < 12; ++step)
     play_gap(1000 + static_cast<unsigned>(step), 0.005 + step * 0.1, false, 0);
 }
@@ -75,7 +75,7 @@
 /// The bound at its edges: the refusal begins at every moment of a proof's
 /// second, the confirmation follows within milliseconds, and the clocks of the
 /// leader and of the machines are as slow as the protocol allows.
-TEST(MeetingGap, TheBoundHoldsToTheMoment) {
+TEST(StaleLeader, TheBoundHoldsToTheMoment) {
   double longest = 0;
   for (int step = 0; step < 50; ++step) {
     World world(1050 + static_cast<unsigned>(step) % 3);
@@ -99,18 +99,18 @@
     ASSERT_TRUE(world.rules.broken().empty()) << step << ": " << world.rules.broken().front();
   }
   // No wider than it needs to be: tasks outlive as long an outage as they may.
-  EXPECT_GT(longest, 40 - constants::kAuthorityMargin - 1);
+  EXPECT_GT(longest, 40 - constants::kLeaderLeaseMargin - 1);
   EXPECT_LE(longest, 40);
 }
 
 /// Layer 3: told by the controller that confirmed, it ends them at once.
-TEST(MeetingGap, ALeaderThatIsToldEndsThemAtOnce) {
+TEST(StaleLeader, ALeaderThatIsToldEndsThemAtOnce) {
   for (int step = 0; step < 12; ++step)
     play_gap(1100 + static_cast<unsigned>(step), 0.005 + step * 0.1, true, 0);
 }
 
 /// Machines hang from the moment of the confirmation and go on later.
-TEST(MeetingGap, MachinesThatHangMeanwhileEndThemToo) {
+TEST(StaleLeader, MachinesThatHangMeanwhileEndThemToo) {
   for (int hang = 1; hang < 10; ++hang) {
     play_gap(1200 + static_cast<unsigned>(hang), 0.3, true, hang);
     play_gap(1220 + static_cast<unsigned>(hang), 0.3, false, hang);
@@ -118,7 +118,7 @@
 }
 
 /// The leader stands still in the gap and wakes with what it knew before.
-TEST(MeetingGap, ALeaderThatStoodStillMeanwhileRenewsNothing) {
+TEST(StaleLeader, ALeaderThatStoodStillMeanwhileRenewsNothing) {
   for (int length = 2; length < 50; length += 4) {
     World world(1300 + static_cast<unsigned>(length));
     world.submit(array(1, 8, 3000));
@@ -141,7 +141,7 @@
 
 /// Layer 2: while direct orders hang, one exchange after the other, no answer
 /// renews a lease without ending the cancelled tasks that it would keep alive.
-TEST(MeetingGap, AnAnswerBesideOrdersThatHangEndsCancelledTasks) {
+TEST(StaleLeader, AnAnswerBesideOrdersThatHangEndsCancelledTasks) {
   World world(1400);
   world.submit(array(1, 4, 3000));
   world.run_until(45);
@@ -175,7 +175,7 @@
 
 /// The state service refuses the leader alone, which hears nobody: what somebody
 /// has just cancelled through another controller is not started any more.
-TEST(MeetingGap, NothingIsStartedOnKnowledgeThatMayBeOutOfDate) {
+TEST(StaleLeader, NothingIsStartedOnKnowledgeThatMayBeOutOfDate) {
   World world(1410);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 8));
@@ -212,7 +212,7 @@
 
 /// In an outage that all see nobody confirms anything, so work that is recorded
 /// goes on to start.
-TEST(MeetingGap, AnOutageThatAllSeeDoesNotStopStarts) {
+TEST(StaleLeader, AnOutageThatAllSeeDoesNotStopStarts) {
   World world(1420);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 8));
@@ -227,12 +227,12 @@
         world.leader() == nullptr ? nullptr : world.leader()->leader()->model().job("job-2");
     if (down || job == nullptr || job->on_hosts == 0) continue;
     // Recorded and not sent yet: the machines hear nothing for 6 s.
-    for (auto& [id, worker] : world.workers) worker->deaf = true;
+    for (auto& [id, worker] : world.workers) worker->answers_dropped = true;
     world.state_down(true);
     down = true;
     starts = world.rules.starts();
     world.run_until(t += 6);
-    for (auto& [id, worker] : world.workers) worker->deaf = false;
+    for (auto& [id, worker] : world.workers) worker->answers_dropped = false;
   }
   ASSERT_TRUE(down);
   EXPECT_GT(world.rules.starts(), starts)
@@ -243,7 +243,7 @@
 // --- held up on the way ------------------------------------------------------------------
 
 /// Orders are carried out seconds later, and the machine then goes on.
-TEST(MeetingHeldOrders, AreVoidOrOverInTime) {
+TEST(DelayedOrders, AreVoidOrOverInTime) {
   for (int hold = 1; hold < 60; hold += 5) {
     World world(1500 + static_cast<unsigned>(hold));
     world.submit(array(1, 8, 20));
@@ -265,9 +265,9 @@
   }
 }
 
-/// A `run` is held on its way while a caretaker keeps the machine's lease: when
+/// A `run` is held on its way while a zone delegate keeps the machine's lease: when
 /// it arrives the job was cancelled longer than `cancel_s` ago.
-TEST(MeetingHeldOrders, ACaretakerKeepsNoLeaseUnderWhichOneMayStartWhatIsCancelled) {
+TEST(DelayedOrders, AZoneDelegateKeepsNoLeaseUnderWhichACancelledTaskMayStart) {
   World world(1560);
   world.cloud.capacity = 20;
   world.submit(array_in("south", 1, 3, 3000));  // leaves room on a machine
@@ -283,7 +283,7 @@
   world.run_until(world.loop.now() + 0.4);  // the exchange is under way
   world.part_zones(true);
   world.run_until(world.loop.now() + 8);
-  ASSERT_FALSE(world.node(1)->mirror().cares().empty()) << "in care";
+  ASSERT_FALSE(world.node(1)->mirror().delegations().empty()) << "in care";
   world.cancel("job-2");
   world.run_until(world.loop.now() + 70);
   world.part_zones(false);
@@ -295,7 +295,7 @@
 
 // --- more work than room, over slow links -----------------------------------------------------
 
-TEST(MeetingOverload, UrgentAndOtherWorkOverSlowLinksIsServedAndAnswered) {
+TEST(SlowLinks, UrgentAndOtherWorkOverSlowLinksIsServedAndAnswered) {
   World world(1600);
   world.cloud.capacity = 6;  // twelve tasks at once
   world.loss = 0.05;
@@ -330,12 +330,12 @@
   expect_rules(world);
 }
 
-// --- mute machines
+// --- machines whose reports do not arrive
 // --------------------------------------------------------------------------------
 
 /// They reach no controller, while direct commands reach them: a reply to those
 /// once counted as a report, and what was started there died with its lease.
-TEST(MeetingMute, NothingIsStartedOnAMachineThatCanNotReport) {
+TEST(LostReports, NothingIsStartedOnAMachineThatCanNotReport) {
   World world(1700);
   world.cloud.capacity = 2;
   world.submit(array(1, 3, 3000));  // leaves room on one machine
@@ -348,7 +348,7 @@
   ASSERT_NE(found, hosts.end());
   const auto* host = found->second.get();
   auto* worker = world.workers.at(host->id).get();
-  worker->mute = true;
+  worker->reports_dropped = true;
   world.cloud.down = true;  // it stays for now
   const double at = world.loop.now();
   // Each is started, called off and thus asked about by direct orders.
@@ -371,24 +371,24 @@
 }
 
 /// Commands go out to them all the same, and many mute at once are a cut.
-TEST(MeetingMute, CancelledTasksEndThereAndManyAreKept) {
+TEST(LostReports, CancelledTasksEndThereAndManyAreKept) {
   World world(1710);
   world.cloud.capacity = 8;
   world.submit(array(1, 8, 3000));
   world.run_until(45);
-  std::vector<FakeWorker*> mute;
+  std::vector<FakeWorker*> reports_dropped;
   for (auto& [id, worker] : world.workers) {
-    worker->mute = true;
-    if (!worker->dead()) mute.push_back(worker.get());
+    worker->reports_dropped = true;
+    if (!worker->dead()) reports_dropped.push_back(worker.get());
   }
   world.run_until(47);
   ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1"));
   world.run_until(50);
   EXPECT_EQ(world.rules.present("job-1"), 0U);
   world.run_until(70);
-  for (auto* worker : mute) {
+  for (auto* worker : reports_dropped) {
     EXPECT_FALSE(worker->dead()) << "all at once are not given up";
-    worker->mute = false;
+    worker->reports_dropped = false;
   }
   world.submit(array(2, 8, 10));
   world.run_until(140);
@@ -400,7 +400,7 @@
 // --------------------------------------------------------
 
 /// Without an answer, and after newer ones of the same controller.
-TEST(MeetingLateWrites, ChangeNothingThatWasSaidSince) {
+TEST(DelayedCommits, ChangeNothingThatWasSaidSince) {
   for (unsigned seed = 1; seed <= 16; ++seed) {
     World world(1800 + seed);
     world.run_until(2);
@@ -427,7 +427,7 @@
 /// The transaction of a candidacy that was given up is applied after all, while
 /// the next one's lease is there already: the leader renews the lease that its
 /// record hangs on, and stays.
-TEST(MeetingLateWrites, ACandidacyThatWinsLateKeepsItsOwnLease) {
+TEST(DelayedCommits, ACandidacyThatWinsLateKeepsItsOwnLease) {
   std::size_t late_wins = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     World world(1850 + seed);
@@ -452,7 +452,7 @@
 
 /// The leadership was won, but the winner's watch tells it only when the lease
 /// has run out: it may stand again, or in the end nobody does.
-TEST(MeetingLateWrites, WhoHearsTooLateOfItsElectionStandsAgain) {
+TEST(DelayedCommits, WhoHearsTooLateOfItsElectionStartsAnother) {
   World world(1890);
   world.run_until(5);
   std::set<std::string> held;
@@ -476,7 +476,7 @@
 // ------------------------------------------------------------------------------------
 
 /// For longer than a lease, with a cancellation before or after.
-TEST(MeetingAllAway, TasksAreStartedAgainAndCancelledOnesAreNot) {
+TEST(AllControllersDown, TasksAreStartedAgainAndCancelledOnesAreNot) {
   for (int away = 2; away < 40; away += 3) {
     World world(1900 + static_cast<unsigned>(away));
     world.submit(array(1, 8, 40));
@@ -500,7 +500,7 @@
 
 /// Several jobs at once through all controllers, in the very moment in which the
 /// leader is refused, and a second later nobody is served.
-TEST(MeetingCancelNow, InTheMomentOfTheRefusal) {
+TEST(CancellationDuringRefusal, InTheMomentOfTheRefusal) {
   for (int step = 0; step < 20; ++step) {
     World world(2000 + static_cast<unsigned>(step), 3 + static_cast<std::size_t>(step) % 2);
     world.cloud.capacity = 24;
@@ -534,7 +534,7 @@
 
 /// Services and arrays that may not run anywhere lose machines, with orders lost
 /// on the way: what may still be there counts until it is certainly gone.
-TEST(MeetingBoundWork, LosesMachinesAndIsPlacedByItsRulesAgain) {
+TEST(ZoneBoundWork, LosesMachinesAndIsPlacedByItsRulesAgain) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     World world(2100 + seed, 4);
     world.cloud.capacity = 30;
@@ -544,7 +544,7 @@
     together.together = true;
     world.submit(together);
     auto bound = service(4, 3);
-    bound.scatter = false;
+    bound.spread = false;
     bound.zone = "south";
     world.submit(bound);
     world.run_until(60);
@@ -577,7 +577,7 @@
 
 /// A machine does not move: a report that names another zone once took its tasks
 /// out of the count of a zone in which they had never been counted.
-TEST(MeetingBoundWork, AReportThatNamesAnotherZoneChangesNoCount) {
+TEST(ZoneBoundWork, AReportThatNamesAnotherZoneChangesNoCount) {
   World world(2150);
   world.submit(service(1, 4));
   world.run_until(60);
@@ -608,7 +608,7 @@
 
 /// The leader changes, some of the team's machines can't be asked, and its jobs
 /// are cancelled in that spell: what may still be there counts.
-TEST(MeetingTeamLimit, CountsWhatCanNotBeAskedFor) {
+TEST(TeamLimit, CountsWhatCanNotBeAskedFor) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     World world(2200 + seed);
     world.cloud.capacity = 12;
@@ -624,13 +624,13 @@
     int some = 0;
     for (auto& [id, worker] : world.workers) {
       worker->cut = some++ % 2 == 0;
-      if (seed % 3 == 0) worker->deaf = !worker->cut;
+      if (seed % 3 == 0) worker->answers_dropped = !worker->cut;
     }
     world.crash(leader_index(world), seed % 2 == 0 ? 0.2 : 8);
     world.run_until(46.5 + 0.5 * seed);
     world.cancel("job-1");
     world.run_until(70);
-    for (auto& [id, worker] : world.workers) worker->cut = worker->deaf = false;
+    for (auto& [id, worker] : world.workers) worker->cut = worker->answers_dropped = false;
     world.run_until(180);
     EXPECT_EQ(told(world, "job-1"), JobState::cancelled) << seed;
     EXPECT_EQ(told(world, "job-2"), JobState::done) << seed;
@@ -640,7 +640,7 @@
 
 /// A task that is shown where the records don't place it takes its team's share
 /// until it is gone.
-TEST(MeetingTeamLimit, CountsOrphansOfKnownJobs) {
+TEST(TeamLimit, CountsUnrecordedTasksOfKnownJobs) {
   World world(2220);
   auto job = array(1, 6, 3000);
   job.team = "red";
@@ -670,7 +670,7 @@
 /// A block names a machine that the records no longer know, for the machine's
 /// end was written before the block: its task once counted for its team for
 /// ever, and a cancelled job never came to its end.
-TEST(MeetingTeamLimit, ATaskOnAMachineThatWasDeletedHoldsNothing) {
+TEST(TeamLimit, ATaskOnAMachineThatWasDeletedHoldsNothing) {
   World world(2230);
   auto job = array(1, 8, 3000);
   job.team = "red";
@@ -703,7 +703,7 @@
 /// users still reach it; jobs are cancelled through the new one. A worker that
 /// has heard of the new term drops the former leader's answers, and must not be
 /// kept there while its lease runs out.
-TEST(MeetingLeaderApart, KeepsNoWorkerThatHasHeardOfItsSuccessor) {
+TEST(IsolatedLeader, KeepsNoWorkerThatHasHeardOfItsSuccessor) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     World world(2300 + seed);
     world.cloud.capacity = 16;
@@ -730,9 +730,9 @@
   }
 }
 
-/// The same for a controller that stands in for its zone: it has heard of the
+/// The same for a controller that acts as an unrecorded delegate for its zone: it has heard of the
 /// next leader, but its records are those of the former term.
-TEST(MeetingLeaderApart, NobodyStandsInUnderATermThatIsOver) {
+TEST(IsolatedLeader, NobodyActsAsDelegateUnderATermThatIsOver) {
   for (const bool next : {false, true}) {
     World world(2390);
     world.cloud.capacity = 20;
@@ -744,7 +744,7 @@
     for (auto& [id, one] : world.workers) one->cut = true;  // we speak for them
     const auto term = world.leader()->leader()->term() + (next ? 1 : 0);
     world.cut_zone("south", true);
-    world.node(1)->on_message(mesh::Beat{"node-0", term, "node-0", true, true, 0, 1e9});
+    world.node(1)->on_message(mesh::Heartbeat{"node-0", term, "node-0", true, true, 0, 1e9});
     world.run_until(world.loop.now() + 5);
     auto report = report_of(*worker, 1, 1, term << constants::kTokenFenceBits);
     const auto ask = [&](double patience) {
@@ -763,7 +763,7 @@
 
 /// Two or three tasks that end far apart: what ended before the change is done
 /// for ever, and none of it runs again.
-TEST(MeetingHandOver, JobsWhoseTasksEndFarApart) {
+TEST(RollingTakeover, JobsWhoseTasksEndFarApart) {
   for (int step = 0; step < 16; ++step) {
     World world(2400 + static_cast<unsigned>(step));
     world.cloud.capacity = 12;
@@ -785,7 +785,7 @@
 
 /// Also inside an outage. Each takeover begins its wait for silent machines
 /// anew: after the last one nothing waits longer than 90 s.
-TEST(MeetingTakeovers, TenInTwoMinutesLeaveNothingWaiting) {
+TEST(RepeatedTakeovers, TenInTwoMinutesLeaveNothingWaiting) {
   for (unsigned seed = 1; seed <= 8; ++seed) {
     World world(2500 + seed);
     world.cloud.capacity = 12;
@@ -822,7 +822,7 @@
 /// Until a new leader has acted, or from seconds to well over a lease: the first
 /// word that a leader hears of a machine may be one of an earlier session, or of
 /// an earlier attempt.
-TEST(MeetingHeldReports, SayNothingOfTheTasksThatCameAfter) {
+TEST(DelayedReports, SayNothingOfTheTasksThatCameAfter) {
   for (int held = 2; held < 40; held += 4) {
     World world(2600 + static_cast<unsigned>(held));
     world.cloud.capacity = 10;
@@ -854,7 +854,7 @@
 
 /// A leader ends while machines with long tasks can't be reached, or don't hear
 /// the new leader's answer.
-TEST(MeetingLeaderEnds, WithMachinesThatDoNotHearTheNext) {
+TEST(LeaderCrash, WithMachinesThatDoNotHearTheNext) {
   for (int spell = 4; spell < 70; spell += 6) {
     World world(2700 + static_cast<unsigned>(spell));
     world.cloud.capacity = 12;
@@ -863,11 +863,11 @@
     for (auto& [id, worker] : world.workers) {
       const double chance = world.random();
       worker->cut = chance < 0.3;
-      worker->deaf = chance >= 0.3 && chance < 0.5;
+      worker->answers_dropped = chance >= 0.3 && chance < 0.5;
     }
     world.crash(leader_index(world), spell % 4 == 0 ? 0.1 : 8);
     world.run_until(46 + spell);
-    for (auto& [id, worker] : world.workers) worker->cut = worker->deaf = false;
+    for (auto& [id, worker] : world.workers) worker->cut = worker->answers_dropped = false;
     world.cloud.capacity = 12;
     world.run_until(46 + spell + 90);
     EXPECT_EQ(world.rules.present("job-1"), 10U) << spell;
@@ -879,7 +879,7 @@
 // ---------------------------------------------------------------------------------------------------------
 
 /// Controllers hand over and back, all end, and one returns, within a second.
-TEST(MeetingOverAndBack, AllEndAndOneReturns) {
+TEST(FullRestart, AllEndAndOneReturns) {
   for (int step = 0; step < 16; ++step) {
     World world(2800 + static_cast<unsigned>(step));
     world.submit(array(1, 8, 30));
@@ -905,7 +905,7 @@
 
 /// With workers and a controller, for longer than a lease, while jobs that run
 /// there are cancelled outside: the zone can't hear of it.
-TEST(MeetingZoneCut, WhatIsCancelledOutsideEndsInsideInTime) {
+TEST(ZonePartition, WhatIsCancelledOutsideEndsInsideInTime) {
   for (int length = 8; length < 80; length += 6) {
     World world(2900 + static_cast<unsigned>(length), 4);
     world.cloud.capacity = 30;
@@ -926,9 +926,9 @@
   }
 }
 
-/// The transaction of a care that was given up is applied after the next one's:
+/// The transaction of a delegation that was given up is applied after the next one's:
 /// it must not hang the record on a lease that nobody renews.
-TEST(MeetingZoneCut, ACareWrittenLateDoesNotTakeTheRecordFromTheNext) {
+TEST(ZonePartition, ADelegationWrittenLateDoesNotReplaceTheNext) {
   World world(2990);
   world.cloud.capacity = 20;
   world.submit(array_in("south", 1, 2, 3000));
@@ -952,7 +952,7 @@
   world.store(1).road = {};
   send();
   world.run_until(world.loop.now() + 0.1);
-  const auto care = ledger::care_key("node-1");
+  const auto care = ledger::delegation_key("node-1");
   ASSERT_TRUE(world.state.items().contains(care));
   for (int i = 0; i < 60; ++i) {
     world.run_until(world.loop.now() + 0.1);
@@ -964,8 +964,8 @@
 // --------------------------------------------------------------------------------------------
 
 /// A cancellation, a question and a repeated submission meet it, on all nodes
-/// and with no other trouble: the first answer binds every node for ever.
-TEST(MeetingEndOfTheLastTask, TheFirstAnswerBindsAll) {
+/// and with no other fault: the first answer binds every node for ever.
+TEST(JobCompletion, TheFirstAnswerBindsAll) {
   std::size_t done = 0;
   std::size_t cancelled = 0;
   for (int step = 0; step < 60; ++step) {
@@ -998,7 +998,7 @@
 
 /// Rule 4: what a report says is recorded before the worker is told to forget
 /// it, also while the state service is away.
-TEST(MeetingEndOfTheLastTask, IsRecordedBeforeItIsCleared) {
+TEST(JobCompletion, IsRecordedBeforeItIsCleared) {
   World world(3050);
   world.submit(array(1, 1, 3000));
   world.run_until(30);
@@ -1061,7 +1061,7 @@
   return packer.take();
 }
 
-TEST(MeetingOddRequests, EachGetsItsStatusAtOnceAndNothingIsStored) {
+TEST(OddRequests, EachGetsItsStatusAtOnceAndNothingIsStored) {
   World world(3100);
   world.cloud.capacity = 0;  // only what is answered and stored matters here
   world.run_until(10);
@@ -1115,7 +1115,7 @@
 
 /// An id that was accepted keeps its answer, whatever is sent with it; one that
 /// was not is unknown.
-TEST(MeetingOddRequests, RepeatsAndCancellationsOfAllKinds) {
+TEST(OddRequests, RepeatsAndCancellationsOfAllKinds) {
   World world(3110);
   const auto first = array(1, 2, 3);
   world.submit(first);
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -18,7 +18,7 @@
     // Short, so that real seconds suffice.
     world_.settings.report_s = 0.3;
     world_.settings.list_lag_s = 0.2;
-    world_.flavors.front().ready_s = 1;
+    world_.machine_types.front().ready_s = 1;
     world_.outside_nodes = kNodes;
     std::vector<std::string> api;
     std::vector<std::string> mesh;
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -1,7 +1,7 @@
-// The real engine against the plain world, one trouble at a time.
+// The real engine against the plain world, one fault at a time.
 #include <gtest/gtest.h>
 
-#include "support/scenes.hpp"
+#include "support/scenarios.hpp"
 
 namespace elmstall::test {
 namespace {
@@ -75,7 +75,7 @@
   world.run_until(40);
   EXPECT_EQ(running(world, "job-1"), 4U);
   auto urgent = service(2, 2);
-  urgent.scatter = false;
+  urgent.spread = false;
   world.submit(urgent);
   world.run_until(55);
   EXPECT_EQ(running(world, "job-2"), 2U);
@@ -320,8 +320,8 @@
   expect_rules_and_starts(world);
 }
 
-/// The caretaker: a cut between the zones, longer than a lease.
-TEST(CutZone, ACaretakerKeepsItsLeases) {
+/// The zone delegate: a cut between the zones, longer than a lease.
+TEST(CutZone, AZoneDelegateKeepsItsLeases) {
   World world(13);
   world.submit(service(1, 4));
   world.run_until(40);
@@ -336,8 +336,8 @@
   expect_rules_and_starts(world);
 }
 
-/// A cancellation during the cut: the caretaker stops its tasks.
-TEST(CutZone, ACaretakerHonoursCancellations) {
+/// A cancellation during the cut: the zone delegate stops its tasks.
+TEST(CutZone, AZoneDelegateHonoursCancellations) {
   World world(14);
   world.submit(service(1, 4));
   world.run_until(40);
--- a/tests/troubles_test.cpp
+++ b/tests/faults_test.cpp
@@ -1,8 +1,8 @@
-// The troubles that came with the grown deployments, one at a time, and the
+// The faults that came with the grown deployments, one at a time, and the
 // orders that go straight to the workers.
 #include <gtest/gtest.h>
 
-#include "support/scenes.hpp"
+#include "support/scenarios.hpp"
 
 namespace elmstall::test {
 namespace {
@@ -35,12 +35,12 @@
     world.submit(array(1, 4, 15));
     world.run_until(20);
     // All that is sent now is held on the way, or lost, or answered in vain.
-    for (auto& [id, worker] : world.workers) worker->deaf = true;
+    for (auto& [id, worker] : world.workers) worker->answers_dropped = true;
     world.submit(array(2, 6, 15));
     world.run_until(24);
     world.cancel("job-1");
     world.run_until(26 + seed % 8);
-    for (auto& [id, worker] : world.workers) worker->deaf = false;
+    for (auto& [id, worker] : world.workers) worker->answers_dropped = false;
     world.run_until(200);
     world.poll("job-2");
     world.run_until(202);
@@ -95,42 +95,42 @@
   expect_rules(world);
 }
 
-// --- deaf machines ------------------------------------------------------------------
+// --- unresponsive machines ------------------------------------------------------------------
 
-TEST(DeafMachine, ItsTasksGoOnElsewhereAndItGetsNoWorkUntilItHears) {
+TEST(UnresponsiveMachine, ItsTasksGoOnElsewhereAndItGetsNoWorkUntilItHears) {
   World world(34);
   world.submit(array(1, 4, 300));
   world.run_until(40);
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
-  worker->deaf = true;
+  worker->answers_dropped = true;
   world.run_until(67);  // its lease is over, and the next one too
   auto& model = world.leader()->leader()->model();
   auto* host = model.find_host(worker->id());
   ASSERT_NE(host, nullptr);
-  EXPECT_TRUE(host->deaf);
+  EXPECT_TRUE(host->unresponsive);
   EXPECT_TRUE(host->tasks.empty());
   EXPECT_EQ(placed(world, "job-1"), 4U) << "elsewhere";
   world.submit(array(2, 8, 300));
   world.run_until(75);
-  EXPECT_TRUE(host->tasks.empty()) << "no new work for the deaf";
-  worker->deaf = false;
+  EXPECT_TRUE(host->tasks.empty()) << "no new work for an unresponsive machine";
+  worker->answers_dropped = false;
   world.run_until(84);
-  EXPECT_FALSE(host->deaf);
+  EXPECT_FALSE(host->unresponsive);
   world.submit(array(3, 12, 300));
   world.run_until(95);
   EXPECT_FALSE(host->tasks.empty()) << "used again";
   expect_rules(world);
 }
 
-TEST(DeafMachine, ThatStaysSoIsReturned) {
+TEST(UnresponsiveMachine, ThatStaysSoIsReturned) {
   World world(35);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 500));
   world.run_until(40);
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
-  worker->deaf = true;
+  worker->answers_dropped = true;
   world.run_until(110);
   EXPECT_TRUE(worker->dead());
   world.run_until(150);
@@ -160,12 +160,12 @@
   }
 }
 
-// --- machines that die while a zone is in care -----------------------------------------
+// --- machines that die while a zone is delegated -----------------------------------------
 
 /// A retirement was once refused while anybody took care of any zone, and the
 /// refusal failed all that was to be recorded beside it: starts and ends of all
 /// zones stood still for as long as one zone was cut.
-TEST(DeadMachine, IsGivenUpThoughAnotherZoneIsInCare) {
+TEST(DeadMachine, IsGivenUpThoughAnotherZoneHasADelegate) {
   World world(43);
   world.cloud.capacity = 20;
   world.submit(array_in("north", 1, 5, 2000));
@@ -176,14 +176,14 @@
   lead_from_north(world);
   world.cut_mesh(1, true);  // the only controller of the south
   world.run_until(60);
-  ASSERT_FALSE(world.leader()->mirror().cares().empty()) << "the south is in care";
+  ASSERT_FALSE(world.leader()->mirror().delegations().empty()) << "the south is in care";
   world.cloud.down = true;  // no help from there
   auto* dead = worker_of(world, "job-1");
   ASSERT_NE(dead, nullptr);
   dead->die();
   world.submit(array_in("north", 3, 1, 20));  // ends when the dead machine's lease of 10 s is over
   world.run_until(95);
-  ASSERT_FALSE(world.leader()->mirror().cares().empty());
+  ASSERT_FALSE(world.leader()->mirror().delegations().empty());
   auto* host = world.leader()->leader()->model().find_host(dead->id());
   ASSERT_NE(host, nullptr);
   EXPECT_TRUE(host->tasks.empty()) << "given up";
@@ -208,8 +208,8 @@
 }
 
 /// A zone that is cut off from the state service too can record no care. Its
-/// controllers stand in for W, and its tasks outlive the cut.
-TEST(ZoneCut, TasksOutliveWhatAuthorityAndLeaseCover) {
+/// controllers act as an unrecorded delegate for W, and its tasks outlive the cut.
+TEST(ZoneCut, TasksOutliveLeaderLeaseAndWorkerLease) {
   World world(45, 4);
   start_in_both_zones(world);
   const auto starts = world.rules.starts();
@@ -276,14 +276,14 @@
 
 /// Machines that died are given up at the end of their lease though all
 /// controllers of their zone are there to have answered them.
-TEST(ZoneCut, ADeadMachineWaitsForNoAuthority) {
+TEST(ZoneCut, ADeadMachineWaitsForNoLeaderLease) {
   World world(46, 4);
   start_in_both_zones(world);
   world.cloud.down = true;
   auto* dead = worker_of(world, "job-2");
   ASSERT_NE(dead, nullptr);
   dead->die();
-  world.run_until(world.loop.now() + 13.5);  // its lease is 10 s, a beat 0.8 s
+  world.run_until(world.loop.now() + 13.5);  // its lease is 10 s, a heartbeat 0.8 s
   EXPECT_TRUE(world.leader()->leader()->model().find_host(dead->id())->tasks.empty());
   expect_rules(world);
 }
@@ -314,9 +314,9 @@
   }
 }
 
-/// Leader, caretaker and follower stand still for longer than each of their
+/// Leader, zone delegate and follower stand still for longer than each of their
 /// leases while their clocks run on, and wake with old thoughts.
-TEST(FrozenController, DoesNothingOnWakingThatItsAuthorityNoLongerCovers) {
+TEST(FrozenController, DoesNothingOnWakingAfterItsLeaderLease) {
   for (int length = 2; length < 60; length += 4) {
     for (std::size_t role = 0; role < 3; ++role) {
       World world(900 + static_cast<unsigned>(length) + static_cast<unsigned>(role));
@@ -326,7 +326,7 @@
       world.run_until(25);
       const auto lead = leader_index(world);
       const auto node = role == 0 ? lead : 1;
-      if (role == 1) {  // in care of the south
+      if (role == 1) {  // delegated of the south
         world.cut_mesh(1, true);
         world.run_until(32);
       }
@@ -551,7 +551,7 @@
   EXPECT_LT(answer->body.size(), 64U * 1024);
   EXPECT_EQ(wire::decode_orders(wire::Document::parse(answer->body).root()).orders.size(),
             constants::kMaxOrders);
-  EXPECT_TRUE(world.leader()->leader()->model().find_host("host-999999")->foreign);
+  EXPECT_TRUE(world.leader()->leader()->model().find_host("host-999999")->has_unknown_jobs);
 }
 
 // --- fleet ---------------------------------------------------------------------------------
@@ -576,7 +576,7 @@
 }
 
 /// A job bound to one zone once waited for ever beside idle machines of another,
-/// and so did a gang larger than what stood in any one zone.
+/// and so did a gang larger than what acted as an unrecorded delegate any one zone.
 TEST(Fleet, ZonesOfBoundWorkAreServed) {
   for (const char* zone : {"north", "south"}) {
     World world(41);
--- a/tests/committer_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -1,6 +1,6 @@
 // The ledger log: whatever gets lost, late or twice on the way to the state
 // service, what a new leader would read is what this leader counts as written.
-#include "engine/committer.hpp"
+#include "engine/group_commit.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,22 +10,22 @@
 namespace {
 
 using ledger::BlockEntry;
-using Kind = Committer::Record::Kind;
+using Kind = GroupCommit::Record::Kind;
 
-/// One leader's committer over the plain state service, with blocks whose
+/// One leader's group commit over the plain state service, with blocks whose
 /// attempt numbers stand for their versions.
-class CommitterTest : public ::testing::Test {
+class GroupCommitTest : public ::testing::Test {
  protected:
   struct Block {
     BlockEntry entry;
-    Committer::Record* record = nullptr;
+    GroupCommit::Record* record = nullptr;
   };
 
-  CommitterTest()
+  GroupCommitTest()
       : state_(loop_),
-        runtime_(loop_, 7),
+        event_loop_(loop_, 7),
         store_(loop_, state_, 8),
-        queue_(runtime_, [] {}),
+        queue_(event_loop_, [] {}),
         scope_(queue_) {
     settings_.state_value_kb = 1;
     settings_.txn_ops = 8;
@@ -33,10 +33,10 @@
     txn.writes = {{std::string(ledger::kTermKey), ledger::encode(ledger::TermRecord{1}), 0}};
     state_.commit(txn);
     refresh();
-    committer_ = std::make_unique<Committer>(
-        settings_, runtime_, queue_, store_, mirror_, mirror_.term_stamp(),
-        Committer::Events{[this](const std::string& job) { finished_.insert(job); },
-                          [this] { deposed_ = true; }, [](double) {}});
+    group_commit_ = std::make_unique<GroupCommit>(
+        settings_, event_loop_, queue_, store_, mirror_, mirror_.term_stamp(),
+        GroupCommit::Events{[this](const std::string& job) { finished_.insert(job); },
+                            [this] { deposed_ = true; }, [](double) {}});
   }
 
   void refresh() {
@@ -47,7 +47,7 @@
     const std::string id = "job-" + std::to_string(job);
     ledger::JobRecord record;
     record.spec.id = id;
-    record.spec.lane = record.spec.team = "x";
+    record.spec.job_class = record.spec.team = "x";
     record.spec.image = "i";
     wire::Txn txn;
     txn.writes = {{ledger::job_key(id), ledger::encode(record), 0}};
@@ -55,16 +55,17 @@
     refresh();
     auto& block = blocks_[id];
     block.entry = {id, 0, {{false, false}, {{0, 0, "host-1"}}}};
-    block.record = committer_->add(Kind::block, id, [&block] { return ledger::pack(block.entry); });
+    block.record =
+        group_commit_->add(Kind::block, id, [&block] { return ledger::pack(block.entry); });
     return block;
   }
   void change(Block& block) {
     ++block.entry.record.tasks[0].attempt;
-    committer_->touch(*block.record);
+    group_commit_->mark_dirty(*block.record);
   }
   void run(double seconds) {
     for (const double end = loop_.now() + seconds; loop_.now() < end;) {
-      committer_->flush();
+      group_commit_->flush();
       loop_.run_until(loop_.now() + 0.05);
       refresh();
     }
@@ -77,18 +78,18 @@
   config::Settings settings_;
   test::VirtualLoop loop_;
   test::FakeState state_;
-  test::VirtualRuntime runtime_;
+  test::VirtualEventLoop event_loop_;
   test::FakeStore store_;
   CommandQueue queue_;
   CommandScope scope_;
   ledger::Mirror mirror_;
-  std::unique_ptr<Committer> committer_;
+  std::unique_ptr<GroupCommit> group_commit_;
   std::map<std::string, Block> blocks_;
   std::set<std::string> finished_;
   bool deposed_ = false;
 };
 
-TEST_F(CommitterTest, ACommitCostsBytesNotRecords) {
+TEST_F(GroupCommitTest, ACommitCostsBytesNotRecords) {
   for (int i = 0; i < 60; ++i) change(add_block(i));
   run(2);
   const auto before = state_.revision();
@@ -100,7 +101,7 @@
     EXPECT_EQ(stored_attempt(id), block.entry.record.tasks[0].attempt) << id;
 }
 
-TEST_F(CommitterTest, TheLogStaysSmallAndItsValuesWithinTheLimit) {
+TEST_F(GroupCommitTest, TheLogStaysSmallAndItsValuesWithinTheLimit) {
   for (int i = 0; i < 40; ++i) add_block(i);
   std::mt19937 random(3);
   for (int round = 0; round < 400; ++round) {
@@ -122,7 +123,7 @@
 /// Answers lost, transactions applied seconds later, one version overtaking
 /// another: what counts as written is what the log says, and what is never
 /// written twice under one number.
-TEST_F(CommitterTest, LostAndLateTransactionsDoNoHarm) {
+TEST_F(GroupCommitTest, LostAndLateTransactionsDoNoHarm) {
   for (unsigned seed = 1; seed <= 5; ++seed) {
     std::mt19937 random(seed);
     for (int i = 0; i < 20; ++i) add_block(static_cast<int>(seed) * 100 + i);
@@ -151,14 +152,14 @@
 
 /// Until a job's last word is written its blocks stay in the log: a leader
 /// that found none would hand out its attempt numbers again.
-TEST_F(CommitterTest, BlocksOutliveTheirSlotUntilTheLastWord) {
+TEST_F(GroupCommitTest, BlocksOutliveTheirSlotUntilTheFinalState) {
   settings_.txn_ops = 4;  // one last word at a time
   for (int i = 0; i < 40; ++i) change(add_block(i));
   run(10);
   // Far more last words than one transaction takes, while every commit
   // overwrites a slot.
   for (auto& [id, block] : blocks_) {
-    committer_->finish({id, {wire::JobState::done, 2}, {block.record}});
+    group_commit_->finish({id, {wire::JobState::done, 2}, {block.record}});
     block.record = nullptr;
   }
   for (int round = 0; round < 60; ++round) {
@@ -182,7 +183,7 @@
 
 /// While the copy of the records is read anew, page by page, jobs are missing in
 /// it: their blocks must not be taken for those of jobs that are over.
-TEST_F(CommitterTest, NothingIsWrittenWhileTheCopyIsReadAnew) {
+TEST_F(GroupCommitTest, NothingIsWrittenWhileTheCopyIsReadAnew) {
   for (int i = 0; i < 30; ++i) change(add_block(i));
   run(5);
   std::mt19937 random(4);
@@ -196,7 +197,7 @@
       change(block);
     }
     for (int i = 0; i < 4; ++i) {
-      committer_->flush();
+      group_commit_->flush();
       loop_.run_until(loop_.now() + 0.1);
     }
     refresh();
@@ -209,7 +210,7 @@
   }
 }
 
-TEST_F(CommitterTest, AFormerLeadersTransactionFails) {
+TEST_F(GroupCommitTest, AFormerLeadersTransactionFails) {
   change(add_block(1));
   wire::Txn txn;
   txn.writes = {{std::string(ledger::kTermKey), ledger::encode(ledger::TermRecord{2}), 0}};
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -10,7 +10,7 @@
 std::string job_value(const std::string& id, bool cancelled) {
   JobRecord record;
   record.spec.id = id;
-  record.spec.lane = "x";
+  record.spec.job_class = "x";
   record.spec.team = "t";
   record.spec.tasks = 3;
   record.cancelled = cancelled;
@@ -31,7 +31,7 @@
   EXPECT_EQ(parse_key(slot_key(12)).number, 12U);
   EXPECT_EQ(parse_key(job_key("job-7")).kind, Key::Kind::job);
   EXPECT_EQ(parse_key(final_key("job-7")).kind, Key::Kind::final);
-  EXPECT_EQ(parse_key(care_key("n")).kind, Key::Kind::care);
+  EXPECT_EQ(parse_key(delegation_key("n")).kind, Key::Kind::delegation);
   EXPECT_EQ(parse_key("elm/l/log/x").kind, Key::Kind::other);
   EXPECT_EQ(parse_key("elm/l/block/job-7/0").kind, Key::Kind::earlier);
   EXPECT_EQ(parse_key("strange").kind, Key::Kind::other);
@@ -59,7 +59,7 @@
   EXPECT_EQ(back.hosts[0].record.addr, "1.2.3.4:5");
   EXPECT_TRUE(back.hosts[0].record.spot);
   EXPECT_FALSE(back.hosts[0].record.retired);
-  EXPECT_TRUE(back.hosts[1].gone);
+  EXPECT_TRUE(back.hosts[1].removed);
 }
 
 /// The size that limits are counted by is never more than what was reckoned.
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -37,13 +37,13 @@
   EXPECT_TRUE(heard.empty());
   asio::ip::tcp::socket good(io);
   good.connect(here);
-  const auto body = encode(Beat{"other", 7, "other", true, true, 12, 1.5});
+  const auto body = encode(Heartbeat{"other", 7, "other", true, true, 12, 1.5});
   std::string frame(4, '\0');
   frame[0] = static_cast<char>(body.size());
   asio::write(good, asio::buffer(frame + body));
   run();
   ASSERT_EQ(heard.size(), 1U);
-  EXPECT_EQ(std::get<Beat>(heard.front()).revision, 12U);
+  EXPECT_EQ(std::get<Heartbeat>(heard.front()).revision, 12U);
   // The first of the bad ones was closed by the other side.
   asio::error_code error;
   char byte = 0;
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -1,4 +1,4 @@
-// Seeded histories of two troubles that meet on purpose: the second begins at a
+// Seeded histories of two faults that meet on purpose: the second begins at a
 // drawn moment of the first, or at a step of the protocol within it (between a
 // commit and its answer, after an election, between `run` and its reply).
 // Afterwards all that was accepted is known, and nothing waits beside room.
@@ -6,12 +6,12 @@
 
 #include <cstdlib>
 
-#include "support/troubles.hpp"
+#include "support/faults.hpp"
 
 namespace elmstall::test {
 namespace {
 
-/// Where in the first trouble the second begins.
+/// Where in the first fault the second begins.
 enum class Moment { drawn, commit, election, orders };
 
 /// Calls `fn` once, a few milliseconds after the next such step.
@@ -60,7 +60,7 @@
   if (seed % 3 != 0) world.cloud.capacity = 40;
   for (std::size_t i = 0; i < world.node_count(); ++i)
     world.set_clock(i, 1 + (world.random() - 0.5) * 0.001);
-  const auto& troubles = meeting_troubles();
+  const auto& faults = concurrent_faults();
   std::string story;
   int jobs = 0;
   double next_pair = 35;
@@ -75,8 +75,8 @@
       if (worker->clock == 1) worker->clock = 1 + (world.random() - 0.5) * 0.001;
     }
     if (t >= next_pair && t < 165) {
-      const auto& first = troubles[world.pick(troubles.size())];
-      const auto& second = troubles[world.pick(troubles.size())];
+      const auto& first = faults[world.pick(faults.size())];
+      const auto& second = faults[world.pick(faults.size())];
       const auto moment = static_cast<Moment>(world.pick(4));
       const double length = 2 + world.random() * 20;
       story += " | " + std::to_string(static_cast<int>(t)) + " s: " + first.name + " + " +
@@ -90,7 +90,7 @@
     ASSERT_TRUE(world.rules.broken().empty())
         << "at " << t << " s: " << world.rules.broken().front() << story;
   }
-  // The last trouble is over by now, but for the longest outage.
+  // The last fault is over by now, but for the longest outage.
   const double over = 245;
   world.run_until(over);
   world.loss = 0;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -68,7 +68,7 @@
   rules.on_machine(1, "job-1", 1, there_);
   expect_broken("wrong_place");
   auto apart = job_;
-  apart.scatter = true;
+  apart.spread = true;
   apart.tasks = 2;
   auto& others = fresh(apart);
   others.on_machine(1, "job-1", 0, here_);
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -159,9 +159,9 @@
 }
 
 TEST(Resources, HalfRoundedUpMayBeInOneZone) {
-  EXPECT_EQ(scatter_limit(9), 5U);
-  EXPECT_EQ(scatter_limit(1), 1U);
-  EXPECT_EQ(scatter_limit(4), 2U);
+  EXPECT_EQ(spread_limit(9), 5U);
+  EXPECT_EQ(spread_limit(1), 1U);
+  EXPECT_EQ(spread_limit(4), 2U);
 }
 
 int count_of(const std::vector<Rental>& rentals, std::size_t pool) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -82,7 +82,7 @@
   EXPECT_DOUBLE_EQ(settings.team("a")->gpus_max, 8);
   EXPECT_EQ(settings.team("b"), nullptr);
   // 40 s to honour a cancellation, less a lease and the margins.
-  EXPECT_NEAR(settings.authority_s(), 28.5, 0.1);
+  EXPECT_NEAR(settings.leader_lease_s(), 28.5, 0.1);
 }
 
 TEST_F(SettingsFile, NamesFileAndKeyOfWhatIsWrong) {
--- a/tests/support/fake_state.hpp
+++ b/tests/support/fake_state.hpp
@@ -53,7 +53,7 @@
   std::uint64_t forgotten_ = 0;  ///< revision of the newest change not kept
 };
 
-/// One node's way to the state service, with the troubles of the road.
+/// One node's way to the state service, with the faults of the road.
 class FakeStore : public ledger::Store {
  public:
   struct Road {
--- a/tests/support/troubles.cpp
+++ b/tests/support/faults.cpp
@@ -1,4 +1,4 @@
-#include "support/troubles.hpp"
+#include "support/faults.hpp"
 
 namespace elmstall::test {
 
@@ -6,7 +6,7 @@
   wire::JobSpec job;
   job.id = "job-" + std::to_string(number);
   job.team = world.random() < 0.5 ? "red" : "blue";
-  job.lane = "batch";
+  job.job_class = "batch";
   job.cpus = 3 + world.random() * 5;
   job.gpus = 1;
   job.memory_gb = 20;
@@ -16,15 +16,15 @@
   job.expect_s = 2 + world.random() * 20;
   job.spot = world.random() < 0.6;
   job.together = world.random() < 0.2;
-  job.scatter = !job.together && world.random() < 0.3;
-  if (world.random() < 0.2 && !job.scatter) job.zone = world.settings.zones[world.pick(2)];
+  job.spread = !job.together && world.random() < 0.3;
+  if (world.random() < 0.2 && !job.spread) job.zone = world.settings.zones[world.pick(2)];
   if (world.random() < 0.3) {
     job.checkpoint_every_s = 5;
     job.save_s = 1;
   }
   if (world.random() < 0.4) {
     job.kind = wire::JobKind::service;
-    job.lane = "live";
+    job.job_class = "live";
     job.expect_s = 0;
     job.tasks = 1 + static_cast<std::uint32_t>(world.pick(4));
     job.priority = wire::Priority::critical;
@@ -129,8 +129,8 @@
 void machine_deaf(World& world, std::size_t, double length) {
   auto* worker = some_worker(world);
   if (worker == nullptr) return;
-  worker->deaf = true;
-  later(world, length, [worker] { worker->deaf = false; });
+  worker->answers_dropped = true;
+  later(world, length, [worker] { worker->answers_dropped = false; });
 }
 
 void late_copies(World& world, std::size_t, double length) {
@@ -196,16 +196,16 @@
 void machines_mute(World& world, std::size_t, double length) {
   for (auto& [id, worker] : world.workers) {
     if (world.random() > 0.3) continue;
-    worker->mute = true;
-    later(world, length, [raw = worker.get()] { raw->mute = false; });
+    worker->reports_dropped = true;
+    later(world, length, [raw = worker.get()] { raw->reports_dropped = false; });
   }
 }
 
 void machines_deaf(World& world, std::size_t, double length) {
   for (auto& [id, worker] : world.workers) {
     if (world.random() > 0.3) continue;
-    worker->deaf = true;
-    later(world, length, [raw = worker.get()] { raw->deaf = false; });
+    worker->answers_dropped = true;
+    later(world, length, [raw = worker.get()] { raw->answers_dropped = false; });
   }
 }
 
@@ -270,32 +270,32 @@
 
 }  // namespace
 
-const std::vector<Trouble>& single_troubles() {
-  static const std::vector<Trouble> all{{"crash", crash_one},
-                                        {"crash all", crash_all},
-                                        {"state outage", state_outage},
-                                        {"refused alone", refused_alone},
-                                        {"zones apart", zones_apart},
-                                        {"mesh cut", mesh_cut},
-                                        {"cut from workers", workers_cut},
-                                        {"cloud outage", cloud_outage},
-                                        {"spot taken", spot_taken},
-                                        {"machine cut", machine_cut},
-                                        {"lossy state", lossy_state},
-                                        {"quick restarts", quick_restarts},
-                                        {"node apart", node_apart},
-                                        {"machine deaf", machine_deaf},
-                                        {"late copies", late_copies},
-                                        {"no direct way", no_direct_way},
-                                        {"zone cut", zone_cut},
-                                        {"many die", many_die},
-                                        {"many hang", many_hang},
-                                        {"frozen", frozen}};
+const std::vector<Fault>& single_faults() {
+  static const std::vector<Fault> all{{"crash", crash_one},
+                                      {"crash all", crash_all},
+                                      {"state outage", state_outage},
+                                      {"refused alone", refused_alone},
+                                      {"zones apart", zones_apart},
+                                      {"mesh cut", mesh_cut},
+                                      {"cut from workers", workers_cut},
+                                      {"cloud outage", cloud_outage},
+                                      {"spot taken", spot_taken},
+                                      {"machine cut", machine_cut},
+                                      {"lossy state", lossy_state},
+                                      {"quick restarts", quick_restarts},
+                                      {"node apart", node_apart},
+                                      {"machine deaf", machine_deaf},
+                                      {"late copies", late_copies},
+                                      {"no direct way", no_direct_way},
+                                      {"zone cut", zone_cut},
+                                      {"many die", many_die},
+                                      {"many hang", many_hang},
+                                      {"frozen", frozen}};
   return all;
 }
 
-const std::vector<Trouble>& meeting_troubles() {
-  static const std::vector<Trouble> all{
+const std::vector<Fault>& concurrent_faults() {
+  static const std::vector<Fault> all{
       {"leader refused", leader_refused}, {"long outage", long_outage},
       {"state outage", state_outage},     {"slow state", slow_state},
       {"late writes", late_writes},       {"lossy state", lossy_state},
--- a/tests/support/troubles.hpp
+++ b/tests/support/faults.hpp
@@ -1,4 +1,4 @@
-// Everything that can go wrong in the world, one trouble at a time, for tests
+// Everything that can go wrong in the world, one fault at a time, for tests
 // that draw them.
 #pragma once
 
@@ -8,15 +8,15 @@
 
 wire::JobSpec random_job(World& world, int number);
 
-struct Trouble {
+struct Fault {
   const char* name;
   /// Begins it and sees to its end, `length` seconds later at the most.
   std::function<void(World&, std::size_t node, double length)> begin;
 };
 
 /// Those that the first search draws, in the order that its seeds rely on.
-[[nodiscard]] const std::vector<Trouble>& single_troubles();
+[[nodiscard]] const std::vector<Fault>& single_faults();
 /// Those that are known to meet badly.
-[[nodiscard]] const std::vector<Trouble>& meeting_troubles();
+[[nodiscard]] const std::vector<Fault>& concurrent_faults();
 
 }  // namespace elmstall::test
--- a/tests/support/http_fronts.cpp
+++ b/tests/support/http_fronts.cpp
@@ -155,7 +155,8 @@
               }) {}
 
 void CloudFront::handle(const net::Request& request, net::Responder respond) {
-  if (request.path == "/flavors") return respond({200, wire::encode_flavors(world_.flavors), 0});
+  if (request.path == "/flavors")
+    return respond({200, wire::encode_machine_types(world_.machine_types), 0});
   if (request.method == "GET") {
     return world_.cloud.list("", [respond](const std::optional<wire::CloudPage>& page) {
       if (!page) return respond({503, {}, 0});
--- a/tests/support/jobs.hpp
+++ b/tests/support/jobs.hpp
@@ -9,7 +9,7 @@
 inline wire::JobSpec array(int number, std::uint32_t tasks, double expect_s = 5) {
   wire::JobSpec job;
   job.id = "job-" + std::to_string(number);
-  job.lane = "batch";
+  job.job_class = "batch";
   job.team = "blue";
   job.tasks = tasks;
   job.cpus = 5;
--- a/tests/support/rules.cpp
+++ b/tests/support/rules.cpp
@@ -69,7 +69,7 @@
     if (other.first == job) ++zones[where.begin()->second.zone];
   }
   if (spec.together && zones.size() > 1) fail("wrong_place", name + " apart from its job");
-  if (spec.scatter && zones[place.zone] > sched::scatter_limit(spec.tasks))
+  if (spec.spread && zones[place.zone] > sched::spread_limit(spec.tasks))
     fail("wrong_place", name + " too many in one zone");
   const auto* team = settings_.team(spec.team);
   if (team == nullptr || !sched::within_limit(*team, used)) fail("quota", name);
--- a/tests/support/scenes.hpp
+++ b/tests/support/scenarios.hpp
@@ -1,4 +1,4 @@
-// What tests of troubles ask of the world, and how they set it up.
+// What tests of faults ask of the world, and how they set it up.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -54,9 +54,9 @@
   auto job = array(number, tasks);
   job.kind = wire::JobKind::service;
   job.priority = wire::Priority::critical;
-  job.lane = "live";
+  job.job_class = "live";
   job.spot = false;
-  job.scatter = true;
+  job.spread = true;
   job.expect_s = 0;
   return job;
 }
--- a/tests/support/virtual_time.hpp
+++ b/tests/support/virtual_time.hpp
@@ -32,10 +32,10 @@
 };
 
 /// The runtime of one process; nothing of it runs once the process is dead.
-class VirtualRuntime : public engine::Runtime {
+class VirtualEventLoop : public engine::EventLoop {
  public:
   /// `rate`: how fast its steady clock runs.
-  VirtualRuntime(VirtualLoop& loop, unsigned seed, double rate = 1)
+  VirtualEventLoop(VirtualLoop& loop, unsigned seed, double rate = 1)
       : loop_(loop), random_(seed), rate_(rate) {}
   [[nodiscard]] double now() const override { return loop_.now() * rate_; }
   [[nodiscard]] double wall() const override { return 1.7e9 + loop_.now(); }
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -117,7 +117,8 @@
     node_ = (node + 1) % world_.node_count();
     next_report(1.0);
   });
-  const bool lost = cut || mute || !world_.reachable(node, zone_) || world_.random() < world_.loss;
+  const bool lost =
+      cut || reports_dropped || !world_.reachable(node, zone_) || world_.random() < world_.loss;
   net::Request request{"POST", "/v1/report", wire::encode_report(report)};
   if (lost) {
     // Half of what gets stuck arrives much later, when nobody waits for it.
@@ -136,7 +137,8 @@
   const double delay = 0.001 + 0.003 * world_.random();
   world_.loop.after(delay, [this, tick, sent, node, request] {
     world_.send_to_node(node, request, [this, tick, sent, node](const net::Response& response) {
-      if (cut || deaf || !world_.reachable(node, zone_) || world_.random() < world_.loss) return;
+      if (cut || answers_dropped || !world_.reachable(node, zone_) || world_.random() < world_.loss)
+        return;
       world_.loop.after(
           0.002, [this, tick, sent, node, response] { answered(tick, sent, node, response); });
     });
@@ -212,8 +214,8 @@
     const auto* owner = world_.spec(other.first);
     used += {owner->cpus, owner->gpus, owner->memory_gb};
   }
-  const auto& flavor = world_.flavors.front();
-  if (!used.fits({flavor.cpus, flavor.gpus, flavor.memory_gb})) {
+  const auto& machine_type = world_.machine_types.front();
+  if (!used.fits({machine_type.cpus, machine_type.gpus, machine_type.memory_gb})) {
     task.state = TaskState::ended;
     task.cause = EndCause::no_room;
     return changed();
@@ -275,7 +277,7 @@
     if (worker->dead()) return std::nullopt;
     return worker->direct(token, session, orders);
   };
-  const bool lost = worker->cut || worker->deaf || world_.workers_cut(node_) ||
+  const bool lost = worker->cut || worker->answers_dropped || world_.workers_cut(node_) ||
                     !world_.reachable(node_, worker->zone()) || world_.random() < world_.loss;
   if (worker->hung()) {
     // Taken by its network, read when it goes on.
@@ -304,9 +306,10 @@
 
 // --- cloud -----------------------------------------------------------------------
 
-void FakeCloud::flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) {
+void FakeCloud::machine_types(
+    std::function<void(std::optional<std::vector<wire::MachineType>>)> done) {
   world_.loop.after(0.1, [this, done = std::move(done)] {
-    done(down ? std::nullopt : std::optional(world_.flavors));
+    done(down ? std::nullopt : std::optional(world_.machine_types));
   });
 }
 
@@ -341,7 +344,7 @@
           std::make_unique<FakeWorker>(world_, id, type, zone, spot);
       result.hosts.push_back(id);
       // Now and then one is up at once.
-      world_.loop.after(world_.flavors.front().ready_s *
+      world_.loop.after(world_.machine_types.front().ready_s *
                             (world_.random() < 0.1 ? 0.1 : 0.67 + 0.67 * world_.random()),
                         [raw = worker.get()] {
                           if (!raw->dead()) raw->start();
@@ -420,7 +423,7 @@
 
 World::World(unsigned seed, std::size_t nodes)
     : generator(seed), settings(make_settings()), rules(settings), state(loop), cloud(*this) {
-  flavors = {{"m12", 12, 2, 96, 90, 0.5, 6, 2, 12, settings.zones}};
+  machine_types = {{"m12", 12, 2, 96, 90, 0.5, 6, 2, 12, settings.zones}};
   nodes_.resize(nodes);
   for (std::size_t i = 0; i < nodes; ++i) {
     auto& own = nodes_[i].settings = settings;
@@ -441,8 +444,8 @@
 void World::boot(std::size_t index) {
   auto& process = nodes_[index];
   const auto seed = static_cast<unsigned>(generator());
-  process.runtime =
-      std::make_unique<VirtualRuntime>(loop, seed, clocks_.contains(index) ? clocks_[index] : 1);
+  process.event_loop =
+      std::make_unique<VirtualEventLoop>(loop, seed, clocks_.contains(index) ? clocks_[index] : 1);
   const auto road = process.store ? process.store->road : FakeStore::Road{};
   if (process.store) old_stores_.push_back(std::move(process.store));
   process.store = std::make_unique<FakeStore>(loop, state, seed + 1);
@@ -451,7 +454,7 @@
   process.mesh = std::make_unique<Mesh>(*this, index);
   process.node = std::make_unique<engine::Node>(
       process.settings,
-      engine::Node::Ports{*process.runtime, *process.store, cloud, *process.workers},
+      engine::Node::Ports{*process.event_loop, *process.store, cloud, *process.workers},
       process.settings.node + "." + std::to_string(++process.incarnation));
   process.node->start(*process.mesh);
 }
@@ -463,7 +466,7 @@
   process.node.reset();
   // The objects stay until the restart: what is under way may still be
   // carried out on the other side.
-  process.runtime = std::make_unique<VirtualRuntime>(loop, 1);
+  process.event_loop = std::make_unique<VirtualEventLoop>(loop, 1);
   loop.after(back_after, [this, node] { boot(node); });
 }
 
@@ -524,7 +527,8 @@
 
 engine::Node* World::leader() {
   for (auto& process : nodes_) {
-    if (process.node && process.node->leader() != nullptr && process.node->leader()->entitled())
+    if (process.node && process.node->leader() != nullptr &&
+        process.node->leader()->leader_lease_valid())
       return process.node.get();
   }
   return nullptr;
@@ -626,14 +630,14 @@
       continue;
     const bool room = std::any_of(workers.begin(), workers.end(), [&](const auto& entry) {
       const auto& worker = *entry.second;
-      if (worker.dead() || worker.cut || worker.deaf || worker.mute || worker.hung() ||
-          !worker.reports())
+      if (worker.dead() || worker.cut || worker.answers_dropped || worker.reports_dropped ||
+          worker.hung() || !worker.reports())
         return false;
       if ((worker.spot() && !job.spot) || (job.zone && *job.zone != worker.zone())) return false;
       const auto same = rules.in_zone(id, worker.zone());
       if (job.together && same != there) return false;
-      if (job.scatter && same + 1 > sched::scatter_limit(job.tasks)) return false;
-      const auto& type = flavors.front();
+      if (job.spread && same + 1 > sched::spread_limit(job.tasks)) return false;
+      const auto& type = machine_types.front();
       return need.fits(sched::Amount{type.cpus, type.gpus, type.memory_gb} -
                        rules.used_on(worker.id()) - worker.fetching());
     });
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -36,12 +36,12 @@
   /// What its tasks take that wait for their image.
   [[nodiscard]] sched::Amount fetching() const;
   [[nodiscard]] double hung_until() const { return hung_until_; }
-  bool cut = false;       ///< from every node
-  bool deaf = false;      ///< its reports arrive, but neither answers nor commands reach it
-  bool mute = false;      ///< it reaches no node, while direct commands reach it
-  double copies = 0;      ///< share of its reports of which a copy comes late
-  double copy_after = 0;  ///< seconds; 0: somewhere between 2 and 42
-  double clock = 1;       ///< how fast its steady clock runs
+  bool cut = false;              ///< from every node
+  bool answers_dropped = false;  ///< its reports arrive, but neither answers nor commands reach it
+  bool reports_dropped = false;  ///< it reaches no node, while direct commands reach it
+  double copies = 0;             ///< share of its reports of which a copy comes late
+  double copy_after = 0;         ///< seconds; 0: somewhere between 2 and 42
+  double clock = 1;              ///< how fast its steady clock runs
   std::optional<double> recall_at;
   double fail_share = 0;  ///< of its tasks, for a faulty machine
 
@@ -102,7 +102,8 @@
 class FakeCloud : public fleet::Cloud {
  public:
   explicit FakeCloud(World& world) : world_(world) {}
-  void flavors(std::function<void(std::optional<std::vector<wire::Flavor>>)> done) override;
+  void machine_types(
+      std::function<void(std::optional<std::vector<wire::MachineType>>)> done) override;
   void list(const std::string& since,
             std::function<void(std::optional<wire::CloudPage>)> done) override;
   void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
@@ -129,7 +130,7 @@
   void part_zones(bool apart) { zones_apart_ = apart; }
   /// Cuts a zone off from everything outside it, the state service too.
   void cut_zone(const std::string& zone, bool cut);
-  void freeze(std::size_t node, double seconds) { nodes_[node].runtime->freeze(seconds); }
+  void freeze(std::size_t node, double seconds) { nodes_[node].event_loop->freeze(seconds); }
   /// The node's processes from now on have a steady clock that runs like this.
   void set_clock(std::size_t node, double rate) { clocks_[node] = rate; }
   void cut_mesh(std::size_t node, bool cut) { mesh_cut_[node] = cut; }
@@ -174,7 +175,7 @@
   std::mt19937 generator;
   VirtualLoop loop;
   config::Settings settings;
-  std::vector<wire::Flavor> flavors;
+  std::vector<wire::MachineType> machine_types;
   Rules rules;
   FakeState state;
   FakeCloud cloud;
@@ -196,7 +197,7 @@
   struct Mesh;
   struct Process {
     config::Settings settings;
-    std::unique_ptr<VirtualRuntime> runtime;
+    std::unique_ptr<VirtualEventLoop> event_loop;
     std::unique_ptr<FakeStore> store;
     std::unique_ptr<FakeWorkers> workers;
     std::unique_ptr<Mesh> mesh;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -11,7 +11,7 @@
 JobSpec sample_job() {
   JobSpec job;
   job.id = "job-000412";
-  job.lane = "train";
+  job.job_class = "train";
   job.team = "vision";
   job.tasks = 16;
   job.cpus = 8;
