--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -37,6 +37,9 @@
 inline constexpr double kRequestReadTimeout = 6.0;
 /// Seconds. An idle kept-alive connection; users poll every 5 s.
 inline constexpr double kIdleTimeout = 60.0;
+/// Seconds. Interval at which connections past their deadline are looked for:
+/// a timer for each would be set three times in every request.
+inline constexpr double kDeadlineCheckEvery = 1.0;
 /// Share of the socket limit that inbound connections may take; the rest is
 /// for workers that are sent orders (`kWorkerSocketShare`), the state service
 /// (10), the cloud (4), peers (5 each) and what is being closed.
@@ -91,6 +94,10 @@
 inline constexpr double kPeerSilence = 2.6;
 /// Bytes. Largest message between controllers.
 inline constexpr std::size_t kMaxMeshBytes = 256 * 1024;
+/// Bytes. Messages between controllers that are written together at most, and
+/// read at once; a forwarded report takes some hundred.
+inline constexpr std::size_t kMeshWriteBytes = 16 * 1024;
+inline constexpr std::size_t kMeshReadBytes = 8 * 1024;
 /// Seconds. A worker that comes back within this time after a redirect could
 /// not reach the leader; its report is then forwarded over the mesh.
 inline constexpr double kRedirectMemory = 12.0;
--- a/src/engine/node.cpp
+++ b/src/engine/node.cpp
@@ -493,6 +493,7 @@
 
 void Node::after_batch() {
   if (leader_) leader_->after_batch();
+  if (mesh_ != nullptr) mesh_->flush();
 }
 
 }  // namespace elmstall::engine
--- a/src/mesh/mesh.hpp
+++ b/src/mesh/mesh.hpp
@@ -11,8 +11,11 @@
 class Mesh {
  public:
   virtual ~Mesh() = default;
+  /// Both only queue the message; `flush` sends what is queued.
   virtual void broadcast(const Message& message) = 0;
   virtual void send(const std::string& node, const Message& message) = 0;
+  /// To be called after each batch of commands.
+  virtual void flush() = 0;
 };
 
 using Receiver = std::function<void(Message)>;
--- a/src/mesh/tcp_mesh.cpp
+++ b/src/mesh/tcp_mesh.cpp
@@ -6,24 +6,12 @@
 #include <deque>
 
 #include "config/constants.hpp"
+#include "mesh/frames.hpp"
 #include "net/http_server.hpp"
 
 namespace elmstall::mesh {
 namespace {
 
-std::string frame(const std::string& body) {
-  const auto size = static_cast<std::uint32_t>(body.size());
-  std::string text(4, '\0');
-  for (unsigned i = 0; i < 4; ++i) text[i] = static_cast<char>((size >> (8 * i)) & 0xff);
-  return text + body;
-}
-
-std::uint32_t frame_size(const std::array<unsigned char, 4>& head) {
-  std::uint32_t size = 0;
-  for (unsigned i = 0; i < 4; ++i) size |= static_cast<std::uint32_t>(head[i]) << (8 * i);
-  return size;
-}
-
 constexpr auto kReconnectPause = std::chrono::milliseconds(500);
 constexpr auto kSendLimit = std::chrono::seconds(3);
 
@@ -35,8 +23,9 @@
   Outgoing(asio::io_context& io, asio::ip::tcp::endpoint endpoint)
       : socket_(io), timer_(io), endpoint_(std::move(endpoint)) {}
 
+  /// Queues a frame until the next flush.
   void send(std::string text) {
-    // A peer that takes nothing must not fill our memory: the oldest news
+    // A peer that takes nothing must not fill our memory: the oldest message
     // is the least worth.
     queue_.push_back(std::move(text));
     bytes_ += queue_.back().size();
@@ -44,7 +33,17 @@
       bytes_ -= queue_.front().size();
       queue_.pop_front();
     }
-    if (!busy_) next();
+  }
+
+  /// Writes what is queued; what the socket does not take goes out later.
+  void flush() {
+    while (!busy_ && !closed_ && !queue_.empty()) {
+      if (socket_.is_open()) {
+        write();
+      } else {
+        connect();
+      }
+    }
   }
 
   void close() {
@@ -53,36 +52,64 @@
   }
 
  private:
-  void next() {
-    if (closed_ || queue_.empty()) return;
-    busy_ = true;
-    timer_.expires_after(kSendLimit);
-    timer_.async_wait([self = shared_from_this(), round = ++round_](asio::error_code error) {
-      if (!error && round == self->round_) self->reset();
-    });
-    if (socket_.is_open()) return write();
+  void connect() {
+    start_timeout();
     socket_.async_connect(endpoint_, [self = shared_from_this()](asio::error_code error) {
       if (error) return self->retry();
       asio::error_code ignored;
       self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-      self->write();
+      self->socket_.non_blocking(true, ignored);
+      self->finish();
     });
   }
 
   void write() {
-    current_ = std::move(queue_.front());
-    queue_.pop_front();
-    bytes_ -= current_.size();
-    asio::async_write(socket_, asio::buffer(current_),
+    take_batch();
+    // The socket's buffer nearly always has room: then no turn of the loop, no
+    // timer and no completion handler is spent on it.
+    asio::error_code error;
+    const auto written = socket_.write_some(asio::buffer(current_), error);
+    if (error && error != asio::error::would_block) return retry();
+    if (written < current_.size()) write_rest(written);
+  }
+
+  void write_rest(std::size_t written) {
+    start_timeout();
+    asio::async_write(socket_, asio::buffer(current_.data() + written, current_.size() - written),
                       [self = shared_from_this()](asio::error_code error, std::size_t) {
                         if (error) return self->retry();
-                        ++self->round_;
-                        self->timer_.cancel();
-                        self->busy_ = false;
-                        self->next();
+                        self->finish();
                       });
   }
 
+  /// Several frames in one write: on a small machine a packet and a system call
+  /// for each cost more than what is in them.
+  void take_batch() {
+    current_.clear();
+    while (!queue_.empty() && (current_.empty() || current_.size() + queue_.front().size() <=
+                                                       constants::kMeshWriteBytes)) {
+      current_ += queue_.front();
+      bytes_ -= queue_.front().size();
+      queue_.pop_front();
+    }
+  }
+
+  /// Connecting, or the rest of a write, is under way.
+  void start_timeout() {
+    busy_ = true;
+    timer_.expires_after(kSendLimit);
+    timer_.async_wait([self = shared_from_this(), round = ++round_](asio::error_code error) {
+      if (!error && round == self->round_) self->reset();
+    });
+  }
+
+  void finish() {
+    ++round_;
+    timer_.cancel();
+    busy_ = false;
+    flush();
+  }
+
   void reset() {
     asio::error_code ignored;
     socket_.close(ignored);
@@ -91,11 +118,12 @@
   void retry() {
     reset();
     if (closed_) return;
+    busy_ = true;
     timer_.expires_after(kReconnectPause);
     timer_.async_wait([self = shared_from_this(), round = ++round_](asio::error_code error) {
       if (error || round != self->round_) return;
       self->busy_ = false;
-      self->next();
+      self->flush();
     });
   }
 
@@ -106,7 +134,7 @@
   std::size_t bytes_ = 0;
   std::string current_;
   std::uint64_t round_ = 0;
-  bool busy_ = false;
+  bool busy_ = false;  ///< connecting, writing the rest, or pausing
   bool closed_ = false;
 };
 
@@ -117,16 +145,16 @@
     shared_->incoming.insert(this);
   }
   ~Incoming() { shared_->incoming.erase(this); }
+  Incoming(const Incoming&) = delete;
+  Incoming& operator=(const Incoming&) = delete;
 
   void read() {
-    asio::async_read(socket_, asio::buffer(head_),
-                     [self = shared_from_this()](asio::error_code error, std::size_t) {
-                       if (error) return;
-                       const auto size = frame_size(self->head_);
-                       if (size > constants::kMaxMeshBytes) return self->refuse("it is too large");
-                       self->body_.resize(size);
-                       self->read_body();
-                     });
+    // Whatever has come: often several messages, hardly ever less than one.
+    socket_.async_read_some(asio::buffer(chunk_),
+                            [self = shared_from_this()](asio::error_code error, std::size_t size) {
+                              if (error) return;
+                              if (self->receive({self->chunk_.data(), size})) self->read();
+                            });
   }
 
   void close() {
@@ -135,21 +163,19 @@
   }
 
  private:
-  void read_body() {
-    asio::async_read(socket_, asio::buffer(body_),
-                     [self = shared_from_this()](asio::error_code error, std::size_t) {
-                       if (error) return;
-                       try {
-                         self->shared_->receiver(decode(self->body_));
-                       } catch (const std::exception& problem) {
-                         return self->refuse(problem.what());
-                       }
-                       self->read();
-                     });
-  }
-
-  /// Not one of ours: the connection ends with this object.
-  void refuse(const char* why) {
+  /// False when the bytes can't be read: the connection ends with this object.
+  bool receive(std::string_view bytes) {
+    try {
+      frames_.append(bytes);
+      while (const auto message = frames_.next()) shared_->receiver(decode(*message));
+      return true;
+    } catch (const std::exception& problem) {
+      log_refusal(problem.what());
+      return false;
+    }
+  }
+
+  void log_refusal(const char* why) {
     asio::error_code unknown;
     const auto peer = socket_.remote_endpoint(unknown);
     spdlog::error("a message between controllers from {} can't be read: {}",
@@ -158,8 +184,8 @@
 
   asio::ip::tcp::socket socket_;
   std::shared_ptr<Shared> shared_;
-  std::array<unsigned char, 4> head_{};
-  std::string body_;
+  std::array<char, constants::kMeshReadBytes> chunk_{};
+  FrameReader frames_;
 };
 
 TcpMesh::TcpMesh(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
@@ -200,6 +226,10 @@
   for (auto& [name, peer] : peers_) peer->send(text);
 }
 
+void TcpMesh::flush() {
+  for (auto& [name, peer] : peers_) peer->flush();
+}
+
 void TcpMesh::send(const std::string& node, const Message& message) {
   const auto found = peers_.find(node);
   if (found != peers_.end()) found->second->send(frame(encode(message)));
--- a/src/mesh/tcp_mesh.hpp
+++ b/src/mesh/tcp_mesh.hpp
@@ -1,5 +1,5 @@
 // Mesh over TCP: each node keeps one connection to every other node and only
-// writes to it; frames are a 4-byte length and a cereal message.
+// writes to it; frames hold one cereal message each.
 #pragma once
 
 #include <asio.hpp>
@@ -21,6 +21,7 @@
 
   void broadcast(const Message& message) override;
   void send(const std::string& node, const Message& message) override;
+  void flush() override;
 
  private:
   class Outgoing;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -52,6 +52,7 @@
       if (error) return self->fail();
       asio::error_code ignored;
       self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
+      self->socket_.non_blocking(true, ignored);
       self->write();
     });
   }
@@ -65,10 +66,15 @@
  private:
   void write() {
     written_ = true;
-    asio::async_write(socket_, asio::buffer(out_),
-                      [self = shared_from_this()](asio::error_code error, std::size_t) {
+    // As on the server: what the socket takes at once needs no handler.
+    asio::error_code error;
+    const auto size = socket_.write_some(asio::buffer(out_), error);
+    if (error && error != asio::error::would_block) return fail();
+    if (size == out_.size()) return read();
+    asio::async_write(socket_, asio::buffer(out_.data() + size, out_.size() - size),
+                      [self = shared_from_this()](asio::error_code failed, std::size_t) {
                         if (!self->handler_) return;
-                        if (error) return self->fail();
+                        if (failed) return self->fail();
                         self->read();
                       });
   }
@@ -146,7 +152,6 @@
  private:
   bool stale() {
     asio::error_code error;
-    socket_.non_blocking(true, error);
     char byte = 0;
     socket_.receive(asio::buffer(&byte, 1), asio::socket_base::message_peek, error);
     return error != asio::error::would_block;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -14,6 +14,8 @@
 namespace elmstall::net {
 namespace {
 
+using Clock = std::chrono::steady_clock;
+
 std::chrono::milliseconds ms(double seconds) {
   return std::chrono::milliseconds(static_cast<long>(seconds * 1000));
 }
@@ -64,7 +66,7 @@
 class HttpServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared)
-      : socket_(std::move(socket)), timer_(socket_.get_executor()), shared_(std::move(shared)) {
+      : socket_(std::move(socket)), shared_(std::move(shared)) {
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
     shared_->sessions.insert(this);
@@ -76,17 +78,23 @@
   }
 
   void start() {
+    asio::error_code ignored;
+    socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
+    socket_.non_blocking(true, ignored);
     await();
-    arm(constants::kIdleTimeout);
+    expire_after(constants::kIdleTimeout);
     read();
   }
 
+  void close_if_expired(Clock::time_point now) {
+    if (now >= deadline_) close();
+  }
+
   void close() {
     if (std::exchange(closed_, true)) return;
     asio::error_code ignored;
     --shared_->open;
     stop_awaiting();
-    timer_.cancel();
     socket_.close(ignored);
   }
 
@@ -100,13 +108,8 @@
     if (std::exchange(awaiting_, false)) shared_->awaited.erase(place_);
   }
 
-  void arm(double seconds) {
-    timer_.expires_after(ms(seconds));
-    timer_.async_wait([weak = weak_from_this()](asio::error_code error) {
-      if (error) return;
-      if (auto self = weak.lock()) self->close();
-    });
-  }
+  /// Closed by the server's check of deadlines unless something comes before.
+  void expire_after(double seconds) { deadline_ = Clock::now() + ms(seconds); }
 
   void read() {
     socket_.async_read_some(asio::buffer(chunk_),
@@ -119,7 +122,7 @@
   void feed(std::size_t size) {
     if (!in_message_) {
       in_message_ = true;
-      arm(constants::kRequestReadTimeout);
+      expire_after(constants::kRequestReadTimeout);
     }
     const std::size_t used = http_parser_execute(&parser_, &settings(), chunk_.data(), size);
     if (complete_) {
@@ -142,7 +145,7 @@
 
   void dispatch() {
     stop_awaiting();
-    timer_.cancel();
+    deadline_ = Clock::time_point::max();
     Request request{http_method_str(static_cast<http_method>(parser_.method)), std::move(path_),
                     std::move(body_)};
     auto answered = std::make_shared<bool>(false);
@@ -155,16 +158,28 @@
 
   void send(Response response) {
     if (!socket_.is_open()) return;
-    arm(constants::kRequestReadTimeout);
+    expire_after(constants::kRequestReadTimeout);
     if (response.yields && shared_->open > shared_->limits.crowded) keep_alive_ = false;
     out_ = head(response, !keep_alive_) + response.body;
-    asio::async_write(socket_, asio::buffer(out_),
-                      [self = shared_from_this()](asio::error_code error, std::size_t) {
-                        if (error || !self->keep_alive_) return self->close();
-                        self->next();
+    // The socket's buffer nearly always has room: then no turn of the loop and
+    // no completion handler is spent on the answer.
+    asio::error_code error;
+    const auto written = socket_.write_some(asio::buffer(out_), error);
+    if (error && error != asio::error::would_block) return close();
+    if (written == out_.size()) return finish();
+    asio::async_write(socket_, asio::buffer(out_.data() + written, out_.size() - written),
+                      [self = shared_from_this()](asio::error_code failed, std::size_t) {
+                        if (failed) return self->close();
+                        self->finish();
                       });
   }
 
+  /// The answer is sent.
+  void finish() {
+    if (!keep_alive_) return close();
+    next();
+  }
+
   void next() {
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
@@ -173,7 +188,7 @@
     header_bytes_ = 0;
     complete_ = in_message_ = false;
     await();
-    arm(constants::kIdleTimeout);
+    expire_after(constants::kIdleTimeout);
     read();
   }
 
@@ -230,9 +245,9 @@
   }
 
   asio::ip::tcp::socket socket_;
-  asio::steady_timer timer_;
   std::shared_ptr<Shared> shared_;
   http_parser parser_{};
+  Clock::time_point deadline_;
   std::array<char, 4096> chunk_{};
   std::string path_;
   std::string body_;
@@ -250,7 +265,7 @@
 
 HttpServer::HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint,
                        ServerLimits limits, Handler handler)
-    : shared_(std::make_shared<Shared>()), acceptor_(io), pause_(io) {
+    : shared_(std::make_shared<Shared>()), acceptor_(io), pause_(io), deadline_check_(io) {
   shared_->limits = limits;
   shared_->handler = std::move(handler);
   acceptor_.open(endpoint.protocol());
@@ -258,6 +273,7 @@
   acceptor_.bind(endpoint);
   acceptor_.listen();
   accept();
+  check_deadlines();
 }
 
 HttpServer::~HttpServer() {
@@ -268,6 +284,16 @@
 std::uint16_t HttpServer::port() const { return acceptor_.local_endpoint().port(); }
 std::size_t HttpServer::connections() const { return shared_->open; }
 
+void HttpServer::check_deadlines() {
+  deadline_check_.expires_after(ms(constants::kDeadlineCheckEvery));
+  deadline_check_.async_wait([this, shared = shared_](asio::error_code error) {
+    if (error || shared->closed) return;
+    const auto now = Clock::now();
+    for (auto* session : shared->sessions) session->close_if_expired(now);
+    check_deadlines();
+  });
+}
+
 void HttpServer::accept() {
   acceptor_.async_accept(
       [this, shared = shared_](asio::error_code error, asio::ip::tcp::socket socket) {
@@ -286,8 +312,6 @@
         if (shared->open >= shared->limits.connections && !shared->awaited.empty())
           shared->awaited.front()->close();
         if (shared->open < shared->limits.connections) {
-          asio::error_code ignored;
-          socket.set_option(asio::ip::tcp::no_delay(true), ignored);
           std::make_shared<Session>(std::move(socket), shared)->start();
         }
         accept();
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -57,10 +57,13 @@
   class Session;
   struct Shared;
   void accept();
+  /// Closes connections that were idle or half sent for too long.
+  void check_deadlines();
 
   std::shared_ptr<Shared> shared_;
   asio::ip::tcp::acceptor acceptor_;
   asio::steady_timer pause_;
+  asio::steady_timer deadline_check_;
 };
 
 }  // namespace elmstall::net
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -3,6 +3,7 @@
 
 #include <asio.hpp>
 
+#include "mesh/frames.hpp"
 #include "mesh/tcp_mesh.hpp"
 
 namespace elmstall::mesh {
@@ -73,6 +74,7 @@
                  [](const Message&) {});
   for (std::uint64_t id = 0; id < 300; ++id)
     sender.send("receiver", ForwardedReply{id, 200, std::string(id % 7 == 0 ? 3000 : 20, 'x')});
+  sender.flush();
   for (int i = 0; i < 100 && heard.size() < 300; ++i) {
     io.run_for(std::chrono::milliseconds(20));
     io.restart();
@@ -95,5 +97,26 @@
   EXPECT_EQ(heard.back(), 77U);
 }
 
+/// However the bytes are cut up, the messages come out whole and in order, and
+/// one that is announced as too large ends the stream.
+TEST(FrameReader, CutsAnyPiecesIntoMessages) {
+  const std::vector<std::string> messages = {"", "a", std::string(300, 'b'),
+                                             std::string(70'000, 'c'), "last"};
+  std::string stream;
+  for (const auto& message : messages) stream += frame(message);
+  for (const std::size_t piece : {1UL, 3UL, 7UL, 1000UL, stream.size()}) {
+    FrameReader reader;
+    std::vector<std::string> read;
+    for (std::size_t at = 0; at < stream.size(); at += piece) {
+      reader.append(std::string_view(stream).substr(at, piece));
+      while (const auto message = reader.next()) read.emplace_back(*message);
+    }
+    EXPECT_EQ(read, messages) << piece;
+  }
+  FrameReader reader;
+  reader.append(std::string("\xff\xff\xff\x7f", 4));
+  EXPECT_THROW((void)reader.next(), FrameTooLarge);
+}
+
 }  // namespace
 }  // namespace elmstall::mesh
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -382,6 +382,7 @@
       if (i != self) deliver(i, message);
     }
   }
+  void flush() override {}
   void send(const std::string& node, const mesh::Message& message) override {
     deliver(static_cast<std::size_t>(node.back() - '0'), message);
   }
