--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -98,6 +98,10 @@
 /// read at once; a forwarded report takes some hundred.
 inline constexpr std::size_t kMeshWriteBytes = 16 * 1024;
 inline constexpr std::size_t kMeshReadBytes = 8 * 1024;
+/// Seconds. Interval at which forwarded reports and their answers are sent: each
+/// packet costs a small machine more than the report in it, and workers report
+/// half a second apart at the least.
+inline constexpr double kForwardEvery = 0.05;
 /// Seconds. A worker that comes back within this time after a redirect could
 /// not reach the leader; its report is then forwarded over the mesh.
 inline constexpr double kRedirectMemory = 12.0;
--- a/src/engine/node.cpp
+++ b/src/engine/node.cpp
@@ -25,7 +25,8 @@
                       (k::kReadIndexShare * settings.state_rps)),
       user_api_(settings, ports.event_loop, queue_, ports.store, mirror_, read_index_,
                 [this](const std::string& job) { broadcast_cancellation(job); }),
-      zone_delegate_(settings, ports.event_loop, queue_, ports.store, mirror_, read_index_) {}
+      zone_delegate_(settings, ports.event_loop, queue_, ports.store, mirror_, read_index_),
+      flush_wake_(ports.event_loop, queue_) {}
 
 void Node::start(mesh::Mesh& mesh) {
   mesh_ = &mesh;
@@ -54,6 +55,7 @@
     if (auto* report = std::get_if<mesh::ForwardedReport>(&message)) {
       auto respond = [this, node = report->node, id = report->id](const net::Response& response) {
         mesh_->send(node, mesh::ForwardedReply{id, response.status, response.body});
+        forwarding_ = true;
       };
       return on_report(report->body, std::move(respond), true);
     }
@@ -164,6 +166,7 @@
   const auto id = next_forward_++;
   mesh_->send(known_leader_, mesh::ForwardedReport{settings_.node, id, waiting.body});
   forwarded_[id] = {std::move(waiting), known_leader_};
+  forwarding_ = true;
 }
 
 void Node::dispatch_waiting(ZoneDelegate::Waiting waiting) {
@@ -443,6 +446,7 @@
 void Node::send_heartbeat() {
   next_heartbeat_ = loop_.now() + k::kHeartbeatEvery;
   told_leader_heard_ = leader_heard();
+  urgent_messages_ = true;
   mesh_->broadcast(mesh::Heartbeat{settings_.node, known_term_, known_leader_, state_reachable(),
                                    told_leader_heard_, mirror_.loaded() ? mirror_.revision() : 0,
                                    loop_.now() - zone_delegate_.answered_at()});
@@ -461,6 +465,7 @@
 }
 
 void Node::broadcast_cancellation(const std::string& job) {
+  urgent_messages_ = true;
   mesh_->broadcast(mesh::Cancelled{job});
   on_cancellation(job);
 }
@@ -493,6 +498,17 @@
 
 void Node::after_batch() {
   if (leader_) leader_->after_batch();
+  flush_mesh();
+}
+
+void Node::flush_mesh() {
+  const double now = loop_.now();
+  if (now < next_flush_ && !urgent_messages_) {
+    if (forwarding_) flush_wake_.after(next_flush_ - now, [] {});
+    return;
+  }
+  if (forwarding_) next_flush_ = now + k::kForwardEvery;
+  urgent_messages_ = forwarding_ = false;
   if (mesh_ != nullptr) mesh_->flush();
 }
 
--- a/src/engine/node.hpp
+++ b/src/engine/node.hpp
@@ -71,6 +71,9 @@
   [[nodiscard]] ZoneDelegate::View view() const;
   void tick();
   void after_batch();
+  /// Sends what is queued for other controllers, reports and answers a few at a
+  /// time.
+  void flush_mesh();
 
   // mirror
   void load(const std::string& since);
@@ -131,6 +134,10 @@
   std::uint64_t lease_ = 0;  ///< that `lead` hangs on
   double next_renew_ = 0;
   double next_heartbeat_ = 0;
+  bool urgent_messages_ = false;  ///< queued for other controllers; not to be delayed
+  bool forwarding_ = false;       ///< reports or answers are queued for them
+  double next_flush_ = kNever;
+  Wake flush_wake_;
   bool told_leader_heard_ = true;  ///< in the last heartbeat
   double next_probe_ = 0;
   std::map<std::string, Peer> peers_;
