--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -21,12 +21,13 @@
   spdlog::set_default_logger(logger);
   const char* wanted = std::getenv("LOG_LEVEL");
   const std::string level = wanted == nullptr ? "info" : wanted;
-  if (level == "error")
+  if (level == "error") {
     spdlog::set_level(spdlog::level::err);
-  else if (level == "debug")
+  } else if (level == "debug") {
     spdlog::set_level(spdlog::level::debug);
-  else
+  } else {
     spdlog::set_level(spdlog::level::info);
+  }
   if (level != "error" && level != "debug" && level != "info") {
     spdlog::error("LOG_LEVEL: '{}' is none of error, info, debug; using info", level);
   }
@@ -42,9 +43,9 @@
   } catch (const std::system_error& error) {
     std::fprintf(stderr, "elmstall: cannot serve on %s and %s: %s\n", settings.api_addr.c_str(),
                  settings.mesh_addr.c_str(), error.what());
-    return kCannotListen;
+    return cannot_listen;
   }
-  return kOk;
+  return ok;
 }
 
 }  // namespace
@@ -62,23 +63,23 @@
   try {
     cli.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return cli.exit(error) == 0 ? kOk : kUsage;
+    return cli.exit(error) == 0 ? ok : usage;
   }
   try {
     auto settings = config::load_settings(settings_file);
     if (!properties_file.empty()) settings.tuning = config::load_properties(properties_file);
     if (check) {
       std::printf("%s: good\n", settings_file.c_str());
-      return kOk;
+      return ok;
     }
     set_up_logging();
     return serve(settings);
   } catch (const config::Invalid& error) {
     std::fprintf(stderr, "elmstall: %s\n", error.what());
-    return kBadSettings;
+    return bad_settings;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "elmstall: %s\n", error.what());
-    return kFailed;
+    return failed;
   }
 }
 
--- a/src/app/app.hpp
+++ b/src/app/app.hpp
@@ -4,7 +4,7 @@
 namespace elmstall::app {
 
 /// Exit codes, for scripts.
-enum ExitCode { kOk = 0, kUsage = 64, kBadSettings = 78, kCannotListen = 69, kFailed = 70 };
+enum ExitCode { ok = 0, usage = 64, bad_settings = 78, cannot_listen = 69, failed = 70 };
 
 int run(int argc, char** argv);
 
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -64,8 +64,8 @@
 }  // namespace
 
 struct Controller::Parts {
-  Parts(asio::io_context& io, const config::Settings& given)
-      : settings(given),
+  Parts(asio::io_context& io, config::Settings given)
+      : settings(std::move(given)),
         event_loop(io),
         store(io, net::parse_endpoint(settings.state_endpoint), rate_share(settings)),
         cloud(io, net::parse_endpoint(settings.cloud_endpoint)),
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -9,12 +9,12 @@
 
 // --- protocol limits -------------------------------------------------------
 /// Bytes. Largest request body, and largest response to workers and users.
-inline constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 /// Bytes. Largest body taken from the state service or cloud: a page is 512
 /// KiB, but a watch has no size limit, so this only stops a runaway peer.
-inline constexpr std::size_t kMaxReplyBytes = 8 * 1024 * 1024;
+inline constexpr std::size_t kMaxReplyBytes = std::size_t{8} * 1024 * 1024;
 /// Bytes. Largest block of header fields taken from a client.
-inline constexpr std::size_t kMaxHeaderBytes = 8 * 1024;
+inline constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
 /// Levels. Deepest nesting of a message; the protocol needs four.
 inline constexpr std::size_t kMaxDepth = 16;
 /// Tasks. Most tasks of one job.
@@ -29,7 +29,7 @@
 inline constexpr int kStatePage = 1000;
 inline constexpr int kCloudPage = 500;
 /// Bytes. Largest transaction; kept below the 64 KiB of the protocol.
-inline constexpr std::size_t kMaxTxnBytes = 48 * 1024;
+inline constexpr std::size_t kMaxTxnBytes = std::size_t{48} * 1024;
 
 // --- network ---------------------------------------------------------------
 /// Seconds. A connection that stays silent this long while a request is half
@@ -93,11 +93,11 @@
 /// Seconds. A peer not heard from for this long counts as unreachable.
 inline constexpr double kPeerSilence = 2.6;
 /// Bytes. Largest message between controllers.
-inline constexpr std::size_t kMaxMeshBytes = 256 * 1024;
+inline constexpr std::size_t kMaxMeshBytes = std::size_t{256} * 1024;
 /// Bytes. Messages between controllers that are written together at most, and
 /// read at once; a forwarded report takes some hundred.
-inline constexpr std::size_t kMeshWriteBytes = 16 * 1024;
-inline constexpr std::size_t kMeshReadBytes = 8 * 1024;
+inline constexpr std::size_t kMeshWriteBytes = std::size_t{16} * 1024;
+inline constexpr std::size_t kMeshReadBytes = std::size_t{8} * 1024;
 /// Seconds. Interval at which forwarded reports and their answers are sent: each
 /// packet costs a small machine more than the report in it, and workers report
 /// half a second apart at the least.
--- a/src/config/properties.cpp
+++ b/src/config/properties.cpp
@@ -18,7 +18,11 @@
   Poco::Util::AbstractConfiguration::Keys names;
   source.keys(prefix, names);
   if (names.empty() && !prefix.empty()) keys.push_back(prefix);
-  for (const auto& name : names) collect(source, prefix.empty() ? name : prefix + "." + name, keys);
+  for (const auto& name : names) {
+    std::string key = prefix;
+    if (!key.empty()) key += '.';
+    collect(source, key.append(name), keys);
+  }
 }
 
 std::string shown(double value) {
--- a/src/engine/fleet_autoscaler.cpp
+++ b/src/engine/fleet_autoscaler.cpp
@@ -108,65 +108,67 @@
 }
 
 void FleetAutoscaler::review_hosts(double now) {
-  const double lease = settings_.lease_over_s();
-  std::vector<Host*> silent;
-  std::size_t heard = 0;
-  struct Zone {
-    std::size_t silent = 0;
-    std::size_t heard = 0;
-  };
-  std::map<std::string, Zone> zones;
-  std::vector<Host*> unresponsive;
+  FleetHealth health;
   for (auto& [id, slot] : model_.hosts()) {
     auto& host = *slot;
     if (host.releasing || host.listed_failed) {
       release(host);
-      continue;
-    }
-    if (host.heard) {
-      ++heard;
-      const bool quiet = host.quiet(now) > settings_.silent_after_s();
-      if (host.tasks.empty() && host.quarantined)
-        release(host);
-      else if (quiet)
-        silent.push_back(&host);
-      else if (host.unresponsive)
-        unresponsive.push_back(&host);
-      auto& zone = zones[host.zone];
-      ++zone.heard;
-      if (quiet) ++zone.silent;
-      continue;
-    }
-    const auto* machine_type = model_.machine_type(host.type);
-    const double ready = machine_type == nullptr ? 0 : machine_type->ready_s;
-    // An adopted machine may have been up for long and simply not have found
-    // us yet, so it also gets a lease's time from the takeover.
-    const double since = std::max(host.rented_at, started_ + lease - k::kBootGiveUp * ready);
-    if (machine_type != nullptr && host.tasks.empty() && now - since > k::kBootGiveUp * ready) {
-      spdlog::info("host {} did not come up, returning it", host.id);
-      release(host);
+    } else if (host.heard) {
+      review_heard(host, health, now);
+    } else {
+      review_booting(host, now);
     }
   }
-  // One silent machine is most likely dead. When many fall silent at once it
-  // is the network, and deleting them would turn a cut into a loss.
-  // A cut may also take one zone alone, however few of all machines it holds.
-  const auto cut = [](std::size_t quiet, std::size_t known) {
-    return quiet * 3 > known && quiet > 1;
-  };
-  const bool cut_everywhere = cut(silent.size(), heard);
-  // The same holds for machines that don't hear us.
-  if (unresponsive.size() * 3 <= heard || unresponsive.size() == 1) {
-    for (auto* host : unresponsive) {
-      if (now - host->unacknowledged_since > k::kUnresponsiveLeases * lease) release(*host);
-    }
+  release_unresponsive(health, now);
+  release_silent(health, now);
+}
+
+void FleetAutoscaler::review_heard(Host& host, FleetHealth& health, double now) {
+  const bool silent = host.quiet(now) > settings_.silent_after_s();
+  if (host.tasks.empty() && host.quarantined) {
+    release(host);
+  } else if (silent) {
+    health.silent.push_back(&host);
+  } else if (host.unresponsive) {
+    health.unresponsive.push_back(&host);
+  }
+  for (auto* count : {&health.all, &health.zones[host.zone]}) {
+    ++count->heard;
+    if (silent) ++count->silent;
+  }
+}
+
+void FleetAutoscaler::review_booting(Host& host, double now) {
+  const auto* machine_type = model_.machine_type(host.type);
+  if (machine_type == nullptr || !host.tasks.empty()) return;
+  const double give_up = k::kBootGiveUp * machine_type->ready_s;
+  // An adopted machine may have been up for long and simply not have found
+  // us yet, so it also gets a lease's time from the takeover.
+  const double since = std::max(host.rented_at, started_ + settings_.lease_over_s() - give_up);
+  if (now - since <= give_up) return;
+  spdlog::info("host {} did not come up, returning it", host.id);
+  release(host);
+}
+
+void FleetAutoscaler::release_unresponsive(const FleetHealth& health, double now) {
+  // As for silent machines: many at once are the network.
+  const auto count = health.unresponsive.size();
+  if (count * 3 > health.all.heard && count > 1) return;
+  const double patience = k::kUnresponsiveLeases * settings_.lease_over_s();
+  for (auto* host : health.unresponsive) {
+    if (now - host->unacknowledged_since > patience) release(*host);
   }
-  for (auto* host : silent) {
-    const auto& zone = zones[host->zone];
-    const bool reflex = cut_everywhere || cut(zone.silent, zone.heard);
+}
+
+void FleetAutoscaler::release_silent(const FleetHealth& health, double now) {
+  const double lease = settings_.lease_over_s();
+  const double list_lag = 2 * settings_.list_lag_s + 1;
+  for (auto* host : health.silent) {
     const double quiet = host->quiet(now);
-    const double lag = 2 * settings_.list_lag_s + 1;
-    const bool unlisted = ever_listed_ && !host->listed && quiet > lag;
-    if (unlisted || quiet > lease + (reflex ? 4 * lease : lease * 0.5)) release(*host);
+    const bool unlisted = ever_listed_ && !host->listed && quiet > list_lag;
+    const bool partition = health.all.partitioned() || health.zones.at(host->zone).partitioned();
+    const double patience = lease + (partition ? 4 * lease : lease * 0.5);
+    if (unlisted || quiet > patience) release(*host);
   }
 }
 
@@ -200,10 +202,11 @@
           return other.spot == one->spot && other.zone == one->zone;
         });
     if (pool == pools.end()) continue;
-    if (!host->heard)
+    if (!host->heard) {
       ++pool->booting;
-    else if (host->quiet(now) < settings_.silent_after_s())
+    } else if (host->quiet(now) < settings_.silent_after_s()) {
       ++pool->alive;
+    }
   }
   return pools;
 }
@@ -247,46 +250,50 @@
   return full(*best) ? std::nullopt : std::optional(*best);
 }
 
+double FleetAutoscaler::machines_for_waiting(const Job& job, const sched::Amount& whole) {
+  const double share = job.need.share_of(whole);
+  if (share > 1 + 1e-6) return 0;
+  double waiting = 0;
+  for (const auto& [number, block] : job.blocks) {
+    waiting += static_cast<double>(
+        std::count_if(block->tasks.begin(), block->tasks.end(),
+                      [](const Task& task) { return task.phase == Phase::pending; }));
+  }
+  return std::ceil(waiting / std::floor(1.0 / share + 1e-6));
+}
+
+std::vector<std::string> FleetAutoscaler::zones_needed(
+    const Job& job, const std::vector<std::string>& zones) const {
+  const auto& spec = job.spec;
+  if (spec.zone) return {*spec.zone};
+  // Half of a spread gang may be in one zone: it needs machines in several.
+  const bool spread_gang = job.gang() && spec.spread;
+  const auto open = spread_gang ? std::nullopt : zone_left_open(job, zones);
+  if (open) return {*open};
+  if (spec.together && !job.per_zone.empty()) return {job.per_zone.begin()->first};
+  if (spec.together && !job.zone_choice.empty()) return {job.zone_choice};
+  if (spec.together) return {settings_.zones.front()};
+  return spread_gang ? settings_.zones : std::vector<std::string>{};
+}
+
 std::map<std::string, FleetAutoscaler::Bound> FleetAutoscaler::bound_to_zones(
     const wire::MachineType& machine_type, double now) const {
   const sched::Amount whole{machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
-  std::map<std::string, Bound> bound;
   const auto& zones = machine_type.zones.empty() ? settings_.zones : machine_type.zones;
+  std::map<std::string, Bound> bound;
   // Only jobs with tasks that have not found a place can be short of a zone.
   for (const auto& [id, job] : model_.jobs()) {
-    const auto& spec = job->spec;
-    const bool halves = job->gang() && spec.spread;
-    const auto open = halves ? std::nullopt : zone_left_open(*job, zones);
-    if ((!spec.zone && !spec.together && !halves && !open) || job->cancelled ||
-        job->failed_until > now || now - job->submitted < k::kZonePatience)
-      continue;
-    const double share = job->need.share_of(whole);
-    if (share > 1 + 1e-6) continue;
-    double waiting = 0;
-    for (const auto& [number, block] : job->blocks) {
-      waiting += static_cast<double>(
-          std::count_if(block->tasks.begin(), block->tasks.end(),
-                        [](const Task& task) { return task.phase == Phase::pending; }));
-    }
-    if (waiting <= 0) continue;
-    const double machines = std::ceil(waiting / std::floor(1.0 / share + 1e-6));
-    const auto add = [&](const std::string& zone, double count) {
+    const bool patient = now - job->submitted < k::kZonePatience;
+    if (job->cancelled || job->failed_until > now || patient) continue;
+    const auto needed = zones_needed(*job, zones);
+    if (needed.empty()) continue;
+    const double machines = machines_for_waiting(*job, whole);
+    if (machines <= 0) continue;
+    for (const auto& zone : needed) {
       auto& entry = bound[zone];
-      entry.machines += count;
-      entry.spot = entry.spot && spec.spot;
-    };
-    if (spec.zone)
-      add(*spec.zone, machines);
-    else if (open)
-      add(*open, machines);
-    else if (spec.together)
-      add(job->per_zone.empty()
-              ? (job->zone_choice.empty() ? settings_.zones.front() : job->zone_choice)
-              : job->per_zone.begin()->first,
-          machines);
-    else
-      for (const auto& zone : settings_.zones)
-        add(zone, std::ceil(machines / static_cast<double>(settings_.zones.size())));
+      entry.machines += std::ceil(machines / static_cast<double>(needed.size()));
+      entry.spot = entry.spot && job->spec.spot;
+    }
   }
   return bound;
 }
@@ -316,10 +323,11 @@
         pools.begin(), pools.end(), [&, z = &zone, b = &bound](const sched::Pool& one) {
           return one.zone == *z && !one.blocked && (b->spot || !one.spot);
         });
-    if (pool != pools.end())
+    if (pool != pools.end()) {
       rent({pool->type, pool->zone, pool->spot}, missing);
-    else
+    } else {
       stranded_ += missing;
+    }
   }
 }
 
--- a/src/engine/fleet_autoscaler.hpp
+++ b/src/engine/fleet_autoscaler.hpp
@@ -37,7 +37,26 @@
   void send_releases();
   void read_list(const std::string& since);
   void finish_list();
+  /// How many machines reported once, and how many of them are silent now.
+  struct Silence {
+    std::size_t heard = 0;
+    std::size_t silent = 0;
+    /// One silent machine is most likely dead. When many fall silent at once it
+    /// is the network, and deleting them would turn a cut into a loss.
+    [[nodiscard]] bool partitioned() const { return silent * 3 > heard && silent > 1; }
+  };
+  struct FleetHealth {
+    std::vector<Host*> silent;
+    std::vector<Host*> unresponsive;
+    Silence all;
+    /// A cut may take one zone alone, however few of all machines it holds.
+    std::map<std::string, Silence> zones;
+  };
   void review_hosts(double now);
+  void review_heard(Host& host, FleetHealth& health, double now);
+  void review_booting(Host& host, double now);
+  void release_unresponsive(const FleetHealth& health, double now);
+  void release_silent(const FleetHealth& health, double now);
   void plan(double now);
   void return_idle(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
                    const sched::Demand& demand, double now);
@@ -55,6 +74,11 @@
   /// Where spread work may still go that has its most in another zone.
   [[nodiscard]] static std::optional<std::string> zone_left_open(
       const Job& job, const std::vector<std::string>& zones);
+  /// The zones that what waits of the job must run in; none: any.
+  [[nodiscard]] std::vector<std::string> zones_needed(const Job& job,
+                                                      const std::vector<std::string>& zones) const;
+  /// Machines that the tasks which wait would fill.
+  [[nodiscard]] static double machines_for_waiting(const Job& job, const sched::Amount& whole);
   [[nodiscard]] std::map<std::string, Bound> bound_to_zones(const wire::MachineType& machine_type,
                                                             double now) const;
   void rent_for_zones(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
--- a/src/engine/group_commit.hpp
+++ b/src/engine/group_commit.hpp
@@ -114,7 +114,7 @@
   /// Puts in what is live in the slot; false if that leaves too little room.
   bool carry(Pending& pending, Value& value);
   void fill(Pending& pending, Value& value, std::map<std::uint64_t, Record*>::iterator& next);
-  void put(Value& value, Record& record, ledger::Packed packed);
+  static void put(Value& value, Record& record, ledger::Packed packed);
   void add_values(Pending& pending);
   void on_result(const std::shared_ptr<Pending>& pending, const ledger::CommitResult& result);
   void read_back(const std::shared_ptr<Pending>& pending);
--- a/src/engine/leader.cpp
+++ b/src/engine/leader.cpp
@@ -147,10 +147,10 @@
   }
 }
 
-void Leader::on_cancellation(const std::string& id) {
+void Leader::on_cancellation(const std::string& job_id) {
   // Comes on top of the records, which will tell too; it does not show that they
   // are current and prolongs nothing.
-  auto* job = model_.job(id);
+  auto* job = model_.job(job_id);
   if (job == nullptr || job->cancelled) return;
   job->cancelled = true;
   decide_ = orders_due_ = true;
@@ -197,14 +197,15 @@
     spdlog::info("host {}: {} tasks are gone with it ({})", host.id, host.tasks.size(), why);
   const auto tasks = host.tasks;
   for (auto* task : tasks) {
-    if (task->phase == Phase::planned)
+    if (task->phase == Phase::planned) {
       model_.unplan(*task);
-    else
+    } else {
       model_.release(*task);
+    }
   }
   host.exited.clear();
   host.unrecorded_tasks.clear();
-  model_.clear_unrecorded(host);
+  Model::clear_unrecorded(host);
   host.has_unknown_jobs = false;
 }
 
@@ -212,9 +213,9 @@
   if (context_.mirror.delegations().empty() && !any_delegated_) return;
   any_delegated_ = !context_.mirror.delegations().empty();
   for (auto& [id, host] : model_.hosts()) {
-    const bool delegated =
-        std::any_of(context_.mirror.delegations().begin(), context_.mirror.delegations().end(),
-                    [&](const auto& delegation) { return delegation.second.first == host->zone; });
+    const bool delegated = std::any_of(
+        context_.mirror.delegations().begin(), context_.mirror.delegations().end(),
+        [&zone = host->zone](const auto& delegation) { return delegation.second.first == zone; });
     // Also in the moment it ends: until now it may have answered.
     if (delegated || host->delegated) host->delegated_at = now;
     host->delegated = delegated;
@@ -294,7 +295,7 @@
   return !host.heard || std::pair(report.session, report.tick) > std::pair(host.session, host.tick);
 }
 
-void Leader::on_report(wire::Report report, net::Responder respond) {
+void Leader::on_report(const wire::Report& report, const net::Responder& respond) {
   const double now = context_.event_loop.now();
   if (!leader_lease_valid()) return respond({503, {}, 0});
   if (model_.released(report.host)) return respond({503, {}, 0});
@@ -403,7 +404,7 @@
   if (report.recall_s) host.recall_at = now + *report.recall_s;
   host.exited.clear();
   host.unrecorded_tasks.clear();
-  model_.clear_unrecorded(host);
+  Model::clear_unrecorded(host);
   host.has_unknown_jobs = false;
   for (auto* task : host.tasks) task->seen = false;
   for (const auto& task : report.tasks) read_task(host, task, now);
@@ -427,10 +428,11 @@
       return;
     }
     host.unrecorded_tasks.push_back(name);
-    if (job != nullptr)
+    if (job != nullptr) {
       model_.add_unrecorded(host, *job);
-    else
+    } else {
       host.has_unknown_jobs = true;
+    }
     return;
   }
   task->seen = true;
@@ -536,7 +538,7 @@
   return context_.event_loop.now() - known < k::kStartKnowledge || context_.outage();
 }
 
-std::vector<wire::Order> Leader::cancelled_orders(const Host& host) const {
+std::vector<wire::Order> Leader::cancelled_orders(const Host& host) {
   std::vector<wire::Order> orders;
   for (const auto* task : host.tasks) {
     if (orders.size() >= k::kMaxOrders) break;
@@ -599,13 +601,13 @@
     if (waits && way && exchanges_ < k::kExchangesMax) {
       auto orders = orders_for(*host);
       // Clearing alone is not worth a message of its own.
-      if (beyond_clearing(orders)) exchange(*host, std::move(orders));
+      if (beyond_clearing(orders)) exchange(*host, orders);
     }
     it = waits ? std::next(it) : attention.erase(it);
   }
 }
 
-void Leader::exchange(Host& host, std::vector<wire::Order> orders) {
+void Leader::exchange(Host& host, const std::vector<wire::Order>& orders) {
   host.exchanging = true;
   ++exchanges_;
   // The session of a machine that is not known yet is most likely its first;
@@ -661,9 +663,10 @@
   expire_hosts(context_.event_loop.now());
   fleet_.tick();
   const bool starting = may_start();
-  if (std::exchange(starting_, starting) != starting)
+  if (std::exchange(starting_, starting) != starting) {
     spdlog::info(starting ? "starting tasks again"
                           : "starting nothing until the records are known to be current");
+  }
   if (leader_lease_valid()) synchronize_hosts(context_.event_loop.now());
   orders_due_ = true;
 }
--- a/src/engine/leader.hpp
+++ b/src/engine/leader.hpp
@@ -38,9 +38,9 @@
   Leader(Context context, std::uint64_t term, std::uint64_t term_stamp, double confirmed);
 
   void set_machine_types(const std::vector<wire::MachineType>& machine_types);
-  void on_report(wire::Report report, net::Responder respond);
+  void on_report(const wire::Report& report, const net::Responder& respond);
   /// Another controller has recorded that this job is cancelled.
-  void on_cancellation(const std::string& job);
+  void on_cancellation(const std::string& job_id);
   void on_change(const std::vector<ledger::Key>& keys);
   /// A request that proved the term to be current was sent at this time.
   void confirm(double sent) { confirmed_ = std::max(confirmed_, sent); }
@@ -75,7 +75,7 @@
   void raise_fence(Host& host);
   void check_responsiveness(Host& host, const wire::Report& report, double now);
   void give_orders();
-  void exchange(Host& host, std::vector<wire::Order> orders);
+  void exchange(Host& host, const std::vector<wire::Order>& orders);
   void on_exchange(const std::string& id, bool stated, const fleet::OrdersResult& result);
   void synchronize_hosts(double now);
   /// `own`: it came as a report, not as the reply to direct orders.
@@ -87,7 +87,7 @@
   void handle_recall(Host& host, double now);
   [[nodiscard]] std::vector<wire::Order> orders_for(Host& host);
   /// What no answer that renews the machine's lease may lack.
-  [[nodiscard]] std::vector<wire::Order> cancelled_orders(const Host& host) const;
+  [[nodiscard]] static std::vector<wire::Order> cancelled_orders(const Host& host);
   /// Nobody can have confirmed a cancellation that this node has not heard of,
   /// but for the last few seconds.
   [[nodiscard]] bool may_start() const;
--- a/src/engine/model.cpp
+++ b/src/engine/model.cpp
@@ -199,7 +199,7 @@
 }
 
 void Model::describe(Host& host, const std::string& type, const std::string& zone, bool spot,
-                     const std::string& addr) {
+                     const std::string& addr) const {
   // What stands there counts for the zone that the machine had: it never moves.
   if (host.tasks.empty() || host.zone.empty()) host.zone = zone;
   host.type = type;
@@ -320,7 +320,7 @@
   return found == usage_.end() ? none : found->second;
 }
 
-bool Model::allowed(const Job& job, const Host& host) const {
+bool Model::allowed(const Job& job, const Host& host) {
   const auto& spec = job.spec;
   if (host.spot && !spec.spot) return false;
   if (spec.zone && *spec.zone != host.zone) return false;
@@ -342,7 +342,7 @@
   return true;
 }
 
-bool Model::within_quota(const Job& job) const {
+bool Model::within_quota(const Job& job) {
   return job.team != nullptr && sched::within_limit(*job.team, *job.team_usage + job.need);
 }
 
--- a/src/engine/model.hpp
+++ b/src/engine/model.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <algorithm>
+#include <array>
 #include <cstdint>
 #include <deque>
 #include <limits>
@@ -213,7 +214,7 @@
   void set_machine_types(std::vector<wire::MachineType> machine_types);
   [[nodiscard]] const wire::MachineType* machine_type(const std::string& type) const;
   void describe(Host& host, const std::string& type, const std::string& zone, bool spot,
-                const std::string& addr);
+                const std::string& addr) const;
 
   void plan(Task& task, Host& host);
   void unplan(Task& task);
@@ -225,7 +226,7 @@
   /// A reported task of the job that is not there by our will: it takes room
   /// and counts for its team all the same.
   void add_unrecorded(Host& host, const Job& job);
-  void clear_unrecorded(Host& host);
+  static void clear_unrecorded(Host& host);
   /// Takes over an assignment found in the records.
   void adopt(Task& task, Host& host, std::uint64_t attempt, double now);
 
@@ -257,8 +258,8 @@
   }
 
   /// Rules of placement, given everything that may be on machines now.
-  [[nodiscard]] bool allowed(const Job& job, const Host& host) const;
-  [[nodiscard]] bool within_quota(const Job& job) const;
+  [[nodiscard]] static bool allowed(const Job& job, const Host& host);
+  [[nodiscard]] static bool within_quota(const Job& job);
 
  private:
   void attach(Task& task, Host& host);
@@ -280,7 +281,7 @@
   HostSet dirty_;
   HostSet attention_;
   sched::Amount least_need_;
-  std::size_t on_hosts_[4] = {};
+  std::array<std::size_t, 4> on_hosts_{};  ///< by priority
   std::map<std::string, std::unique_ptr<Host>> hosts_;
   std::map<std::string, sched::Amount> usage_;
   std::set<std::string> released_;
--- a/src/engine/node.cpp
+++ b/src/engine/node.cpp
@@ -117,7 +117,7 @@
   // earlier one, and stays with whoever answers while its lease runs out.
   learn_term(report.token >> k::kTokenFenceBits, "");
   if (!forwarded && redirect_to_zone(report, respond)) return;
-  if (leader_) return leader_->on_report(std::move(report), std::move(respond));
+  if (leader_) return leader_->on_report(report, respond);
   if (forwarded) return respond({503, {}, 0});
   forward_report({std::move(report), body, std::move(respond), loop_.now() + k::kForwardTimeout});
 }
@@ -170,7 +170,7 @@
 }
 
 void Node::dispatch_waiting(ZoneDelegate::Waiting waiting) {
-  if (leader_) return leader_->on_report(std::move(waiting.report), std::move(waiting.respond));
+  if (leader_) return leader_->on_report(waiting.report, waiting.respond);
   forward_report(std::move(waiting));
 }
 
@@ -321,11 +321,12 @@
 void Node::consider_election() {
   if (leader_ || !mirror_.loaded()) return;
   if (mirror_.earlier_layout()) {
-    if (!std::exchange(refused_layout_, true))
+    if (!std::exchange(refused_layout_, true)) {
       spdlog::error(
           "the state service holds records of an earlier layout below {}block/ or host/: not "
           "standing for leadership",
           ledger::kLive);
+    }
     return;
   }
   if (const auto candidacy = won()) return become_leader(*candidacy);
--- a/src/engine/planner.cpp
+++ b/src/engine/planner.cpp
@@ -36,15 +36,15 @@
          now - host.last_report < settings.silent_after_s();
 }
 
-bool Planner::may_run(const Job& job, const Host& host) const {
-  return model_.allowed(job, host) && job.need.fits(host.capacity);
+bool Planner::may_run(const Job& job, const Host& host) {
+  return Model::allowed(job, host) && job.need.fits(host.capacity);
 }
 
-bool Planner::startable(const Task& task, const Host& host, double now) const {
+bool Planner::startable(const Task& task, const Host& host, double now) {
   const auto& job = *task.job;
   return task.phase == Phase::pending && task.not_before <= now && job.failed_until <= now &&
-         !job.cancelled && model_.allowed(job, host) && job.need.fits(host.room()) &&
-         model_.within_quota(job);
+         !job.cancelled && Model::allowed(job, host) && job.need.fits(host.room()) &&
+         Model::within_quota(job);
 }
 
 sched::Eligible Planner::eligible() {
@@ -55,11 +55,11 @@
   };
 }
 
-bool Planner::guaranteed(const Job& job) const {
+bool Planner::guaranteed(const Job& job) {
   return job.team != nullptr && sched::within_guarantee(*job.team, *job.team_usage + job.need);
 }
 
-int Planner::precedence(const Job& job) const {
+int Planner::precedence(const Job& job) {
   // Priority first, then guaranteed work, then (in the lists) the deadline.
   return static_cast<int>(job.spec.priority) * 2 + (guaranteed(job) ? 1 : 0);
 }
@@ -75,10 +75,11 @@
   ++steps_;
   if (!usable(host, now, settings_)) return remove_worker(host);
   const auto room = host.room();
-  if (model_.least_need().fits(room))
+  if (model_.least_need().fits(room)) {
     roomy_.insert(&host);
-  else
+  } else {
     roomy_.erase(&host);
+  }
   const auto in_transit = static_cast<std::size_t>(std::count_if(
       host.tasks.begin(), host.tasks.end(),
       [](const Task* task) { return task->phase == Phase::assigned && !task->seen; }));
@@ -152,7 +153,7 @@
   }
 }
 
-void Planner::enlist(Job& job, std::vector<Task*> tasks, double now) {
+void Planner::enlist(const Job& job, const std::vector<Task*>& tasks, double now) {
   if (tasks.empty()) return;
   std::vector<sched::Queued> block;
   const auto place = queue_position(job, now);
@@ -178,41 +179,49 @@
   best->push_block(block, may);
 }
 
-void Planner::queue_blocks(double now) {
-  for (auto it = model_.open().begin(); it != model_.open().end();) {
-    auto* job = *it;
-    if (job->cancelled || job->all_done()) {
-      it = model_.open().erase(it);
-      continue;
-    }
-    if (direct(*job)) {
-      ++it;
-      continue;
-    }
-    std::size_t waiting = 0;
-    bool left = false;
-    const auto list = [&](Block& block) {
-      std::vector<Task*> fresh;
-      for (auto& task : block.tasks) {
-        if (task.phase != Phase::pending) continue;
-        ++waiting;
-        if (!task.listed && task.not_before <= now)
-          fresh.push_back(&task);
-        else
-          left = left || !task.listed;
-      }
-      enlist(*job, fresh, now);
-      left = left || std::any_of(fresh.begin(), fresh.end(),
-                                 [](const Task* task) { return !task->listed; });
-    };
-    for (const auto& [number, block] : job->blocks) list(*block);
-    // Blocks of a large job appear as they are needed.
-    while (waiting < constants::kWindowTasks && job->next_block < job->block_count) {
-      const auto number = job->next_block++;
-      if (!job->blocks.contains(number)) list(model_.load_block(*job, number, nullptr));
+Planner::Listed Planner::list_block(Job& job, Block& block, double now) {
+  Listed listed;
+  std::vector<Task*> fresh;
+  for (auto& task : block.tasks) {
+    if (task.phase != Phase::pending) continue;
+    ++listed.waiting;
+    if (task.listed) continue;
+    if (task.not_before <= now) {
+      fresh.push_back(&task);
+    } else {
+      listed.whole = false;
     }
-    const bool whole = !left && job->next_block >= job->block_count;
-    it = whole ? model_.open().erase(it) : std::next(it);
+  }
+  enlist(job, fresh, now);
+  const auto outside = [](const Task* task) { return !task->listed; };
+  if (std::any_of(fresh.begin(), fresh.end(), outside)) listed.whole = false;
+  return listed;
+}
+
+bool Planner::list_job(Job& job, double now) {
+  std::size_t waiting = 0;
+  bool whole = true;
+  const auto list = [&](Block& block) {
+    const auto listed = list_block(job, block, now);
+    waiting += listed.waiting;
+    whole = whole && listed.whole;
+  };
+  for (const auto& [number, block] : job.blocks) list(*block);
+  // Blocks of a large job appear as they are needed.
+  while (waiting < constants::kWindowTasks && job.next_block < job.block_count) {
+    const auto number = job.next_block++;
+    if (!job.blocks.contains(number)) list(model_.load_block(job, number, nullptr));
+  }
+  return whole && job.next_block >= job.block_count;
+}
+
+void Planner::queue_blocks(double now) {
+  auto& open = model_.open();
+  for (auto it = open.begin(); it != open.end();) {
+    auto& job = **it;
+    const bool over = job.cancelled || job.all_done();
+    const bool settled = over || (!direct(job) && list_job(job, now));
+    it = settled ? open.erase(it) : std::next(it);
   }
 }
 
@@ -230,19 +239,19 @@
     }
     if (!task->job->need.fits(host.capacity - taken)) continue;
     model_.unplan(*task);
-    if (model_.allowed(*task->job, host) && model_.within_quota(*task->job))
+    if (Model::allowed(*task->job, host) && Model::within_quota(*task->job))
       model_.assign(*task, host, now);
   }
 }
 
-double Planner::lost_work(const Task& victim, double now) const {
+double Planner::lost_work(const Task& victim, double now) {
   if (victim.running_since == kNever) return 0;
   const double ran = now - victim.running_since;
   const double every = victim.job->spec.checkpoint_every_s;
   return every > 0 ? victim.job->spec.save_s : ran;
 }
 
-bool Planner::may_stop(const Job& job, const Task& victim) const {
+bool Planner::may_stop(const Job& job, const Task& victim) {
   const auto& other = *victim.job;
   if (victim.phase != Phase::assigned || victim.stopping) return false;
   const bool higher = other.spec.priority > job.spec.priority;
@@ -258,8 +267,7 @@
   return lower;
 }
 
-std::optional<std::vector<Task*>> Planner::victims(const Job& job, const Host& host,
-                                                   double now) const {
+std::optional<std::vector<Task*>> Planner::victims(const Job& job, const Host& host, double now) {
   std::vector<Task*> candidates;
   for (auto* task : host.tasks) {
     if (may_stop(job, *task)) candidates.push_back(task);
@@ -298,7 +306,7 @@
   Host* best = nullptr;
   double best_score = 0;
   for (auto* host : roomy_) {
-    if (!job.need.fits(host->room()) || !model_.allowed(job, *host)) continue;
+    if (!job.need.fits(host->room()) || !Model::allowed(job, *host)) continue;
     const double points = score(job, *host);
     if (best != nullptr && points <= best_score) continue;
     best = host;
@@ -370,7 +378,7 @@
       if (task.phase != Phase::pending) continue;
       left = true;
       if (task.not_before > now) continue;
-      if (!model_.within_quota(job)) return true;
+      if (!Model::within_quota(job)) return true;
       if (auto* host = best_room(job)) {
         model_.assign(task, *host, now);
         continue;
@@ -391,17 +399,18 @@
     if (direct(*job) && !job->cancelled && job->failed_until <= now && !job->all_done())
       waiting.push_back(job);
   }
-  std::stable_sort(waiting.begin(), waiting.end(), [this](const Job* a, const Job* b) {
+  std::stable_sort(waiting.begin(), waiting.end(), [](const Job* a, const Job* b) {
     const int x = precedence(*a);
     const int y = precedence(*b);
     return x != y ? x > y : a->submitted < b->submitted;
   });
   for (auto* job : waiting) {
     choose_zone(*job, now);
-    if (job->gang())
+    if (job->gang()) {
       place_gang(*job, now);
-    else if (!place_service(*job, now))
+    } else if (!place_service(*job, now)) {
       model_.open().erase(job);
+    }
   }
 }
 
@@ -415,7 +424,7 @@
   }
   std::vector<Task*> placed;
   for (auto* task : waiting) {
-    const bool free = task->not_before <= now && model_.within_quota(job);
+    const bool free = task->not_before <= now && Model::within_quota(job);
     auto* host = free ? best_room(job) : nullptr;
     if (host == nullptr) {
       for (auto* other : placed) model_.unplan(*other);
@@ -537,6 +546,7 @@
     });
   }
   std::vector<sched::Queued> order;
+  order.reserve(heads.size());
   for (const auto& [serial, head] : heads) order.push_back(head);
   std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) { return a.before(b); });
   for (const auto& head : order) {
@@ -547,7 +557,7 @@
       continue;
     auto& job = *task->job;
     if (!guaranteed(job) && job.spec.priority == wire::Priority::idle) continue;
-    if (!model_.within_quota(job)) continue;
+    if (!Model::within_quota(job)) continue;
     const auto place = displace(job, now);
     if (!place) continue;
     forget(*task);
--- a/src/engine/planner.hpp
+++ b/src/engine/planner.hpp
@@ -43,8 +43,16 @@
 
   void update_worker(Host& host, double now);
   void update_workers(double now);
+  /// What of a block or job stands in the lists.
+  struct Listed {
+    std::size_t waiting = 0;  ///< tasks that wait, in the lists or not
+    bool whole = true;        ///< none of them waits outside
+  };
+  Listed list_block(Job& job, Block& block, double now);
+  /// Puts the job's waiting tasks into the lists; true when all are there.
+  bool list_job(Job& job, double now);
   void queue_blocks(double now);
-  void enlist(Job& job, std::vector<Task*> tasks, double now);
+  void enlist(const Job& job, const std::vector<Task*>& tasks, double now);
   [[nodiscard]] QueuePosition queue_position(const Job& job, double now) const;
   void reorder(double now);
   void settle_planned(double now);
@@ -59,11 +67,11 @@
   bool start_on(Host& host, double now);
   void relieve_guarantees(double now);
 
-  [[nodiscard]] bool direct(const Job& job) const {
+  [[nodiscard]] static bool direct(const Job& job) {
     return job.service() || job.gang() || job.spec.together;
   }
-  [[nodiscard]] bool startable(const Task& task, const Host& host, double now) const;
-  [[nodiscard]] bool may_run(const Job& job, const Host& host) const;
+  [[nodiscard]] static bool startable(const Task& task, const Host& host, double now);
+  [[nodiscard]] static bool may_run(const Job& job, const Host& host);
   /// The best machine with room for the job's next task.
   [[nodiscard]] Host* best_room(const Job& job) const;
   /// The best one where room can be made by stopping lesser work.
@@ -71,13 +79,13 @@
   /// As above, unless that was tried a moment ago or can't succeed.
   [[nodiscard]] std::optional<Candidate> displace(Job& job, double now);
   [[nodiscard]] bool anything_lesser(const Job& job) const;
-  [[nodiscard]] std::optional<std::vector<Task*>> victims(const Job& job, const Host& host,
-                                                          double now) const;
-  [[nodiscard]] bool may_stop(const Job& job, const Task& victim) const;
-  [[nodiscard]] double lost_work(const Task& victim, double now) const;
+  [[nodiscard]] static std::optional<std::vector<Task*>> victims(const Job& job, const Host& host,
+                                                                 double now);
+  [[nodiscard]] static bool may_stop(const Job& job, const Task& victim);
+  [[nodiscard]] static double lost_work(const Task& victim, double now);
   [[nodiscard]] double score(const Job& job, const Host& host) const;
-  [[nodiscard]] int precedence(const Job& job) const;
-  [[nodiscard]] bool guaranteed(const Job& job) const;
+  [[nodiscard]] static int precedence(const Job& job);
+  [[nodiscard]] static bool guaranteed(const Job& job);
   [[nodiscard]] static std::string group_name(const Host& host) {
     return host.type + "/" + host.zone;
   }
--- a/src/engine/read_index.hpp
+++ b/src/engine/read_index.hpp
@@ -1,4 +1,4 @@
-// ReadIndex that the mirror is current, taken once for all who wait for it: one
+// Read index: shows that the mirror is current, once for all who wait for it: one
 // cheap request tells the present revision, and answers wait until the
 // mirror has reached it.
 #pragma once
--- a/src/engine/user_api.cpp
+++ b/src/engine/user_api.cpp
@@ -28,14 +28,13 @@
   return call;
 }
 
-void UserApi::later(const CallPtr& call) const { call->respond({503, {}, k::kRetryAfter}); }
+void UserApi::later(const CallPtr& call) { call->respond({503, {}, k::kRetryAfter}); }
 
-void UserApi::answer(const CallPtr& call, int status, const wire::JobStatus& state,
-                     bool counts) const {
+void UserApi::answer(const CallPtr& call, int status, const wire::JobStatus& state, bool counts) {
   call->respond({status, wire::encode_status(state, counts), 0});
 }
 
-void UserApi::refuse(const CallPtr& call, int status, const std::string& text) const {
+void UserApi::refuse(const CallPtr& call, int status, const std::string& text) {
   wire::Packer packer;
   packer.map(1).key("error").text(text);
   call->respond({status, packer.take(), 0});
@@ -72,7 +71,7 @@
   if (!call) return;
   call->id = id;
   if (!wire::valid_job_id(id)) return refuse(call, 404, "no such job");
-  if_known(call, true, [this, call] { refuse(call, 404, "no such job"); });
+  if_known(call, true, [call] { refuse(call, 404, "no such job"); });
 }
 
 std::string UserApi::objection(wire::JobSpec& spec) const {
@@ -114,17 +113,16 @@
   } catch (const wire::Malformed& error) {
     spdlog::info("a submission is malformed: {}", error.what());
     if (call->id.empty()) return refuse(call, 400, error.what());
-    return if_known(call, false, [this, call, problem = std::string(error.what())] {
-      refuse(call, 400, problem);
-    });
+    return if_known(call, false,
+                    [call, problem = std::string(error.what())] { refuse(call, 400, problem); });
   }
   if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr) {
-    return if_known(call, false, [this, call] { later(call); });
+    return if_known(call, false, [call] { later(call); });
   }
   if (machine_types_.empty()) return later(call);
   if (const auto problem = objection(call->spec); !problem.empty()) {
     // An id that was accepted before keeps its answer, whatever is sent now.
-    return if_known(call, false, [this, call, problem] { refuse(call, 422, problem); });
+    return if_known(call, false, [call, problem] { refuse(call, 422, problem); });
   }
   create(call);
 }
@@ -141,7 +139,7 @@
       case Outcome::ok:
         return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
       case Outcome::conflict:
-        return if_known(call, false, [this, call] { later(call); });
+        return if_known(call, false, [call] { later(call); });
       case Outcome::unavailable:
         return retry(call, [this, call] { create(call); });
       case Outcome::unknown:
@@ -176,7 +174,7 @@
     return read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
       if (!current && !mirror_.final_state(call->id)) return later(call);
       if (mirror_.job(call->id) != nullptr) return mark_cancelled(call);
-      if_known(call, false, [this, call] { refuse(call, 404, "no such job"); });
+      if_known(call, false, [call] { refuse(call, 404, "no such job"); });
     });
   }
   if (job->record.cancelled) return answer(call, 200, mirror_.status(call->id), false);
--- a/src/engine/user_api.hpp
+++ b/src/engine/user_api.hpp
@@ -45,9 +45,9 @@
 
   /// Counts the request against the limit; nothing when it is shed.
   CallPtr enter(net::Responder respond, double patience_s);
-  void later(const CallPtr& call) const;
-  void answer(const CallPtr& call, int status, const wire::JobStatus& state, bool counts) const;
-  void refuse(const CallPtr& call, int status, const std::string& text) const;
+  static void later(const CallPtr& call);
+  static void answer(const CallPtr& call, int status, const wire::JobStatus& state, bool counts);
+  static void refuse(const CallPtr& call, int status, const std::string& text);
 
   /// Answers with the job's state if there is such a job, else calls `otherwise`.
   void if_known(const CallPtr& call, bool counts, std::function<void()> otherwise);
--- a/src/engine/zone_delegate.cpp
+++ b/src/engine/zone_delegate.cpp
@@ -39,10 +39,11 @@
   turned_away_[one.report.host] = loop_.now();
   // In a zone that is cut off the others are not to be reached, and trying
   // them takes 5 s each. With us or our neighbour it is heard when the cut ends.
-  if (!view.neighbour.empty())
+  if (!view.neighbour.empty()) {
     one.respond({421, wire::encode_redirect(view.neighbour), 0});
-  else
+  } else {
     one.respond({503, {}, 0});
+  }
 }
 
 bool ZoneDelegate::delegation_valid() const {
@@ -135,10 +136,11 @@
   next_renew_ = sent + k::kRenewEvery;
   store_.renew(lease_, scope_.wrap([this, sent, round = round_](Outcome outcome) {
     if (round != round_) return;
-    if (outcome == Outcome::ok)
+    if (outcome == Outcome::ok) {
       renewed_ = std::max(renewed_, sent);
-    else if (outcome == Outcome::missing)
+    } else if (outcome == Outcome::missing) {
       end("its lease ran out");
+    }
   }));
 }
 
@@ -162,12 +164,13 @@
   const double now = loop_.now();
   std::vector<Waiting> left;
   for (auto& one : waiting_) {
-    if (delegation_valid() || may_answer_unrecorded(one.report.host, view))
+    if (delegation_valid() || may_answer_unrecorded(one.report.host, view)) {
       answer(one.report, one.respond);
-    else if (now >= one.until)
+    } else if (now >= one.until) {
       turn_away(one, view);
-    else
+    } else {
       left.push_back(std::move(one));
+    }
   }
   waiting_ = std::move(left);
 }
@@ -179,10 +182,11 @@
     return view.leader_heard || now - entry.second > k::kTurnedAwayMemory;
   });
   if (state_ != State::active) return;
-  if (!view.leader_heard)
+  if (!view.leader_heard) {
     heard_since_ = -1;
-  else if (heard_since_ < 0)
+  } else if (heard_since_ < 0) {
     heard_since_ = now;
+  }
   if (view.leader_heard && now - heard_since_ >= k::kDelegationEnd)
     return end("its leader is heard again");
   if (now >= next_renew_) renew();
--- a/src/ledger/mirror.cpp
+++ b/src/ledger/mirror.cpp
@@ -40,10 +40,11 @@
     auto key = parse_key(change.key);
     // A page that was read later may hold a newer value than this change.
     if (change.stamp < stamp_of(key)) continue;
-    if (change.value)
+    if (change.value) {
       put(key, *change.value, change.stamp);
-    else
+    } else {
       erase(key);
+    }
     changed.push_back(std::move(key));
   }
   revision_ = std::max(revision_, changes.revision);
--- a/src/ledger/mirror.hpp
+++ b/src/ledger/mirror.hpp
@@ -77,7 +77,7 @@
  private:
   void put(const Key& key, const std::string& packed, std::uint64_t stamp);
   void decode_and_put(const Key& key, const std::string& packed, std::uint64_t stamp);
-  void put_slot(std::uint32_t slot, const SlotRecord& record, std::uint64_t stamp);
+  void put_slot(std::uint32_t slot, const SlotRecord& value, std::uint64_t stamp);
   void erase(const Key& key);
   void drop_ownerless_blocks();
   [[nodiscard]] std::uint64_t stamp_of(const Key& key) const;
--- a/src/ledger/records.cpp
+++ b/src/ledger/records.cpp
@@ -238,7 +238,7 @@
   // Powers of two. Small ones keep what a change of one task costs small.
   const auto room = static_cast<std::size_t>(value_kb * 1024 / 2.5) / constants::kTaskRecordBytes;
   std::uint32_t size = 1;
-  while (size * 2 <= room && size < constants::kMaxBlockTasks) size *= 2;
+  while (std::size_t{size} * 2 <= room && size < constants::kMaxBlockTasks) size *= 2;
   return size;
 }
 
--- a/src/ledger/state_client.cpp
+++ b/src/ledger/state_client.cpp
@@ -111,10 +111,11 @@
         "GET", "/kv/" + key, {}, constants::kStateTimeout, [done](const net::Reply& reply) {
           done(decode<GetResult>(
               reply, outcome_of(reply), [](GetResult& result, const wire::Document& document) {
-                if (result.outcome == Outcome::ok)
+                if (result.outcome == Outcome::ok) {
                   result.entry = wire::decode_entry(document.root());
-                else
+                } else {
                   result.revision = document.fields().integer_or("ledger_rev", 0);
+                }
               }));
         });
   };
--- a/src/ledger/state_client.hpp
+++ b/src/ledger/state_client.hpp
@@ -45,7 +45,7 @@
 
   void submit(Job job);
   void pump();
-  bool affordable(const Job& job) const;
+  [[nodiscard]] bool affordable(const Job& job) const;
   static Outcome outcome_of(const net::Reply& reply);
 
   net::HttpClient client_;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -58,8 +58,13 @@
   }
 
   void close() {
-    asio::error_code ignored;
     timer_.cancel();
+    close_socket();
+  }
+
+  /// For one that is idle, whose timer does not run.
+  void close_socket() {
+    asio::error_code ignored;
     socket_.close(ignored);
   }
 
@@ -200,11 +205,11 @@
 
 HttpClient::~HttpClient() {
   shared_->closed = true;
-  for (auto& connection : shared_->idle) connection->close();
+  for (auto& connection : shared_->idle) connection->close_socket();
   shared_->idle.clear();
 }
 
-void HttpClient::request(std::string_view method, std::string_view path, std::string body,
+void HttpClient::request(std::string_view method, std::string_view path, const std::string& body,
                          double timeout_s, ReplyHandler handler) {
   std::string text;
   text.reserve(160 + body.size());
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -29,8 +29,8 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   /// The handler is called exactly once, from the loop, never from inside.
-  void request(std::string_view method, std::string_view path, std::string body, double timeout_s,
-               ReplyHandler handler);
+  void request(std::string_view method, std::string_view path, const std::string& body,
+               double timeout_s, ReplyHandler handler);
 
  private:
   class Connection;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -149,14 +149,15 @@
     Request request{http_method_str(static_cast<http_method>(parser_.method)), std::move(path_),
                     std::move(body_)};
     auto answered = std::make_shared<bool>(false);
-    shared_->handler(std::move(request), [answered, self = shared_from_this()](Response response) {
-      if (*answered) return;
-      *answered = true;
-      self->send(std::move(response));
-    });
+    shared_->handler(std::move(request),
+                     [answered, self = shared_from_this()](const Response& response) {
+                       if (*answered) return;
+                       *answered = true;
+                       self->send(response);
+                     });
   }
 
-  void send(Response response) {
+  void send(const Response& response) {
     if (!socket_.is_open()) return;
     expire_after(constants::kRequestReadTimeout);
     if (response.yields && shared_->open > shared_->limits.crowded) keep_alive_ = false;
--- a/src/sched/balance.cpp
+++ b/src/sched/balance.cpp
@@ -23,7 +23,7 @@
     shares[i] = sat(mean - workers[i].z);
     total += shares[i];
   }
-  if (total <= 0) return std::vector<double>(workers.size(), 0.0);
+  if (total <= 0) return shares;
   for (auto& share : shares) share /= total;
   return shares;
 }
--- a/src/sched/group.cpp
+++ b/src/sched/group.cpp
@@ -76,10 +76,11 @@
       count(task, 1);
     }
   };
-  if (best == nullptr)
+  if (best == nullptr) {
     put(inbox_);
-  else
+  } else {
     change(*best, [&](Worker& worker) { put(worker.list); });
+  }
 }
 
 void Group::settle_inbox(const Eligible& eligible) {
@@ -100,10 +101,11 @@
     count(*at, -1);
     list.erase(at);
   };
-  if (found->second == nullptr)
+  if (found->second == nullptr) {
     drop(inbox_);
-  else
+  } else {
     change(*found->second, [&](Worker& worker) { drop(worker.list); });
+  }
   where_.erase(found);
   return true;
 }
--- a/src/sched/resources.hpp
+++ b/src/sched/resources.hpp
@@ -68,7 +68,7 @@
          (team.gpus <= 0 || used.gpus <= team.gpus + Amount::kSlack);
 }
 
-/// Largest number of tasks in one zone under `distribute`.
+/// Largest number of tasks in one zone of a spread job.
 [[nodiscard]] inline std::size_t spread_limit(std::size_t tasks) { return (tasks + 1) / 2; }
 
 }  // namespace elmstall::sched
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -160,10 +160,11 @@
   return *this;
 }
 Packer& Packer::flag(bool value) {
-  if (value)
+  if (value) {
     packer_.pack_true();
-  else
+  } else {
     packer_.pack_false();
+  }
   return *this;
 }
 Packer& Packer::null() {
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -202,10 +202,11 @@
     for (const auto& type : job.types) packer.text(type);
   }
   packer.key("yard");
-  if (job.zone)
+  if (job.zone) {
     packer.text(*job.zone);
-  else
+  } else {
     packer.null();
+  }
   packer.key("together").flag(job.together);
   packer.key("scatter").flag(job.spread);
   packer.key("loaners").flag(job.spot);
@@ -215,10 +216,11 @@
   packer.key("mark_every_s").number(job.checkpoint_every_s);
   packer.key("mark_s").number(job.save_s);
   packer.key("due_s");
-  if (job.due_s)
+  if (job.due_s) {
     packer.number(*job.due_s);
-  else
+  } else {
     packer.null();
+  }
 }
 
 std::string_view to_text(JobState state) { return name_of(kJobStates, state); }
