--- /dev/null
+++ b/src/wire/names.cpp
@@ -0,0 +1,20 @@
+#include "wire/names.hpp"
+
+namespace elmstall::wire {
+
+double amount(const Fields& fields, std::string_view key) {
+  const double value = fields.number(key);
+  if (value < 0) throw Malformed("field '" + std::string(key) + "' is negative");
+  return value;
+}
+
+double amount_or_zero(const Fields& fields, std::string_view key) {
+  return fields.find(key) == nullptr ? 0 : amount(fields, key);
+}
+
+void check_text(const std::string& text, std::string_view field) {
+  if (text.empty() || text.size() > 200)
+    throw Malformed("field '" + std::string(field) + "' is empty or too long");
+}
+
+}  // namespace elmstall::wire
