--- a/src/engine/leader.cpp
+++ b/src/engine/leader.cpp
@@ -20,12 +20,6 @@
                      [](const wire::Order& order) { return order.verb != wire::Verb::clear; });
 }
 
-/// A controller answers machines of its own zone only; one whose zone the
-/// settings don't tell may be of any.
-bool may_be_delegate(const std::string& zone, const Host& host) {
-  return zone.empty() || zone == host.zone;
-}
-
 }  // namespace
 
 Leader::Leader(Context context, std::uint64_t term, std::uint64_t term_stamp, double confirmed)
@@ -46,6 +40,8 @@
       planner_(context.settings, model_, estimates_),
       fleet_(context.settings, context.event_loop, context.queue, context.cloud, model_, estimates_,
              term, [this](Host& host) { release_host_tasks(host, "deleted or failed"); }),
+      expiry_(context.settings, context.mirror, model_, group_commit_, started_, context.read_state,
+              [this](Host& host) { release_host_tasks(host, "its lease is over"); }),
       scope_(context.queue),
       wake_(context.event_loop, context.queue) {
   rebuild();
@@ -57,13 +53,6 @@
   return context_.event_loop.now() - known < context_.settings.leader_lease_s();
 }
 
-double Leader::inherited_until() const {
-  // Whoever led before may have answered reports until its leader lease ran
-  // out, and what it answered last keeps a lease alive that much longer.
-  const auto& settings = context_.settings;
-  return started_ + settings.leader_lease_s() + settings.lease_over_s();
-}
-
 void Leader::record_host(Host& host, const ledger::Mirror::Host* stored) {
   const auto pack = [&host] {
     return ledger::pack(ledger::HostEntry{
@@ -86,7 +75,7 @@
     const auto& record = stored.record;
     auto& host = model_.host(id);
     model_.describe(host, record.type, record.zone, record.spot, record.addr);
-    host.inherited_until = inherited_until();
+    host.inherited_until = expiry_.inherited_until();
     host.retired = record.retired;
     record_host(host, &stored);
   }
@@ -129,7 +118,8 @@
 
 void Leader::on_change(const std::vector<ledger::Key>& keys) {
   for (const auto& key : keys) {
-    if (key.kind == ledger::Key::Kind::delegation) update_delegations(context_.event_loop.now());
+    if (key.kind == ledger::Key::Kind::delegation)
+      expiry_.update_delegations(context_.event_loop.now());
     if (key.kind != ledger::Key::Kind::job) continue;
     decide_ = true;
     const auto* stored = context_.mirror.job(key.id);
@@ -209,85 +199,6 @@
   host.has_unknown_jobs = false;
 }
 
-void Leader::update_delegations(double now) {
-  if (context_.mirror.delegations().empty() && !any_delegated_) return;
-  any_delegated_ = !context_.mirror.delegations().empty();
-  for (auto& [id, host] : model_.hosts()) {
-    const bool delegated = std::any_of(
-        context_.mirror.delegations().begin(), context_.mirror.delegations().end(),
-        [&zone = host->zone](const auto& delegation) { return delegation.second.first == zone; });
-    // Also in the moment it ends: until now it may have answered.
-    if (delegated || host->delegated) host->delegated_at = now;
-    host->delegated = delegated;
-    if (delegated) unretire(*host);
-  }
-}
-
-void Leader::retire(Host& host) {
-  host.retired = true;
-  // Nobody may become a zone delegate of its zone without seeing this, and whoever
-  // is one already makes it fail. Others don't answer this machine, so their
-  // delegations must not: what is refused once for a whole zone's cut would hold up
-  // everything else that is to be recorded.
-  const auto& settings = context_.settings;
-  const auto exclude = [&](const std::string& node, const std::string& zone) {
-    if (may_be_delegate(zone, host)) host.record->absent.push_back(ledger::delegation_key(node));
-  };
-  host.record->absent.clear();
-  exclude(settings.node, settings.zone);
-  for (const auto& peer : settings.peers) exclude(peer.name, peer.zone);
-  group_commit_.mark_dirty(*host.record);
-}
-
-void Leader::unretire(Host& host) {
-  if (!host.retired || host.record == nullptr) return;
-  host.retired = false;
-  host.retired_at = kNever;
-  host.record->absent.clear();
-  group_commit_.mark_dirty(*host.record);
-}
-
-bool Leader::excluded(const Host& host, double now) const {
-  const auto& settings = context_.settings;
-  const double lease = settings.lease_over_s();
-  // Whoever proved its records current before the retirement was written may
-  // have acted as an unrecorded delegate without a record until its leader lease ran out.
-  if (now >= host.retired_at + settings.leader_lease_s() + lease) return true;
-  return std::all_of(settings.peers.begin(), settings.peers.end(), [&](const config::Peer& peer) {
-    if (!may_be_delegate(peer.zone, host)) return true;
-    // Sooner if it says so: it knows of the retirement, and what it answered
-    // before that has run out.
-    const auto read_state = context_.read_state(peer.name);
-    return read_state.revision >= host.record->revision && now >= read_state.answered_at + lease;
-  });
-}
-
-void Leader::expire_hosts(double now) {
-  const double lease = context_.settings.lease_over_s();
-  for (auto& [id, host] : model_.hosts()) {
-    if (host->tasks.empty()) continue;
-    // A session may have begun just before we heard of it, and direct orders
-    // start tasks in one that was never answered: hearing counts as well.
-    const double last_touched =
-        std::max({host->last_answer, host->last_contact, host->delegated_at});
-    const double alive_until = std::max(host->inherited_until, last_touched + lease);
-    if (alive_until == kNever || host->delegated || host->record == nullptr) continue;
-    if (!host->retired) {
-      // Ahead of the lease's end, so that all who might answer it know by then.
-      const double silent_since = std::max(last_touched, started_);
-      if (now >= std::min(alive_until, silent_since + context_.settings.silent_after_s()))
-        retire(*host);
-      continue;
-    }
-    // Written, and the mirror has passed that point without a zone delegate.
-    if (!host->record->clean() || context_.mirror.revision() < host->record->revision) continue;
-    if (host->retired_at == kNever) host->retired_at = now;
-    if (now < alive_until || !excluded(*host, now)) continue;
-    release_host_tasks(*host, "its lease is over");
-    host->synchronized = false;
-  }
-}
-
 // --- reports ---------------------------------------------------------------------
 
 bool Leader::is_newer(const Host& host, const wire::Report& report) {
@@ -387,7 +298,7 @@
   // What was ordered in that session is void in this, however late it comes.
   if (host.session_known && report.session > host.session)
     release_host_tasks(host, "its session ended");
-  unretire(host);
+  expiry_.revive(host);
   // Direct orders reach machines that reach nobody, and renew no lease: what
   // starts there ends with it. Only the first contact in a term counts as much as
   // a report, which may be long in coming.
@@ -659,8 +570,8 @@
 
 void Leader::tick() {
   decide_ = true;
-  update_delegations(context_.event_loop.now());
-  expire_hosts(context_.event_loop.now());
+  expiry_.update_delegations(context_.event_loop.now());
+  expiry_.expire(context_.event_loop.now());
   fleet_.tick();
   const bool starting = may_start();
   if (std::exchange(starting_, starting) != starting) {
--- a/src/engine/leader.hpp
+++ b/src/engine/leader.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include "engine/fleet_autoscaler.hpp"
+#include "engine/host_expiry.hpp"
 #include "engine/planner.hpp"
 #include "engine/read_index.hpp"
 #include "fleet/workers.hpp"
@@ -10,12 +11,6 @@
 
 namespace elmstall::engine {
 
-/// What another controller said of itself.
-struct PeerReadState {
-  std::uint64_t revision = 0;   ///< its copy of the records is at least this far
-  double answered_at = kNever;  ///< it answered no report on its own after this
-};
-
 class Leader {
  public:
   struct Context {
@@ -60,14 +55,7 @@
   void cancel(Job& job);
   void finalize_jobs();
   void release_host_tasks(Host& host, const char* why);
-  void update_delegations(double now);
-  void expire_hosts(double now);
-  void retire(Host& host);
-  /// Nobody else may be answering this machine, or did so within a lease.
-  [[nodiscard]] bool excluded(const Host& host, double now) const;
-  void unretire(Host& host);
   void record_host(Host& host, const ledger::Mirror::Host* stored);
-  [[nodiscard]] double inherited_until() const;
 
   [[nodiscard]] std::uint64_t token(const Host& host) const { return token() + host.fence; }
   [[nodiscard]] static bool is_newer(const Host& host, const wire::Report& report);
@@ -102,10 +90,10 @@
   Estimates estimates_;
   Planner planner_;
   FleetAutoscaler fleet_;
+  HostExpiry expiry_;
   std::size_t exchanges_ = 0;  ///< in flight
   bool orders_due_ = true;
-  bool starting_ = true;       ///< as last told in the log
-  bool any_delegated_ = true;  ///< some machine may have a zone delegate
+  bool starting_ = true;  ///< as last told in the log
   /// Something happened that scheduling has to look at; users' polls and the
   /// answers of the state service are not of that kind.
   bool decide_ = true;
