--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -655,5 +655,29 @@
   EXPECT_LT(bytes[600], 64U);
 }
 
+/// Forwarded reports and their answers share writes, whatever the size of the
+/// fleet: a packet costs a small controller more than the report in it.
+TEST(Reports, ForwardedTogetherWithOthers) {
+  std::map<int, double> flushes;
+  for (const int machines : {60, 240}) {
+    World world(59);
+    world.cloud.capacity = machines;
+    world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 5000));
+    world.run_until(80);
+    ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
+    const auto messages = world.mesh_messages;
+    const auto writes = world.mesh_flushes;
+    constexpr double kSeconds = 20;
+    world.run_until(world.loop.now() + kSeconds);
+    const auto sent = static_cast<double>(world.mesh_messages - messages);
+    flushes[machines] = static_cast<double>(world.mesh_flushes - writes);
+    EXPECT_GT(sent, machines * kSeconds / 1.5) << "most reports are forwarded, each is answered";
+    // Of each node: one every 50 ms, and its heartbeats.
+    const auto nodes = static_cast<double>(world.node_count());
+    EXPECT_LT(flushes[machines], nodes * kSeconds * (1 / 0.05 + 1 / 0.8) * 1.1) << machines;
+  }
+  EXPECT_LT(flushes[240], 3 * flushes[60]) << "four times the reports";
+}
+
 }  // namespace
 }  // namespace elmstall::test
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -379,12 +379,17 @@
   Mesh(World& owner, std::size_t from) : world(owner), self(from) {}
   void broadcast(const mesh::Message& message) override {
     for (std::size_t i = 0; i < world.nodes_.size(); ++i) {
-      if (i != self) deliver(i, message);
+      if (i != self) queued.emplace_back(i, message);
     }
   }
-  void flush() override {}
   void send(const std::string& node, const mesh::Message& message) override {
-    deliver(static_cast<std::size_t>(node.back() - '0'), message);
+    queued.emplace_back(static_cast<std::size_t>(node.back() - '0'), message);
+  }
+  void flush() override {
+    if (queued.empty()) return;
+    ++world.mesh_flushes;
+    world.mesh_messages += queued.size();
+    for (const auto& [to, message] : std::exchange(queued, {})) deliver(to, message);
   }
   void deliver(std::size_t to, const mesh::Message& message) {
     if (world.mesh_cut_[self] || world.mesh_cut_[to]) return;
@@ -396,6 +401,7 @@
   }
   World& world;
   std::size_t self;
+  std::vector<std::pair<std::size_t, mesh::Message>> queued;
 };
 
 namespace {
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -193,6 +193,9 @@
   bool no_direct = false;     ///< orders sent straight to workers get nowhere
   double loss = 0;            ///< share of workers' and users' messages lost
 
+  std::size_t mesh_messages = 0;  ///< sent between controllers so far
+  std::size_t mesh_flushes = 0;   ///< writes in which they were sent
+
  private:
   struct Mesh;
   struct Process {
