--- /dev/null
+++ b/tests/odd_requests_test.cpp
@@ -0,0 +1,130 @@
+// Malformed, misfitting and repeated requests of users.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+// --- odd requests --------------------------------------------------------------------
+
+std::string packed(const wire::JobSpec& job) {
+  wire::Packer packer;
+  wire::pack_job(packer, job);
+  return packer.take();
+}
+
+/// The message without one of its fields, or with another one in its place.
+std::string without(const wire::JobSpec& job, std::string_view field,
+                    const std::function<void(wire::Packer&)>& instead = {}) {
+  const auto bytes = packed(job);
+  const auto document = wire::Document::parse(bytes);
+  const auto& map = document.root().via.map;
+  wire::Packer packer;
+  packer.map(instead ? map.size : map.size - 1);
+  for (const auto& pair : map) {
+    const auto name = wire::as_text(pair.key, "key");
+    if (name == field && !instead) continue;
+    packer.text(name);
+    if (name == field)
+      instead(packer);
+    else
+      packer.object(pair.val);
+  }
+  return packer.take();
+}
+
+TEST(OddRequests, EachGetsItsStatusAtOnceAndNothingIsStored) {
+  World world(3100);
+  world.cloud.capacity = 0;  // only what is answered and stored matters here
+  world.run_until(10);
+  const auto jobs_stored = [&] {
+    return std::count_if(
+        world.state.items().begin(), world.state.items().end(),
+        [](const auto& item) { return item.first.starts_with(ledger::job_key("job-")); });
+  };
+  int number = 100;
+  const auto submit = [&](const std::string& body) {
+    const auto answer =
+        world.answer_of(static_cast<std::size_t>(number) % 3, {"POST", "/api/jobs", body}, 0.5);
+    return answer ? answer->status : 0;
+  };
+  for (const char* field :
+       {"uid", "lane", "owner", "shape", "rank", "shards", "cores", "cards", "ram_gb", "together",
+        "scatter", "loaners", "bundle", "pull_gb", "expect_s", "mark_every_s", "mark_s"}) {
+    EXPECT_EQ(submit(without(array(++number, 1), field)), 400) << field << " is missing";
+    EXPECT_EQ(
+        submit(without(array(++number, 1), field, [](wire::Packer& packer) { packer.null(); })),
+        400)
+        << field << " is null";
+    EXPECT_EQ(
+        submit(without(array(++number, 1), field, [](wire::Packer& packer) { packer.list(0); })),
+        400)
+        << field << " is a list";
+  }
+  auto odd = array(++number, 1);
+  odd.team = "nobody";
+  EXPECT_EQ(submit(packed(odd)), 422);
+  odd = array(++number, 1);
+  odd.cpus = 13;
+  EXPECT_EQ(submit(packed(odd)), 422) << "larger than any machine";
+  odd = array(++number, 1);
+  odd.types = {"m99"};
+  EXPECT_EQ(submit(packed(odd)), 422) << "no such type";
+  odd = array(++number, 1);
+  odd.zone = "west";
+  EXPECT_EQ(submit(packed(odd)), 422) << "no such zone";
+  odd = service(++number, 9);
+  odd.team = "red";
+  EXPECT_EQ(submit(packed(odd)), 422) << "a service needs its team's limit for all tasks";
+  EXPECT_EQ(jobs_stored(), 0);
+  odd.kind = wire::JobKind::array;
+  odd.id = "job-" + std::to_string(++number);
+  EXPECT_EQ(submit(packed(odd)), 201) << "an array for one";
+  for (const char* field : {"builds", "yard", "due_s"})
+    EXPECT_EQ(submit(without(array(++number, 1), field)), 201) << field << " may be omitted";
+  EXPECT_EQ(jobs_stored(), 4);
+}
+
+/// An id that was accepted keeps its answer, whatever is sent with it; one that
+/// was not is unknown.
+TEST(OddRequests, RepeatsAndCancellationsOfAllKinds) {
+  World world(3110);
+  const auto first = array(1, 2, 3);
+  world.submit(first);
+  world.submit(array(2, 2, 3000));
+  world.run_until(60);
+  ASSERT_EQ(told(world, "job-1"), JobState::done);
+  const auto status_of = [&](const std::string& method, const std::string& path,
+                             std::string body = {}) {
+    const auto answer = world.answer_of(world.pick(3), {method, path, std::move(body)}, 0.5);
+    return answer ? answer->status : 0;
+  };
+  const auto state_of = [&](const std::string& path, std::string body = {}) {
+    const auto answer = world.answer_of(world.pick(3), {"POST", path, std::move(body)}, 0.5);
+    if (!answer || answer->status != 200)
+      return std::string("status ") + std::to_string(answer ? answer->status : 0);
+    return std::string(
+        wire::to_text(wire::decode_status(wire::Document::parse(answer->body).root()).state));
+  };
+  auto other = array(2, 9, 1);
+  other.team = "nobody";
+  EXPECT_EQ(state_of("/api/jobs", packed(other)), "running") << "a repeat that could never run";
+  EXPECT_EQ(state_of("/api/jobs", without(array(2, 1), "lane")), "running")
+      << "a repeat that lacks a field";
+  EXPECT_EQ(state_of("/api/jobs", without(first, "shape")), "done");
+  EXPECT_EQ(state_of("/api/jobs", packed(first)), "done");
+  EXPECT_EQ(state_of("/api/jobs/job-1/cancel"), "done");
+  EXPECT_EQ(state_of("/api/jobs/job-1/cancel"), "done") << "and stays so";
+  EXPECT_EQ(status_of("POST", "/api/jobs/job-77/cancel"), 404);
+  EXPECT_EQ(status_of("GET", "/api/jobs/job-77"), 404);
+  EXPECT_EQ(status_of("GET", "/api/jobs/what"), 404);
+  EXPECT_EQ(status_of("POST", "/api/jobs", "\xc1"), 400);
+  EXPECT_EQ(status_of("POST", "/v1/report", "\x81\xa4host\x01"), 400);
+  expect_rules(world);
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -86,4 +86,18 @@
     report.tasks.push_back({task->job->id, task->index, task->attempt, state, cause, false});
 }
 
+inline void refuse_state(World& world, std::size_t node, bool refused) {
+  world.store(node).road.refused = refused;
+}
+
+inline void all_late_writes(World& world, double share) {
+  for (std::size_t i = 0; i < world.node_count(); ++i) world.store(i).road.late_writes = share;
+}
+
+/// Every worker's clock, and that of each node's next process, as far off as
+/// the protocol allows.
+inline void extreme_clocks(World& world) {
+  for (auto& [id, worker] : world.workers) worker->clock = 0.9995;
+}
+
 }  // namespace elmstall::test
