--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -108,6 +108,69 @@
   EXPECT_LE(server_.connections(), 4U);
 }
 
+/// Deadlines are looked for together, once a second: a half-sent request goes
+/// when its time is over, an idle connection stays.
+TEST_F(Loopback, HalfSentRequestsAreClosedAfterTheirTime) {
+  const auto connect = [this] {
+    asio::ip::tcp::socket socket(io_);
+    socket.connect({asio::ip::make_address("127.0.0.1"), server_.port()});
+    return socket;
+  };
+  const auto idle = connect();
+  auto half_sent = connect();
+  asio::write(half_sent, asio::buffer(std::string("POST /x HTTP/1.1\r\nContent-")));
+  const auto begun = std::chrono::steady_clock::now();
+  const auto waited = [&] {
+    return std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+  };
+  const auto run = [this] {
+    io_.run_for(std::chrono::milliseconds(50));
+    io_.restart();
+  };
+  run();
+  ASSERT_EQ(server_.connections(), 2U);
+  const double latest = constants::kRequestReadTimeout + 2 * constants::kDeadlineCheckEvery;
+  while (server_.connections() == 2 && waited() < latest) run();
+  EXPECT_EQ(server_.connections(), 1U) << "only the idle one is left";
+  EXPECT_GE(waited(), constants::kRequestReadTimeout);
+}
+
+/// What the socket does not take at once goes out later, whole and in order.
+TEST(HttpServer, AnAnswerLargerThanTheSocketsBufferArrivesWhole) {
+  asio::io_context io;
+  std::string body(24 * 1024 * 1024, 'x');
+  for (std::size_t i = 0; i < body.size(); i += 1000) body[i] = static_cast<char>('a' + i % 26);
+  HttpServer server(io, parse_endpoint("127.0.0.1:0"), {4, constants::kMaxBodyBytes, 4},
+                    [&body](const Request&, const Responder& respond) {
+                      respond({200, body, 0});
+                    });
+  asio::ip::tcp::socket socket(io);
+  socket.connect({asio::ip::make_address("127.0.0.1"), server.port()});
+  asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
+  // The reader takes nothing for a while.
+  io.run_for(std::chrono::milliseconds(100));
+  io.restart();
+  std::string answer;
+  std::vector<char> chunk(1 << 16);
+  std::function<void()> read = [&] {
+    socket.async_read_some(asio::buffer(chunk), [&](asio::error_code error, std::size_t size) {
+      answer.append(chunk.data(), size);
+      if (!error && answer.size() < body.size() + 1) read();
+    });
+  };
+  read();
+  const auto received = [&] {
+    const auto head = answer.find("\r\n\r\n");
+    return head == std::string::npos ? std::string{} : answer.substr(head + 4);
+  };
+  for (int i = 0; i < 100 && answer.size() < body.size(); ++i) {
+    io.run_for(std::chrono::milliseconds(50));
+    io.restart();
+  }
+  io.run_for(std::chrono::milliseconds(100));
+  EXPECT_TRUE(received() == body);
+}
+
 /// More workers than sockets: each is answered and makes room for the next.
 TEST_F(Loopback, WhoYieldsIsAnsweredAndClosedWhereConnectionsAreShort) {
   EXPECT_EQ(raw("GET /yields HTTP/1.1\r\n\r\n").find("Connection: close"), std::string::npos)
