--- a/tests/cancellation_faults_test.cpp
+++ b/tests/cancellation_faults_test.cpp
@@ -56,7 +56,7 @@
     play_gap(1000 + static_cast<unsigned>(step), 0.005 + step * 0.1, false, 0);
 }
 
-/// The bound at its edges: the refusal begins at every moment of a proof's
+/// The bound at its edges: the refusal begins at every moment of a read index's
 /// second, the confirmation follows within milliseconds, and the clocks of the
 /// leader and of the machines are as slow as the protocol allows.
 TEST(StaleLeader, TheBoundHoldsToTheMoment) {
--- a/tests/machine_faults_test.cpp
+++ b/tests/machine_faults_test.cpp
@@ -84,7 +84,7 @@
   expect_rules(world);
 }
 
-/// Commands go out to them all the same, and many mute at once are a cut.
+/// Commands go out to them all the same, and many that lose their reports at once are a cut.
 TEST(LostReports, CancelledTasksEndThereAndManyAreKept) {
   World world(1710);
   world.cloud.capacity = 8;
--- a/tests/support/faults.cpp
+++ b/tests/support/faults.cpp
@@ -126,7 +126,7 @@
 }
 
 /// Reports arrive, answers and commands don't.
-void machine_deaf(World& world, std::size_t, double length) {
+void machine_unresponsive(World& world, std::size_t, double length) {
   auto* worker = some_worker(world);
   if (worker == nullptr) return;
   worker->answers_dropped = true;
@@ -193,7 +193,7 @@
   later(world, length, [&world, slow] { slow(world, 0); });
 }
 
-void machines_mute(World& world, std::size_t, double length) {
+void machines_lose_reports(World& world, std::size_t, double length) {
   for (auto& [id, worker] : world.workers) {
     if (world.random() > 0.3) continue;
     worker->reports_dropped = true;
@@ -201,7 +201,7 @@
   }
 }
 
-void machines_deaf(World& world, std::size_t, double length) {
+void machines_unresponsive(World& world, std::size_t, double length) {
   for (auto& [id, worker] : world.workers) {
     if (world.random() > 0.3) continue;
     worker->answers_dropped = true;
@@ -284,7 +284,7 @@
                                       {"lossy state", lossy_state},
                                       {"quick restarts", quick_restarts},
                                       {"node apart", node_apart},
-                                      {"machine deaf", machine_deaf},
+                                      {"machine unresponsive", machine_unresponsive},
                                       {"late copies", late_copies},
                                       {"no direct way", no_direct_way},
                                       {"zone cut", zone_cut},
@@ -295,22 +295,35 @@
 }
 
 const std::vector<Fault>& concurrent_faults() {
-  static const std::vector<Fault> all{
-      {"leader refused", leader_refused}, {"long outage", long_outage},
-      {"state outage", state_outage},     {"slow state", slow_state},
-      {"late writes", late_writes},       {"lossy state", lossy_state},
-      {"leader apart", leader_apart},     {"mesh cut", mesh_cut},
-      {"leader crash", leader_crash},     {"crash all", crash_all},
-      {"quick restarts", quick_restarts}, {"leader frozen", leader_frozen},
-      {"cut from workers", workers_cut},  {"zone cut", zone_cut},
-      {"zones apart", zones_apart},       {"machines mute", machines_mute},
-      {"machines deaf", machines_deaf},   {"machine cut", machine_cut},
-      {"late copies", late_copies},       {"held orders", held_orders},
-      {"lost replies", lost_replies},     {"no direct way", no_direct_way},
-      {"many hang", many_hang},           {"many die", many_die},
-      {"spot taken", spot_taken},         {"cloud outage", cloud_outage},
-      {"cancel now", cancel_now},         {"cancel at end", cancel_at_end},
-      {"odd requests", odd_requests}};
+  static const std::vector<Fault> all{{"leader refused", leader_refused},
+                                      {"long outage", long_outage},
+                                      {"state outage", state_outage},
+                                      {"slow state", slow_state},
+                                      {"late writes", late_writes},
+                                      {"lossy state", lossy_state},
+                                      {"leader apart", leader_apart},
+                                      {"mesh cut", mesh_cut},
+                                      {"leader crash", leader_crash},
+                                      {"crash all", crash_all},
+                                      {"quick restarts", quick_restarts},
+                                      {"leader frozen", leader_frozen},
+                                      {"cut from workers", workers_cut},
+                                      {"zone cut", zone_cut},
+                                      {"zones apart", zones_apart},
+                                      {"machines lose reports", machines_lose_reports},
+                                      {"machines unresponsive", machines_unresponsive},
+                                      {"machine cut", machine_cut},
+                                      {"late copies", late_copies},
+                                      {"held orders", held_orders},
+                                      {"lost replies", lost_replies},
+                                      {"no direct way", no_direct_way},
+                                      {"many hang", many_hang},
+                                      {"many die", many_die},
+                                      {"spot taken", spot_taken},
+                                      {"cloud outage", cloud_outage},
+                                      {"cancel now", cancel_now},
+                                      {"cancel at end", cancel_at_end},
+                                      {"odd requests", odd_requests}};
   return all;
 }
 
