--- a/src/engine/limiter.hpp
+++ b/src/api/concurrency_limit.hpp
@@ -8,7 +8,7 @@
 
 #include "config/constants.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::api {
 
 class ConcurrencyLimit {
  public:
@@ -51,4 +51,4 @@
   std::size_t shed_ = 0;
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::api
--- a/src/engine/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -1,4 +1,4 @@
-#include "engine/user_api.hpp"
+#include "api/user_api.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,10 +7,10 @@
 #include "config/constants.hpp"
 #include "sched/resources.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::api {
 
 namespace k = constants;
-using ledger::Outcome;
+using store::Outcome;
 
 UserApi::CallPtr UserApi::enter(net::Responder respond, double patience_s) {
   if (!limit_.try_enter()) {
@@ -56,11 +56,11 @@
         if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr)
           return answer(call, 200, mirror_.status(call->id), counts);
         // Not among the live jobs; it may be over since before this node began.
-        store_.get(ledger::final_key(call->id),
-                   scope_.wrap([this, call, counts, otherwise](const ledger::GetResult& result) {
+        store_.get(store::final_key(call->id),
+                   scope_.wrap([this, call, counts, otherwise](const store::GetResult& result) {
                      if (result.outcome == Outcome::missing) return otherwise();
                      if (result.outcome != Outcome::ok) return later(call);
-                     mirror_.remember_final(call->id, ledger::decode_final(result.entry.value));
+                     mirror_.remember_final(call->id, store::decode_final(result.entry.value));
                      answer(call, 200, mirror_.status(call->id), counts);
                    }));
       });
@@ -102,9 +102,9 @@
   if (!sched::within_limit(*team, need * count)) return "more than the team's limit";
   const auto limits = settings_.state_limits();
   if (spec.kind == wire::JobKind::gang &&
-      !ledger::startable_at_once(spec.tasks, limits.value_kb, settings_.state.value_kb))
+      !store::startable_at_once(spec.tasks, limits.value_kb, settings_.state.value_kb))
     return "a gang of so many tasks can't be recorded at once";
-  if (ledger::json_size({spec, false, loop_.wall()}) > ledger::value_bytes(limits.value_kb))
+  if (store::json_size({spec, false, loop_.wall()}) > store::value_bytes(limits.value_kb))
     return "its record is larger than the state service takes";
   return {};
 }
@@ -139,10 +139,10 @@
   wire::Txn txn;
   // Guarded on the final record too: a copy of this request that arrives
   // after the job is over must not create it again.
-  txn.guards = {{ledger::job_key(call->id), 0}, {ledger::final_key(call->id), 0}};
-  txn.writes = {{ledger::job_key(call->id),
-                 ledger::encode(ledger::JobRecord{call->spec, false, loop_.wall()}), 0}};
-  store_.commit(std::move(txn), scope_.wrap([this, call](const ledger::CommitResult& result) {
+  txn.guards = {{store::job_key(call->id), 0}, {store::final_key(call->id), 0}};
+  txn.writes = {{store::job_key(call->id),
+                 store::encode(store::JobRecord{call->spec, false, loop_.wall()}), 0}};
+  store_.commit(std::move(txn), scope_.wrap([this, call](const store::CommitResult& result) {
     switch (result.outcome) {
       case Outcome::ok:
         return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
@@ -159,7 +159,7 @@
 }
 
 void UserApi::confirm_create(const CallPtr& call) {
-  store_.get(ledger::job_key(call->id), scope_.wrap([this, call](const ledger::GetResult& result) {
+  store_.get(store::job_key(call->id), scope_.wrap([this, call](const store::GetResult& result) {
     if (result.outcome == Outcome::ok)
       return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
     if (result.outcome == Outcome::missing) return retry(call, [this, call] { create(call); });
@@ -187,11 +187,11 @@
   }
   if (job->record.cancelled) return answer(call, 200, mirror_.status(call->id), false);
   const auto record =
-      ledger::cancelled_record(job->record, ledger::value_bytes(settings_.state_limits().value_kb));
+      store::cancelled_record(job->record, store::value_bytes(settings_.state_limits().value_kb));
   wire::Txn txn;
-  txn.guards = {{ledger::job_key(call->id), job->stamp}};
-  txn.writes = {{ledger::job_key(call->id), ledger::encode(record), 0}};
-  store_.commit(std::move(txn), scope_.wrap([this, call](const ledger::CommitResult& result) {
+  txn.guards = {{store::job_key(call->id), job->stamp}};
+  txn.writes = {{store::job_key(call->id), store::encode(record), 0}};
+  store_.commit(std::move(txn), scope_.wrap([this, call](const store::CommitResult& result) {
     if (result.outcome == Outcome::ok) {
       cancelled_(call->id);
       return answer(call, 200, {call->id, wire::JobState::cancelled, 0, 0}, false);
@@ -207,4 +207,4 @@
   }));
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::api
--- a/src/engine/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -4,19 +4,19 @@
 
 #include <memory>
 
+#include "api/concurrency_limit.hpp"
 #include "config/settings.hpp"
-#include "engine/limiter.hpp"
-#include "engine/read_index.hpp"
+#include "election/read_index.hpp"
 #include "net/http_server.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::api {
 
 class UserApi {
  public:
   /// `cancelled`: called for each cancellation recorded, before its user is told.
-  UserApi(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
-          ledger::Store& store, ledger::Mirror& mirror, ReadIndex& read_index,
-          std::function<void(const std::string& job)> cancelled)
+  UserApi(const config::Settings& settings, runtime::EventLoop& event_loop,
+          runtime::CommandQueue& queue, store::Store& store, store::Mirror& mirror,
+          election::ReadIndex& read_index, std::function<void(const std::string& job)> cancelled)
       : settings_(settings),
         loop_(event_loop),
         store_(store),
@@ -58,14 +58,14 @@
   [[nodiscard]] std::string objection(wire::JobSpec& spec) const;
 
   const config::Settings& settings_;
-  EventLoop& loop_;
-  ledger::Store& store_;
-  ledger::Mirror& mirror_;
-  ReadIndex& read_index_;
+  runtime::EventLoop& loop_;
+  store::Store& store_;
+  store::Mirror& mirror_;
+  election::ReadIndex& read_index_;
   std::function<void(const std::string& job)> cancelled_;
-  CommandScope scope_;
+  runtime::CommandScope scope_;
   std::vector<wire::MachineType> machine_types_;
   ConcurrencyLimit limit_;
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::api
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -3,19 +3,20 @@
 #include <chrono>
 #include <random>
 
+#include "clients/cloud_client.hpp"
+#include "clients/worker_client.hpp"
 #include "config/constants.hpp"
-#include "engine/node.hpp"
-#include "fleet/cloud_client.hpp"
-#include "fleet/worker_client.hpp"
-#include "ledger/state_client.hpp"
-#include "mesh/tcp_mesh.hpp"
+#include "config/endpoint.hpp"
+#include "controller/node.hpp"
 #include "net/http_server.hpp"
+#include "peer/tcp_transport.hpp"
+#include "store/state_store_client.hpp"
 
 namespace elmstall::app {
 namespace {
 
 /// The engine's time, chance and waiting on an Asio loop.
-class AsioEventLoop : public engine::EventLoop {
+class AsioEventLoop : public runtime::EventLoop {
  public:
   explicit AsioEventLoop(asio::io_context& io) : io_(io), random_(std::random_device{}()) {}
 
@@ -47,7 +48,7 @@
   std::mt19937_64 random_;
 };
 
-ledger::RateShare rate_share(const config::Settings& settings) {
+store::RateShare rate_share(const config::Settings& settings) {
   // Any node may be the leader, which needs most of the writes; the service
   // refuses what all together ask for beyond its limits, and that is retried.
   const auto nodes = static_cast<double>(settings.peers.size() + 1);
@@ -67,13 +68,13 @@
   Parts(asio::io_context& io, config::Settings given)
       : settings(std::move(given)),
         event_loop(io),
-        store(io, net::parse_endpoint(settings.state_endpoint), rate_share(settings)),
-        cloud(io, net::parse_endpoint(settings.cloud_endpoint)),
+        store(io, config::parse_endpoint(settings.state_endpoint), rate_share(settings)),
+        cloud(io, config::parse_endpoint(settings.cloud_endpoint)),
         workers(io, static_cast<std::size_t>(settings.fd_limit * constants::kWorkerSocketShare)),
         node(settings, {event_loop, store, cloud, workers}, event_loop.incarnation()),
-        mesh(io, net::parse_endpoint(settings.mesh_addr), settings.peers,
-             [this](mesh::Message message) { node.on_message(std::move(message)); }),
-        server(io, net::parse_endpoint(settings.api_addr), server_limits(settings),
+        mesh(io, config::parse_endpoint(settings.mesh_addr), settings.peers,
+             [this](peer::Message message) { node.on_message(std::move(message)); }),
+        server(io, config::parse_endpoint(settings.api_addr), server_limits(settings),
                [this](net::Request request, net::Responder respond) {
                  node.on_request(std::move(request), std::move(respond));
                }) {
@@ -82,11 +83,11 @@
 
   config::Settings settings;
   AsioEventLoop event_loop;
-  ledger::StateClient store;
-  fleet::CloudClient cloud;
-  fleet::WorkerClient workers;
-  engine::Node node;
-  mesh::TcpMesh mesh;
+  store::StateClient store;
+  clients::CloudClient cloud;
+  clients::WorkerClient workers;
+  controller::Node node;
+  peer::TcpMesh mesh;
   net::HttpServer server;
 };
 
--- a/src/engine/fleet_autoscaler.cpp
+++ b/src/autoscaler/fleet_autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "engine/fleet_autoscaler.hpp"
+#include "autoscaler/fleet_autoscaler.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,14 +7,14 @@
 
 #include "config/constants.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::autoscaler {
 
 namespace k = constants;
 
-FleetAutoscaler::FleetAutoscaler(const config::Settings& settings, EventLoop& event_loop,
-                                 CommandQueue& queue, fleet::Cloud& cloud, Model& model,
-                                 Estimates& estimates, std::uint64_t term,
-                                 std::function<void(Host&)> host_lost)
+FleetAutoscaler::FleetAutoscaler(const config::Settings& settings, runtime::EventLoop& event_loop,
+                                 runtime::CommandQueue& queue, clients::Cloud& cloud,
+                                 state::Model& model, placement::Estimates& estimates,
+                                 std::uint64_t term, std::function<void(state::Host&)> host_lost)
     : settings_(settings),
       loop_(event_loop),
       cloud_(cloud),
@@ -76,7 +76,7 @@
   }
 }
 
-void FleetAutoscaler::release(Host& host) {
+void FleetAutoscaler::release(state::Host& host) {
   host.releasing = true;
   model_.mark_dirty(host);
 }
@@ -123,7 +123,7 @@
   release_silent(health, now);
 }
 
-void FleetAutoscaler::review_heard(Host& host, FleetHealth& health, double now) {
+void FleetAutoscaler::review_heard(state::Host& host, FleetHealth& health, double now) {
   const bool silent = host.quiet(now) > settings_.silent_after_s();
   if (host.tasks.empty() && host.quarantined) {
     release(host);
@@ -138,7 +138,7 @@
   }
 }
 
-void FleetAutoscaler::review_booting(Host& host, double now) {
+void FleetAutoscaler::review_booting(state::Host& host, double now) {
   const auto* machine_type = model_.machine_type(host.type);
   if (machine_type == nullptr || !host.tasks.empty()) return;
   const double give_up = k::kBootGiveUp * machine_type->ready_s;
@@ -211,8 +211,8 @@
   return pools;
 }
 
-bool FleetAutoscaler::urgent(const Job& job, const wire::MachineType& machine_type) const {
-  const auto aim = aim_s(settings_, job);
+bool FleetAutoscaler::urgent(const state::Job& job, const wire::MachineType& machine_type) const {
+  const auto aim = placement::aim_s(settings_, job);
   if (!aim) return false;
   const double fetch =
       machine_type.fetch_gb_per_s > 0 ? job.spec.image_gb / machine_type.fetch_gb_per_s : 0;
@@ -220,20 +220,20 @@
   return slack < k::kUrgentBoots * machine_type.ready_s;
 }
 
-double FleetAutoscaler::ending_soon(const Job& job, double within_s, double now) const {
+double FleetAutoscaler::ending_soon(const state::Job& job, double within_s, double now) const {
   double count = 0;
   const double work = estimates_.run_time(job.spec.job_class, job.spec.expect_s);
   for (const auto& [number, block] : job.blocks) {
     for (const auto& task : block->tasks) {
-      if (task.phase != Phase::assigned) continue;
-      const double ran = task.running_since == kNever ? 0 : now - task.running_since;
+      if (task.phase != state::Phase::assigned) continue;
+      const double ran = task.running_since == state::kNever ? 0 : now - task.running_since;
       if (work - ran < within_s) count += 1;
     }
   }
   return count;
 }
 
-std::optional<std::string> FleetAutoscaler::zone_left_open(const Job& job,
+std::optional<std::string> FleetAutoscaler::zone_left_open(const state::Job& job,
                                                            const std::vector<std::string>& zones) {
   if (!job.spec.spread) return std::nullopt;
   const auto there = [&](const std::string& zone) {
@@ -250,20 +250,20 @@
   return full(*best) ? std::nullopt : std::optional(*best);
 }
 
-double FleetAutoscaler::machines_for_waiting(const Job& job, const sched::Amount& whole) {
+double FleetAutoscaler::machines_for_waiting(const state::Job& job, const sched::Amount& whole) {
   const double share = job.need.share_of(whole);
   if (share > 1 + 1e-6) return 0;
   double waiting = 0;
   for (const auto& [number, block] : job.blocks) {
     waiting += static_cast<double>(
         std::count_if(block->tasks.begin(), block->tasks.end(),
-                      [](const Task& task) { return task.phase == Phase::pending; }));
+                      [](const state::Task& task) { return task.phase == state::Phase::pending; }));
   }
   return std::ceil(waiting / std::floor(1.0 / share + 1e-6));
 }
 
 std::vector<std::string> FleetAutoscaler::zones_needed(
-    const Job& job, const std::vector<std::string>& zones) const {
+    const state::Job& job, const std::vector<std::string>& zones) const {
   const auto& spec = job.spec;
   if (spec.zone) return {*spec.zone};
   // Half of a spread gang may be in one zone: it needs machines in several.
@@ -314,7 +314,7 @@
     for (const auto& [id, host] : model_.hosts()) {
       const bool kind =
           host->type == machine_type.name && host->zone == zone && (bound.spot || !host->spot);
-      if (kind && Planner::usable(*host, now, settings_))
+      if (kind && placement::Planner::usable(*host, now, settings_))
         there += std::max(0.0, 1 - host->used.share_of(whole));
     }
     const auto missing = static_cast<int>(std::ceil(bound.machines - there - 1e-6));
@@ -403,10 +403,10 @@
   for (auto& [id, host] : model_.hosts()) {
     if (host->type != machine_type.name || !host->synchronized || host->releasing) continue;
     if (!host->tasks.empty() || host->has_unknown_jobs) {
-      host->idle_since = kNever;
+      host->idle_since = state::kNever;
       continue;
     }
-    if (host->idle_since == kNever) host->idle_since = now;
+    if (host->idle_since == state::kNever) host->idle_since = now;
     int& left = host->spot ? spare.spot : spare.ordinary;
     // What waits for another zone does not keep this one: the cloud may have
     // had to take from there what stands idle here.
@@ -444,13 +444,13 @@
   spdlog::info("renting {} x {} in {}{} as {}", request.count, type, zone, spot ? " (spot)" : "",
                request.name);
   cloud_.rent(request.name, type, zone, spot, request.count,
-              scope_.wrap([this, request](const fleet::RentResult& result) {
+              scope_.wrap([this, request](const clients::RentResult& result) {
                 on_rented(request, result);
               }));
 }
 
-void FleetAutoscaler::on_rented(const Request& request, const fleet::RentResult& result) {
-  using Outcome = fleet::RentResult::Outcome;
+void FleetAutoscaler::on_rented(const Request& request, const clients::RentResult& result) {
+  using Outcome = clients::RentResult::Outcome;
   if (result.outcome == Outcome::unknown || result.outcome == Outcome::unavailable) {
     // The same name again: if it was carried out, it is answered the same.
     loop_.after(k::kFleetEvery, scope_.wrap([this, request] { send_rent(request); }));
@@ -464,7 +464,7 @@
     for (const auto& id : result.hosts) {
       auto& host = model_.host(id);
       if (host.type.empty()) model_.describe(host, type, zone, spot, "");
-      if (host.rented_at == kNever) host.rented_at = now;
+      if (host.rented_at == state::kNever) host.rented_at = now;
     }
   }
   if (result.outcome == Outcome::ok &&
@@ -478,4 +478,4 @@
   spdlog::info("no capacity for {} in {}{}", type, zone, spot ? " (spot)" : "");
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::autoscaler
--- a/src/engine/fleet_autoscaler.hpp
+++ b/src/autoscaler/fleet_autoscaler.hpp
@@ -1,29 +1,30 @@
 // Rents and returns machines.
 #pragma once
 
-#include "engine/model.hpp"
-#include "engine/planner.hpp"
-#include "fleet/cloud.hpp"
+#include "clients/cloud.hpp"
+#include "placement/planner.hpp"
 #include "sched/arrivals.hpp"
 #include "sched/fleet_plan.hpp"
+#include "state/model.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::autoscaler {
 
 class FleetAutoscaler {
  public:
   /// `term`: in the first nobody can have rented anything before us.
-  FleetAutoscaler(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
-                  fleet::Cloud& cloud, Model& model, Estimates& estimates, std::uint64_t term,
-                  std::function<void(Host&)> host_lost);
+  FleetAutoscaler(const config::Settings& settings, runtime::EventLoop& event_loop,
+                  runtime::CommandQueue& queue, clients::Cloud& cloud, state::Model& model,
+                  placement::Estimates& estimates, std::uint64_t term,
+                  std::function<void(state::Host&)> host_lost);
 
   void tick();
   /// Has the cloud delete the machine, which proves its tasks gone.
-  void release(Host& host);
+  void release(state::Host& host);
 
  private:
   struct PoolState {
     int pending = 0;  ///< machines asked for, without an answer yet
-    double blocked_until = kNever;
+    double blocked_until = state::kNever;
     double pause = constants::kNoCapacityPause;
   };
   using PoolKey = std::tuple<std::string, std::string, bool>;
@@ -46,15 +47,15 @@
     [[nodiscard]] bool partitioned() const { return silent * 3 > heard && silent > 1; }
   };
   struct FleetHealth {
-    std::vector<Host*> silent;
-    std::vector<Host*> unresponsive;
+    std::vector<state::Host*> silent;
+    std::vector<state::Host*> unresponsive;
     Silence all;
     /// A cut may take one zone alone, however few of all machines it holds.
     std::map<std::string, Silence> zones;
   };
   void review_hosts(double now);
-  void review_heard(Host& host, FleetHealth& health, double now);
-  void review_booting(Host& host, double now);
+  void review_heard(state::Host& host, FleetHealth& health, double now);
+  void review_booting(state::Host& host, double now);
   void release_unresponsive(const FleetHealth& health, double now);
   void release_silent(const FleetHealth& health, double now);
   void plan(double now);
@@ -62,7 +63,7 @@
                    const sched::Demand& demand, double now);
   void rent(const PoolKey& key, int count);
   void send_rent(const Request& request);
-  void on_rented(const Request& request, const fleet::RentResult& result);
+  void on_rented(const Request& request, const clients::RentResult& result);
   [[nodiscard]] std::vector<sched::Pool> pools_of(const wire::MachineType& machine_type,
                                                   double now) const;
   /// Work that waits for machines of one zone: bound there by its job, a gang
@@ -73,46 +74,47 @@
   };
   /// Where spread work may still go that has its most in another zone.
   [[nodiscard]] static std::optional<std::string> zone_left_open(
-      const Job& job, const std::vector<std::string>& zones);
+      const state::Job& job, const std::vector<std::string>& zones);
   /// The zones that what waits of the job must run in; none: any.
-  [[nodiscard]] std::vector<std::string> zones_needed(const Job& job,
+  [[nodiscard]] std::vector<std::string> zones_needed(const state::Job& job,
                                                       const std::vector<std::string>& zones) const;
   /// Machines that the tasks which wait would fill.
-  [[nodiscard]] static double machines_for_waiting(const Job& job, const sched::Amount& whole);
+  [[nodiscard]] static double machines_for_waiting(const state::Job& job,
+                                                   const sched::Amount& whole);
   [[nodiscard]] std::map<std::string, Bound> bound_to_zones(const wire::MachineType& machine_type,
                                                             double now) const;
   void rent_for_zones(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
                       double now);
   [[nodiscard]] sched::Demand demand_of(const wire::MachineType& machine_type, double now);
   /// Its aim leaves no time to boot a machine for it.
-  [[nodiscard]] bool urgent(const Job& job, const wire::MachineType& machine_type) const;
-  [[nodiscard]] double ending_soon(const Job& job, double within_s, double now) const;
+  [[nodiscard]] bool urgent(const state::Job& job, const wire::MachineType& machine_type) const;
+  [[nodiscard]] double ending_soon(const state::Job& job, double within_s, double now) const;
 
   const config::Settings& settings_;
-  EventLoop& loop_;
-  fleet::Cloud& cloud_;
-  Model& model_;
-  Estimates& estimates_;
+  runtime::EventLoop& loop_;
+  clients::Cloud& cloud_;
+  state::Model& model_;
+  placement::Estimates& estimates_;
   std::uint64_t term_;
-  std::function<void(Host&)> host_lost_;
-  CommandScope scope_;
+  std::function<void(state::Host&)> host_lost_;
+  runtime::CommandScope scope_;
   std::map<PoolKey, PoolState> pools_;
   std::map<std::string, sched::ArrivalRate> arrivals_;
   std::uint64_t counted_ = 0;  ///< serial of the newest job in `arrivals_`
   std::uint64_t next_request_ = 1;
   double started_ = 0;
-  double next_plan_ = kNever;
+  double next_plan_ = state::kNever;
   int stranded_ = 0;  ///< machines that work bound to a zone lacks and can't get there
   /// Work bound to them waits, for spot machines too or not: what it may use is
   /// not returned there.
   std::map<std::string, Bound> wanted_zones_;
   double allowance_ = 0;  ///< requests that may be sent now
-  double next_list_ = kNever;
+  double next_list_ = state::kNever;
   bool releasing_ = false;  ///< a request is under way
-  double next_release_ = kNever;
+  double next_release_ = state::kNever;
   bool listing_ = false;
   bool ever_listed_ = false;
   std::vector<wire::CloudHost> listed_;
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::autoscaler
--- a/src/fleet/cloud.hpp
+++ b/src/clients/cloud.hpp
@@ -8,7 +8,7 @@
 
 #include "wire/types.hpp"
 
-namespace elmstall::fleet {
+namespace elmstall::clients {
 
 struct RentResult {
   enum class Outcome : std::uint8_t { ok, no_capacity, unavailable, unknown, rejected };
@@ -29,4 +29,4 @@
   virtual void release(const std::vector<std::string>& hosts, std::function<void(bool)> done) = 0;
 };
 
-}  // namespace elmstall::fleet
+}  // namespace elmstall::clients
--- a/src/fleet/cloud_client.cpp
+++ b/src/clients/cloud_client.cpp
@@ -1,8 +1,8 @@
-#include "fleet/cloud_client.hpp"
+#include "clients/cloud_client.hpp"
 
 #include "config/constants.hpp"
 
-namespace elmstall::fleet {
+namespace elmstall::clients {
 namespace {
 
 /// The decoded body of a 200; nothing otherwise.
@@ -71,4 +71,4 @@
                   [done = std::move(done)](const net::Reply& reply) { done(reply.status == 200); });
 }
 
-}  // namespace elmstall::fleet
+}  // namespace elmstall::clients
--- a/src/fleet/cloud_client.hpp
+++ b/src/clients/cloud_client.hpp
@@ -2,10 +2,10 @@
 
 #include <asio.hpp>
 
-#include "fleet/cloud.hpp"
+#include "clients/cloud.hpp"
 #include "net/http_client.hpp"
 
-namespace elmstall::fleet {
+namespace elmstall::clients {
 
 class CloudClient : public Cloud {
  public:
@@ -23,4 +23,4 @@
   net::HttpClient client_;
 };
 
-}  // namespace elmstall::fleet
+}  // namespace elmstall::clients
--- a/src/fleet/worker_client.cpp
+++ b/src/clients/worker_client.cpp
@@ -1,11 +1,11 @@
-#include "fleet/worker_client.hpp"
+#include "clients/worker_client.hpp"
 
 #include <algorithm>
 
 #include "config/constants.hpp"
-#include "net/http_server.hpp"
+#include "config/endpoint.hpp"
 
-namespace elmstall::fleet {
+namespace elmstall::clients {
 namespace {
 
 OrdersResult result_of(const net::Reply& reply) {
@@ -38,7 +38,7 @@
 std::shared_ptr<WorkerClient::Line> WorkerClient::line(const std::string& addr) {
   auto& slot = lines_[addr];
   if (!slot) {
-    slot = std::make_shared<Line>(io_, net::parse_endpoint(addr));
+    slot = std::make_shared<Line>(io_, config::parse_endpoint(addr));
     if (lines_.size() > max_connections_) {
       // The one that was not needed for the longest time.
       auto oldest = lines_.end();
@@ -77,4 +77,4 @@
                      });
 }
 
-}  // namespace elmstall::fleet
+}  // namespace elmstall::clients
--- a/src/fleet/worker_client.hpp
+++ b/src/clients/worker_client.hpp
@@ -5,10 +5,10 @@
 #include <map>
 #include <memory>
 
-#include "fleet/workers.hpp"
+#include "clients/workers.hpp"
 #include "net/http_client.hpp"
 
-namespace elmstall::fleet {
+namespace elmstall::clients {
 
 /// Keeps the connections of the workers it spoke to last, up to a bound.
 class WorkerClient : public Workers {
@@ -35,4 +35,4 @@
   std::uint64_t uses_ = 0;
 };
 
-}  // namespace elmstall::fleet
+}  // namespace elmstall::clients
--- a/src/fleet/workers.hpp
+++ b/src/clients/workers.hpp
@@ -8,7 +8,7 @@
 
 #include "wire/types.hpp"
 
-namespace elmstall::fleet {
+namespace elmstall::clients {
 
 struct OrdersResult {
   enum class Outcome : std::uint8_t {
@@ -30,4 +30,4 @@
                      std::function<void(OrdersResult)> done) = 0;
 };
 
-}  // namespace elmstall::fleet
+}  // namespace elmstall::clients
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -5,7 +5,7 @@
 #include <toml++/toml.h>
 
 #include "config/constants.hpp"
-#include "net/http_server.hpp"
+#include "config/endpoint.hpp"
 
 namespace elmstall::config {
 namespace {
@@ -34,7 +34,7 @@
 
   void check_address(const std::string& key, const std::string& value) const {
     try {
-      (void)net::parse_endpoint(value);
+      (void)parse_endpoint(value);
     } catch (const std::invalid_argument& error) {
       fail(key, error.what());
     }
--- a/src/engine/leader.cpp
+++ b/src/controller/leader.cpp
@@ -1,13 +1,13 @@
-#include "engine/leader.hpp"
+#include "controller/leader.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
 #include "config/constants.hpp"
-#include "engine/preemption.hpp"
+#include "placement/preemption.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::controller {
 
 namespace k = constants;
 using wire::EndCause;
@@ -42,9 +42,9 @@
       orders_(context.settings, model_, group_commit_, gangs_),
       planner_(context.settings, model_, estimates_, gangs_),
       fleet_(context.settings, context.event_loop, context.queue, context.cloud, model_, estimates_,
-             term, [this](Host& host) { release_host_tasks(host, "deleted or failed"); }),
+             term, [this](state::Host& host) { release_host_tasks(host, "deleted or failed"); }),
       expiry_(context.settings, context.mirror, model_, group_commit_, started_, context.read_state,
-              [this](Host& host) { release_host_tasks(host, "its lease is over"); }),
+              [this](state::Host& host) { release_host_tasks(host, "its lease is over"); }),
       scope_(context.queue),
       wake_(context.event_loop, context.queue) {
   rebuild();
@@ -56,12 +56,12 @@
   return context_.event_loop.now() - known < context_.settings.leader_lease_s();
 }
 
-void Leader::record_host(Host& host, const ledger::Mirror::Host* stored) {
+void Leader::record_host(state::Host& host, const store::Mirror::Host* stored) {
   const auto pack = [&host] {
-    return ledger::pack(ledger::HostEntry{
+    return store::pack(store::HostEntry{
         host.id, false, {host.addr, host.type, host.zone, host.spot, host.retired}});
   };
-  constexpr auto kind = GroupCommit::Record::Kind::host;
+  constexpr auto kind = state::GroupCommit::Record::Kind::host;
   host.record = stored == nullptr ? group_commit_.add(kind, "", pack)
                                   : group_commit_.adopt(kind, "", pack, stored->slot);
 }
@@ -87,7 +87,7 @@
                model_.hosts().size());
 }
 
-void Leader::add_job(const std::string& id, const ledger::JobRecord& record) {
+void Leader::add_job(const std::string& id, const store::JobRecord& record) {
   const double age = std::max(0.0, context_.event_loop.wall() - record.submitted);
   auto& job = model_.add_job(id, record, context_.event_loop.now() - age);
   if (const auto* blocks = context_.mirror.blocks(id)) {
@@ -99,7 +99,8 @@
   if (job.cancelled) cancel(job);
 }
 
-void Leader::adopt_block(Job& job, std::uint32_t number, const ledger::Mirror::Block& stored) {
+void Leader::adopt_block(state::Job& job, std::uint32_t number,
+                         const store::Mirror::Block& stored) {
   auto& block = model_.load_block(job, number, &stored);
   for (const auto& known : stored.record.tasks) {
     if (known.host.empty() || known.index < block.first ||
@@ -120,11 +121,11 @@
     block.tasks.clear();
 }
 
-void Leader::on_change(const std::vector<ledger::Key>& keys) {
+void Leader::on_change(const std::vector<store::Key>& keys) {
   for (const auto& key : keys) {
-    if (key.kind == ledger::Key::Kind::delegation)
+    if (key.kind == store::Key::Kind::delegation)
       expiry_.update_delegations(context_.event_loop.now());
-    if (key.kind != ledger::Key::Kind::job) continue;
+    if (key.kind != store::Key::Kind::job) continue;
     decide_ = true;
     const auto* stored = context_.mirror.job(key.id);
     if (stored == nullptr) continue;
@@ -151,14 +152,14 @@
   cancel(*job);
 }
 
-void Leader::cancel(Job& job) {
+void Leader::cancel(state::Job& job) {
   spdlog::info("job {} cancelled", job.id);
   model_.finalizable().insert(&job);
   for (auto& [number, block] : job.blocks) {
     for (auto& task : block->tasks) {
       planner_.forget(task);
-      if (task.phase == Phase::planned || task.phase == Phase::assigned) {
-        stop_task(model_, task, false, context_.event_loop.now());
+      if (task.phase == state::Phase::planned || task.phase == state::Phase::assigned) {
+        placement::stop_task(model_, task, false, context_.event_loop.now());
         // Whatever it was saving is of no use to anybody now.
         task.wind_down_s = 0;
       }
@@ -172,7 +173,7 @@
     if (group_commit_.finishing(id)) continue;
     const bool over = job->cancelled ? job->on_hosts == 0 : job->all_done();
     if (!over) continue;
-    GroupCommit::Finalization final{
+    state::GroupCommit::Finalization final{
         id,
         {job->cancelled ? wire::JobState::cancelled : wire::JobState::done, job->spec.tasks},
         {}};
@@ -184,14 +185,14 @@
 
 // --- machines ------------------------------------------------------------------
 
-void Leader::release_host_tasks(Host& host, const char* why) {
+void Leader::release_host_tasks(state::Host& host, const char* why) {
   planner_.remove_worker(host);
   model_.mark_dirty(host);
   if (!host.tasks.empty())
     spdlog::info("host {}: {} tasks are gone with it ({})", host.id, host.tasks.size(), why);
   const auto tasks = host.tasks;
   for (auto* task : tasks) {
-    if (task->phase == Phase::planned) {
+    if (task->phase == state::Phase::planned) {
       model_.unplan(*task);
     } else {
       model_.release(*task);
@@ -199,13 +200,13 @@
   }
   host.exited.clear();
   host.unrecorded_tasks.clear();
-  Model::clear_unrecorded(host);
+  state::Model::clear_unrecorded(host);
   host.has_unknown_jobs = false;
 }
 
 // --- reports ---------------------------------------------------------------------
 
-bool Leader::is_newer(const Host& host, const wire::Report& report) {
+bool Leader::is_newer(const state::Host& host, const wire::Report& report) {
   // Late copies: the task list is as old as the report.
   return !host.heard || std::pair(report.session, report.tick) > std::pair(host.session, host.tick);
 }
@@ -222,7 +223,8 @@
         report.session == host.session && now - host.exchanged_at < k::kReportReplyLimit;
     if (!crossed) return respond({503, {}, 0});
     host.last_answer = now;
-    return respond({200, wire::encode_orders(token(host), OrderComposer::cancellations(host)), 0});
+    return respond(
+        {200, wire::encode_orders(token(host), dispatch::OrderComposer::cancellations(host)), 0});
   }
   check_responsiveness(host, report, now);
   // A worker has one report in flight and drops late answers: what the last
@@ -232,21 +234,21 @@
   answer(host, respond, now);
 }
 
-void Leader::answer(Host& host, const net::Responder& respond, double now) {
+void Leader::answer(state::Host& host, const net::Responder& respond, double now) {
   std::vector<wire::Order> orders;
   // One way at a time: a reply to direct orders that are in flight would not
   // show what this answer orders. Only what ends cancelled tasks goes both
   // ways, for this answer renews their lease and direct orders can hang.
   if (!host.exchanging) orders = orders_.compose(host, now, may_start());
   host.answered_orders = beyond_clearing(orders);
-  if (host.exchanging) orders = OrderComposer::cancellations(host);
+  if (host.exchanging) orders = dispatch::OrderComposer::cancellations(host);
   const bool awaited = host.answered_orders || !host.synchronized;
-  if (awaited && host.unacknowledged_since == kNever) host.unacknowledged_since = now;
+  if (awaited && host.unacknowledged_since == state::kNever) host.unacknowledged_since = now;
   host.last_answer = now;
   respond({200, wire::encode_orders(token(host), orders), 0});
 }
 
-void Leader::raise_fence(Host& host) {
+void Leader::raise_fence(state::Host& host) {
   // Never as far as the next term's tokens.
   if (host.fence + 1 >= 1U << k::kTokenFenceBits) return;
   ++host.fence;
@@ -254,13 +256,14 @@
   model_.mark_dirty(host);
 }
 
-void Leader::check_responsiveness(Host& host, const wire::Report& report, double now) {
+void Leader::check_responsiveness(state::Host& host, const wire::Report& report, double now) {
   // Reports that arrive prove that a machine lives, not that it hears us: our
   // answers may be lost on the way, and with them its lease.
   const bool responds =
       report.token >= token(host) &&
-      std::all_of(host.tasks.begin(), host.tasks.end(), [&](const Task* task) {
-        if (!host.answered_orders || task->phase != Phase::assigned || task->seen || !task->offered)
+      std::all_of(host.tasks.begin(), host.tasks.end(), [&](const state::Task* task) {
+        if (!host.answered_orders || task->phase != state::Phase::assigned || task->seen ||
+            !task->offered)
           return true;
         return std::any_of(report.tasks.begin(), report.tasks.end(),
                            [&](const wire::TaskReport& one) {
@@ -270,13 +273,13 @@
   if (responds) {
     if (host.unresponsive) spdlog::info("host {} hears us again", host.id);
     host.unresponsive = false;
-    host.unacknowledged_since = kNever;
+    host.unacknowledged_since = state::kNever;
   }
   // Its lease ran out sooner than it could have, had our last answer come.
   const bool lapsed = host.session_known && report.session > host.session &&
                       now - host.last_answer < context_.settings.lease_s * (1 - k::kDrift);
   const bool unacknowledged =
-      host.unacknowledged_since != kNever &&
+      host.unacknowledged_since != state::kNever &&
       now - host.unacknowledged_since > k::kUnresponsiveShare * context_.settings.lease_s;
   if (host.unresponsive || (!lapsed && !unacknowledged)) return;
   spdlog::info("host {} does not hear us: {}", host.id,
@@ -287,7 +290,7 @@
   raise_fence(host);
 }
 
-void Leader::read_report(Host& host, const wire::Report& report, bool own, double now) {
+void Leader::read_report(state::Host& host, const wire::Report& report, bool own, double now) {
   decide_ = true;
   model_.describe(host, report.type, report.zone, report.spot, report.addr);
   if (host.record == nullptr) {
@@ -319,7 +322,7 @@
   if (report.recall_s) host.recall_at = now + *report.recall_s;
   host.exited.clear();
   host.unrecorded_tasks.clear();
-  Model::clear_unrecorded(host);
+  state::Model::clear_unrecorded(host);
   host.has_unknown_jobs = false;
   for (auto* task : host.tasks) task->seen = false;
   for (const auto& task : report.tasks) read_task(host, task, now);
@@ -330,14 +333,14 @@
   orders_due_ = true;
 }
 
-void Leader::read_task(Host& host, const wire::TaskReport& report, double now) {
+void Leader::read_task(state::Host& host, const wire::TaskReport& report, double now) {
   auto* job = model_.job(report.job);
   auto* task = job == nullptr ? nullptr : model_.task(*job, report.index);
   const bool ended = report.state == TaskState::ended;
-  const bool ours = task != nullptr && task->phase == Phase::assigned && task->host == &host &&
-                    task->attempt == report.attempt;
+  const bool ours = task != nullptr && task->phase == state::Phase::assigned &&
+                    task->host == &host && task->attempt == report.attempt;
   if (!ours) {
-    const Exited name{report.job, report.index, report.attempt};
+    const state::Exited name{report.job, report.index, report.attempt};
     if (ended) {
       host.exited.push_back(name);
       if (job != nullptr && job->gang() && report.cause == EndCause::done)
@@ -355,19 +358,20 @@
   task->seen = true;
   task->offered = true;
   if (ended) return task_ended(*task, host, report, now);
-  if (report.state == TaskState::running && task->running_since == kNever)
+  if (report.state == TaskState::running && task->running_since == state::kNever)
     task->running_since = now;
   task->state = report.state;
   if (job->gang()) gangs_.on_state(*task, report.state, now);
 }
 
-void Leader::task_ended(Task& task, Host& host, const wire::TaskReport& report, double now) {
+void Leader::task_ended(state::Task& task, state::Host& host, const wire::TaskReport& report,
+                        double now) {
   host.exited.push_back({report.job, report.index, report.attempt});
   auto& job = *task.job;
   switch (report.cause) {
     case EndCause::done:
       if (job.cancelled) return model_.release(task);
-      if (task.running_since != kNever)
+      if (task.running_since != state::kNever)
         estimates_.learn(job.spec.job_class, job.spec.expect_s, now - task.running_since);
       // A service's replica runs until it is cancelled; should one end by
       // itself it is started again.
@@ -391,7 +395,7 @@
   }
 }
 
-void Leader::task_failed(Task& task, Host& host, double now) {
+void Leader::task_failed(state::Task& task, state::Host& host, double now) {
   auto& job = *task.job;
   spdlog::info("task {} failed on host {}", wire::task_name(job.id, task.index), host.id);
   ++task.failures;
@@ -419,12 +423,12 @@
   }
 }
 
-void Leader::absent_tasks(Host& host) {
+void Leader::absent_tasks(state::Host& host) {
   // The report is exact: what was ordered before was carried out before it
   // was sent, or never will be.
   const auto tasks = host.tasks;
   for (auto* task : tasks) {
-    if (task->phase != Phase::assigned || task->seen) continue;
+    if (task->phase != state::Phase::assigned || task->seen) continue;
     // A gang that has begun can't be joined any more.
     const bool over = task->job->gang() && task->job->gang_progress.broken;
     if (task->stopping || task->job->cancelled || over) model_.release(*task);
@@ -432,19 +436,19 @@
   }
 }
 
-void Leader::handle_recall(Host& host, double now) {
-  for (auto* task : TaskSet(host.tasks)) {
-    if (task->phase == Phase::planned) {
+void Leader::handle_recall(state::Host& host, double now) {
+  for (auto* task : state::TaskSet(host.tasks)) {
+    if (task->phase == state::Phase::planned) {
       model_.unplan(*task);
       continue;
     }
     const auto& spec = task->job->spec;
     const double left = *host.recall_at - now;
-    const double ran = task->running_since == kNever ? 0 : now - task->running_since;
+    const double ran = task->running_since == state::kNever ? 0 : now - task->running_since;
     const double needs = estimates_.run_time(spec.job_class, spec.expect_s) - ran;
     // What can't end in time starts elsewhere at once.
     if (task->job->service() || spec.checkpoint_every_s > 0 || needs > left)
-      stop_task(model_, *task, true, now);
+      placement::stop_task(model_, *task, true, now);
   }
 }
 
@@ -466,10 +470,11 @@
       it = attention.erase(it);  // its next report brings it back
       continue;
     }
-    const bool waits = std::any_of(host->tasks.begin(), host->tasks.end(), [](const Task* task) {
-      return task->phase == Phase::assigned &&
-             (task->stopping || (!task->seen && !task->job->cancelled));
-    });
+    const bool waits =
+        std::any_of(host->tasks.begin(), host->tasks.end(), [](const state::Task* task) {
+          return task->phase == state::Phase::assigned &&
+                 (task->stopping || (!task->seen && !task->job->cancelled));
+        });
     const bool way = !host->exchanging && !host->answered_orders && now >= host->direct_after &&
                      !host->addr.empty();
     if (waits && way && exchanges_ < k::kExchangesMax) {
@@ -481,7 +486,7 @@
   }
 }
 
-void Leader::exchange(Host& host, const std::vector<wire::Order>& orders) {
+void Leader::exchange(state::Host& host, const std::vector<wire::Order>& orders) {
   host.exchanging = true;
   ++exchanges_;
   // The session of a machine that is not known yet is most likely its first;
@@ -490,11 +495,11 @@
   context_.workers.order(
       host.addr, token(host), session, orders,
       scope_.wrap([this, id = host.id, stated = !orders.empty()](
-                      const fleet::OrdersResult& result) { on_exchange(id, stated, result); }));
+                      const clients::OrdersResult& result) { on_exchange(id, stated, result); }));
 }
 
-void Leader::on_exchange(const std::string& id, bool stated, const fleet::OrdersResult& result) {
-  using Outcome = fleet::OrdersResult::Outcome;
+void Leader::on_exchange(const std::string& id, bool stated, const clients::OrdersResult& result) {
+  using Outcome = clients::OrdersResult::Outcome;
   --exchanges_;
   orders_due_ = true;
   auto* host = model_.find_host(id);
@@ -561,4 +566,4 @@
   give_orders();
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::controller
--- a/src/engine/node.cpp
+++ b/src/controller/node.cpp
@@ -1,4 +1,4 @@
-#include "engine/node.hpp"
+#include "controller/node.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,10 +6,10 @@
 
 #include "config/constants.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::controller {
 
 namespace k = constants;
-using ledger::Outcome;
+using store::Outcome;
 
 Node::Node(const config::Settings& settings, Ports ports, std::string incarnation)
     : settings_(settings),
@@ -28,7 +28,7 @@
       zone_delegate_(settings, ports.event_loop, queue_, ports.store, mirror_, read_index_),
       flush_wake_(ports.event_loop, queue_) {}
 
-void Node::start(mesh::Mesh& mesh) {
+void Node::start(peer::Mesh& mesh) {
   mesh_ = &mesh;
   // Nobody counts as silent before having had the time to speak: a restarted
   // node would become delegate of its zone for no reason.
@@ -46,20 +46,20 @@
   });
 }
 
-void Node::on_message(mesh::Message message) {
+void Node::on_message(peer::Message message) {
   queue_.post([this, message = std::move(message)]() mutable {
-    if (const auto* heartbeat = std::get_if<mesh::Heartbeat>(&message))
+    if (const auto* heartbeat = std::get_if<peer::Heartbeat>(&message))
       return on_heartbeat(*heartbeat);
-    if (const auto* cancelled = std::get_if<mesh::Cancelled>(&message))
+    if (const auto* cancelled = std::get_if<peer::Cancelled>(&message))
       return on_cancellation(cancelled->job);
-    if (auto* report = std::get_if<mesh::ForwardedReport>(&message)) {
+    if (auto* report = std::get_if<peer::ForwardedReport>(&message)) {
       auto respond = [this, node = report->node, id = report->id](const net::Response& response) {
-        mesh_->send(node, mesh::ForwardedReply{id, response.status, response.body});
+        mesh_->send(node, peer::ForwardedReply{id, response.status, response.body});
         forwarding_ = true;
       };
       return on_report(report->body, std::move(respond), true);
     }
-    const auto& reply = std::get<mesh::ForwardedReply>(message);
+    const auto& reply = std::get<peer::ForwardedReply>(message);
     const auto found = forwarded_.find(reply.id);
     if (found == forwarded_.end()) return;
     auto respond = std::move(found->second.waiting.respond);
@@ -129,8 +129,8 @@
 
 bool Node::leader_heard() const { return leader_ || heard(known_leader_); }
 
-ZoneDelegate::View Node::view() const {
-  ZoneDelegate::View view{leader_heard(), state_reachable(k::kPeerSilence), {}};
+election::ZoneDelegate::View Node::view() const {
+  election::ZoneDelegate::View view{leader_heard(), state_reachable(k::kPeerSilence), {}};
   if (view.leader_heard || view.state_reachable) return view;
   for (const auto& peer : settings_.peers) {
     if (peer.zone == settings_.zone && heard(peer.name) && !peers_.at(peer.name).leader_heard)
@@ -158,18 +158,18 @@
   return false;
 }
 
-void Node::forward_report(ZoneDelegate::Waiting waiting) {
+void Node::forward_report(election::ZoneDelegate::Waiting waiting) {
   if (zone_delegate_.active() || !leader_heard()) {
     if (known_leader_.empty()) return waiting.respond({503, {}, 0});
     return zone_delegate_.on_report(std::move(waiting), view());
   }
   const auto id = next_forward_++;
-  mesh_->send(known_leader_, mesh::ForwardedReport{settings_.node, id, waiting.body});
+  mesh_->send(known_leader_, peer::ForwardedReport{settings_.node, id, waiting.body});
   forwarded_[id] = {std::move(waiting), known_leader_};
   forwarding_ = true;
 }
 
-void Node::dispatch_waiting(ZoneDelegate::Waiting waiting) {
+void Node::dispatch_waiting(election::ZoneDelegate::Waiting waiting) {
   if (leader_) return leader_->on_report(waiting.report, waiting.respond);
   forward_report(std::move(waiting));
 }
@@ -223,8 +223,8 @@
 
 void Node::load(const std::string& since) {
   if (since.empty()) mirror_.restart();
-  store_.list(std::string(ledger::kLive), since,
-              scope_.wrap([this, since](const ledger::ListResult& result) {
+  store_.list(std::string(store::kLive), since,
+              scope_.wrap([this, since](const store::ListResult& result) {
                 if (result.outcome != Outcome::ok) {
                   loop_.after(k::kStateRetry, scope_.wrap([this, since] { load(since); }));
                   return;
@@ -232,9 +232,9 @@
                 mirror_.load(result.listing);
                 if (result.listing.truncated && !result.listing.entries.empty())
                   return load(result.listing.entries.back().key);
-                std::vector<ledger::Key> all;
+                std::vector<store::Key> all;
                 for (const auto& [id, job] : mirror_.jobs())
-                  all.push_back({ledger::Key::Kind::job, id, 0});
+                  all.push_back({store::Key::Kind::job, id, 0});
                 changed(all);
                 watch();
               }));
@@ -243,8 +243,8 @@
 void Node::watch() {
   // Until the copy is whole, don't wait: nothing may change for long.
   const double hold = mirror_.loaded() ? k::kWatchHold : 0;
-  store_.watch(std::string(ledger::kRoot), mirror_.follow_from(), hold,
-               scope_.wrap([this](const ledger::WatchResult& result) {
+  store_.watch(std::string(store::kRoot), mirror_.follow_from(), hold,
+               scope_.wrap([this](const store::WatchResult& result) {
                  switch (result.outcome) {
                    case Outcome::ok: {
                      changed(mirror_.apply(result.changes));
@@ -262,7 +262,7 @@
                }));
 }
 
-void Node::changed(const std::vector<ledger::Key>& keys) {
+void Node::changed(const std::vector<store::Key>& keys) {
   if (mirror_.lead()) learn_term(mirror_.lead()->term, mirror_.lead()->node);
   learn_term(mirror_.term(), known_leader_);
   if (leader_) leader_->on_change(keys);
@@ -325,7 +325,7 @@
       spdlog::error(
           "the state service holds records of an earlier layout below {}block/ or host/: not "
           "standing for leadership",
-          ledger::kLive);
+          store::kLive);
     }
     return;
   }
@@ -342,7 +342,7 @@
 void Node::start_election() {
   election_running_ = true;
   election_at_ = -1;
-  store_.grant(k::kLeadLease, scope_.wrap([this](const ledger::GrantResult& granted) {
+  store_.grant(k::kLeadLease, scope_.wrap([this](const store::GrantResult& granted) {
     // Somebody else may have won while the lease was asked for.
     if (granted.outcome == Outcome::ok && !leader_ && leadership_open())
       return request_leadership(granted.lease);
@@ -357,12 +357,12 @@
   candidacies_.push_back(candidacy);
   if (candidacies_.size() > k::kCandidaciesKept) candidacies_.erase(candidacies_.begin());
   wire::Txn txn;
-  txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()},
-                {std::string(ledger::kLeadKey), mirror_.lead_stamp()}};
-  txn.writes = {{std::string(ledger::kTermKey), ledger::encode(ledger::TermRecord{term}), 0},
-                {std::string(ledger::kLeadKey),
-                 ledger::encode(ledger::LeadRecord{settings_.node, candidacy.name, term}), lease}};
-  store_.commit(std::move(txn), scope_.wrap([this](const ledger::CommitResult& result) {
+  txn.guards = {{std::string(store::kTermKey), mirror_.term_stamp()},
+                {std::string(store::kLeadKey), mirror_.lead_stamp()}};
+  txn.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{term}), 0},
+                {std::string(store::kLeadKey),
+                 store::encode(store::LeadRecord{settings_.node, candidacy.name, term}), lease}};
+  store_.commit(std::move(txn), scope_.wrap([this](const store::CommitResult& result) {
     // Won or not, the mirror will tell: it must hold all that came before
     // this term in any case. Should it tell too late, the lease is over and
     // another try is due.
@@ -388,7 +388,7 @@
                           read_index_,
                           [this](const std::string& peer) {
                             const auto found = peers_.find(peer);
-                            return found == peers_.end() ? PeerReadState{}
+                            return found == peers_.end() ? reconcile::PeerReadState{}
                                                          : found->second.read_state;
                           },
                           [this] { return common_outage(); },
@@ -423,20 +423,20 @@
       step_down("the lease ran out");
   }));
   wire::Txn txn;
-  txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()}};
+  txn.guards = {{std::string(store::kTermKey), mirror_.term_stamp()}};
   // The machine types ride along once, for nodes that start while the cloud
   // does not answer.
   if (!types_recorded_ && !machine_types_.empty() && !mirror_.types()) {
-    txn.guards.push_back({std::string(ledger::kTypesKey), 0});
+    txn.guards.push_back({std::string(store::kTypesKey), 0});
     txn.writes.push_back(
-        {std::string(ledger::kTypesKey), wire::encode_machine_types(machine_types_), 0});
+        {std::string(store::kTypesKey), wire::encode_machine_types(machine_types_), 0});
   }
   types_recorded_ = true;
   store_.commit(std::move(txn), scope_.wrap([this, sent, term = leader_->term()](
-                                                const ledger::CommitResult& result) {
+                                                const store::CommitResult& result) {
     if (!leader_ || leader_->term() != term) return;
     if (result.outcome == Outcome::ok) leader_->confirm(sent);
-    const bool deposed = std::find(result.failed.begin(), result.failed.end(), ledger::kTermKey) !=
+    const bool deposed = std::find(result.failed.begin(), result.failed.end(), store::kTermKey) !=
                          result.failed.end();
     if (result.outcome == Outcome::conflict && deposed) step_down("the term is over");
   }));
@@ -448,12 +448,12 @@
   next_heartbeat_ = loop_.now() + k::kHeartbeatEvery;
   told_leader_heard_ = leader_heard();
   urgent_messages_ = true;
-  mesh_->broadcast(mesh::Heartbeat{settings_.node, known_term_, known_leader_, state_reachable(),
+  mesh_->broadcast(peer::Heartbeat{settings_.node, known_term_, known_leader_, state_reachable(),
                                    told_leader_heard_, mirror_.loaded() ? mirror_.revision() : 0,
                                    loop_.now() - zone_delegate_.answered_at()});
 }
 
-void Node::on_heartbeat(const mesh::Heartbeat& heartbeat) {
+void Node::on_heartbeat(const peer::Heartbeat& heartbeat) {
   auto& peer = peers_[heartbeat.node];
   peer.heard = loop_.now();
   peer.state_reachable = heartbeat.state_reachable;
@@ -467,7 +467,7 @@
 
 void Node::broadcast_cancellation(const std::string& job) {
   urgent_messages_ = true;
-  mesh_->broadcast(mesh::Cancelled{job});
+  mesh_->broadcast(peer::Cancelled{job});
   on_cancellation(job);
 }
 
@@ -513,4 +513,4 @@
   if (mesh_ != nullptr) mesh_->flush();
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::controller
--- a/src/engine/node.hpp
+++ b/src/controller/node.hpp
@@ -3,44 +3,44 @@
 
 #include <memory>
 
+#include "api/user_api.hpp"
 #include "config/constants.hpp"
-#include "engine/leader.hpp"
-#include "engine/user_api.hpp"
-#include "engine/zone_delegate.hpp"
-#include "mesh/mesh.hpp"
+#include "controller/leader.hpp"
+#include "election/zone_delegate.hpp"
+#include "peer/transport.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::controller {
 
 class Node {
  public:
   struct Ports {
-    EventLoop& event_loop;
-    ledger::Store& store;
-    fleet::Cloud& cloud;
-    fleet::Workers& workers;
+    runtime::EventLoop& event_loop;
+    store::Store& store;
+    clients::Cloud& cloud;
+    clients::Workers& workers;
   };
 
   /// `incarnation`: differs from that of every earlier process of this node.
   Node(const config::Settings& settings, Ports ports, std::string incarnation);
 
   /// The mesh hands its messages to `on_message`, so it is made after the node.
-  void start(mesh::Mesh& mesh);
+  void start(peer::Mesh& mesh);
   void on_request(net::Request request, net::Responder respond);
-  void on_message(mesh::Message message);
+  void on_message(peer::Message message);
 
   [[nodiscard]] bool ready() const;
   [[nodiscard]] Leader* leader() { return leader_.get(); }
-  [[nodiscard]] const ledger::Mirror& mirror() const { return mirror_; }
+  [[nodiscard]] const store::Mirror& mirror() const { return mirror_; }
 
  private:
   struct Peer {
     double heard = -1e18;
     bool state_reachable = true;
     bool leader_heard = true;
-    PeerReadState read_state;
+    reconcile::PeerReadState read_state;
   };
   struct Forwarded {
-    ZoneDelegate::Waiting waiting;
+    election::ZoneDelegate::Waiting waiting;
     std::string leader;
   };
   /// One attempt to be elected. Its transaction may be applied long after it
@@ -59,16 +59,16 @@
   void on_report(const std::string& body, net::Responder respond, bool forwarded);
   /// Sends the worker to a node of its zone, if it should go there.
   bool redirect_to_zone(const wire::Report& report, const net::Responder& respond);
-  void forward_report(ZoneDelegate::Waiting waiting);
+  void forward_report(election::ZoneDelegate::Waiting waiting);
   /// For a report that has waited: the leader answers it if that is this node
   /// by now.
-  void dispatch_waiting(ZoneDelegate::Waiting waiting);
+  void dispatch_waiting(election::ZoneDelegate::Waiting waiting);
   void retry_or_expire_forwarded();
   [[nodiscard]] bool heard(const std::string& peer) const;
   [[nodiscard]] bool leader_heard() const;
   /// Every controller is heard, and the state service answers none of them.
   [[nodiscard]] bool common_outage() const;
-  [[nodiscard]] ZoneDelegate::View view() const;
+  [[nodiscard]] election::ZoneDelegate::View view() const;
   void tick();
   void after_batch();
   /// Sends what is queued for other controllers, reports and answers a few at a
@@ -78,7 +78,7 @@
   // mirror
   void load(const std::string& since);
   void watch();
-  void changed(const std::vector<ledger::Key>& keys);
+  void changed(const std::vector<store::Key>& keys);
 
   // machine types
   void fetch_types();
@@ -100,7 +100,7 @@
 
   // mesh
   void send_heartbeat();
-  void on_heartbeat(const mesh::Heartbeat& send_heartbeat);
+  void on_heartbeat(const peer::Heartbeat& send_heartbeat);
   /// A cancellation was recorded here: the leader hears of it at once.
   void broadcast_cancellation(const std::string& job);
   void on_cancellation(const std::string& job);
@@ -108,18 +108,18 @@
   [[nodiscard]] bool state_reachable(double within_s = constants::kUnreadyAfter) const;
 
   const config::Settings& settings_;
-  EventLoop& loop_;
-  ledger::Store& store_;
-  fleet::Cloud& cloud_;
-  fleet::Workers& workers_;
-  mesh::Mesh* mesh_ = nullptr;
+  runtime::EventLoop& loop_;
+  store::Store& store_;
+  clients::Cloud& cloud_;
+  clients::Workers& workers_;
+  peer::Mesh* mesh_ = nullptr;
   std::string incarnation_;
-  CommandQueue queue_;
-  CommandScope scope_;
-  ledger::Mirror mirror_;
-  ReadIndex read_index_;
-  UserApi user_api_;
-  ZoneDelegate zone_delegate_;
+  runtime::CommandQueue queue_;
+  runtime::CommandScope scope_;
+  store::Mirror mirror_;
+  election::ReadIndex read_index_;
+  api::UserApi user_api_;
+  election::ZoneDelegate zone_delegate_;
   std::unique_ptr<Leader> leader_;
   std::vector<wire::MachineType> machine_types_;
   bool types_recorded_ = false;
@@ -136,8 +136,8 @@
   double next_heartbeat_ = 0;
   bool urgent_messages_ = false;  ///< queued for other controllers; not to be delayed
   bool forwarding_ = false;       ///< reports or answers are queued for them
-  double next_flush_ = kNever;
-  Wake flush_wake_;
+  double next_flush_ = state::kNever;
+  runtime::CoalescingTimer flush_wake_;
   bool told_leader_heard_ = true;  ///< in the last heartbeat
   double next_probe_ = 0;
   std::map<std::string, Peer> peers_;
@@ -146,4 +146,4 @@
   std::uint64_t next_forward_ = 1;
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::controller
--- /dev/null
+++ b/src/dispatch/order_composer.hpp
@@ -0,0 +1,37 @@
+// Which commands a machine is to be given now.
+#pragma once
+
+#include <vector>
+
+#include "placement/gang_coordinator.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::dispatch {
+
+class OrderComposer {
+ public:
+  OrderComposer(const config::Settings& settings, state::Model& model,
+                const state::GroupCommit& group_commit, placement::GangCoordinator& gangs)
+      : settings_(settings), model_(model), group_commit_(group_commit), gangs_(gangs) {}
+
+  /// All that is due there; `starting`: also what starts a task.
+  [[nodiscard]] std::vector<wire::Order> compose(state::Host& host, double now, bool starting);
+  /// What no answer that renews the machine's lease may lack.
+  [[nodiscard]] static std::vector<wire::Order> cancellations(const state::Host& host);
+
+ private:
+  using Orders = std::vector<wire::Order>;
+
+  void add_clears(const state::Host& host, Orders& orders);
+  static void add_stop(state::Task& task, double now, Orders& orders);
+  /// The machine may be told to run the task.
+  [[nodiscard]] bool run_due(const state::Task& task, const state::Host& host);
+  [[nodiscard]] bool may_clear(const state::Exited& exited);
+
+  const config::Settings& settings_;
+  state::Model& model_;
+  const state::GroupCommit& group_commit_;
+  placement::GangCoordinator& gangs_;
+};
+
+}  // namespace elmstall::dispatch
--- a/src/engine/read_index.cpp
+++ b/src/election/read_index.cpp
@@ -1,8 +1,8 @@
-#include "engine/read_index.hpp"
+#include "election/read_index.hpp"
 
 #include <algorithm>
 
-namespace elmstall::engine {
+namespace elmstall::election {
 
 void ReadIndex::request(double patience_s, Waiter waiter) {
   next_.push_back({loop_.now(), loop_.now() + patience_s, 0, std::move(waiter)});
@@ -19,10 +19,10 @@
   probing_ = true;
   std::vector<Waiting> covered;
   covered.swap(next_);
-  store_.get(std::string(ledger::kProbeKey),
-             scope_.wrap([this, covered](const ledger::GetResult& result) mutable {
+  store_.get(std::string(store::kProbeKey),
+             scope_.wrap([this, covered](const store::GetResult& result) mutable {
                probing_ = false;
-               if (result.outcome == ledger::Outcome::missing) {
+               if (result.outcome == store::Outcome::missing) {
                  last_success_ = loop_.now();
                  for (auto& one : covered) {
                    one.revision = result.revision;
@@ -54,4 +54,4 @@
   }
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::election
--- a/src/engine/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -6,19 +6,19 @@
 #include <functional>
 #include <vector>
 
-#include "engine/queue.hpp"
-#include "ledger/mirror.hpp"
-#include "ledger/store.hpp"
+#include "runtime/coalescing_timer.hpp"
+#include "store/mirror.hpp"
+#include "store/state_store.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::election {
 
 class ReadIndex {
  public:
   using Waiter = std::function<void(bool current)>;
 
   /// `gap`: seconds between two requests, which serve all who came meanwhile.
-  ReadIndex(EventLoop& event_loop, CommandQueue& queue, ledger::Store& store,
-            const ledger::Mirror& mirror, double gap)
+  ReadIndex(runtime::EventLoop& event_loop, runtime::CommandQueue& queue, store::Store& store,
+            const store::Mirror& mirror, double gap)
       : loop_(event_loop),
         store_(store),
         mirror_(mirror),
@@ -46,13 +46,13 @@
   /// Asks on behalf of all who wait, if any do and nothing is under way.
   void probe();
 
-  EventLoop& loop_;
-  ledger::Store& store_;
-  const ledger::Mirror& mirror_;
-  CommandScope scope_;
+  runtime::EventLoop& loop_;
+  store::Store& store_;
+  const store::Mirror& mirror_;
+  runtime::CommandScope scope_;
   std::vector<Waiting> next_;     ///< wait for a probe to be sent
   std::vector<Waiting> waiting_;  ///< know their revision
-  Wake wake_;
+  runtime::CoalescingTimer wake_;
   double gap_;
   double next_probe_ = -1e18;
   bool probing_ = false;
@@ -60,4 +60,4 @@
   double current_as_of_ = -1e18;
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::election
--- a/src/engine/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -1,4 +1,4 @@
-#include "engine/zone_delegate.hpp"
+#include "election/zone_delegate.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,10 +6,10 @@
 
 #include "config/constants.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::election {
 
 namespace k = constants;
-using ledger::Outcome;
+using store::Outcome;
 
 void ZoneDelegate::on_report(Waiting waiting, const View& view) {
   if (waiting.report.zone != settings_.zone) return waiting.respond({503, {}, 0});
@@ -83,16 +83,15 @@
     const auto* blocks = mirror_.blocks(id);
     if (blocks == nullptr) continue;
     for (const auto& [number, block] : *blocks) {
-      const bool held = std::any_of(block.record.tasks.begin(), block.record.tasks.end(),
-                                    [&](const ledger::TaskRecord& task) {
-                                      return task.host == report.host &&
-                                             std::none_of(report.tasks.begin(), report.tasks.end(),
-                                                          [&](const wire::TaskReport& shown) {
-                                                            return shown.index == task.index &&
-                                                                   shown.attempt == task.attempt &&
-                                                                   shown.job == id;
-                                                          });
-                                    });
+      const bool held = std::any_of(
+          block.record.tasks.begin(), block.record.tasks.end(), [&](const store::TaskRecord& task) {
+            return task.host == report.host &&
+                   std::none_of(report.tasks.begin(), report.tasks.end(),
+                                [&](const wire::TaskReport& shown) {
+                                  return shown.index == task.index &&
+                                         shown.attempt == task.attempt && shown.job == id;
+                                });
+          });
       if (held) return true;
     }
   }
@@ -107,20 +106,20 @@
     if (round == round_) state_ = State::idle;
   };
   store_.grant(k::kDelegationLease, scope_.wrap([this, round, fail,
-                                                 sent](const ledger::GrantResult& granted) {
+                                                 sent](const store::GrantResult& granted) {
     if (round != round_) return;
     if (granted.outcome != Outcome::ok) return fail();
     lease_ = granted.lease;
     wire::Txn txn;
     // By its own version too: an earlier attempt's transaction that is applied
     // later would hang the record on that attempt's lease.
-    const auto key = ledger::delegation_key(settings_.node);
+    const auto key = store::delegation_key(settings_.node);
     const auto own = mirror_.delegations().find(settings_.node);
-    txn.guards = {{std::string(ledger::kTermKey), mirror_.term_stamp()},
+    txn.guards = {{std::string(store::kTermKey), mirror_.term_stamp()},
                   {key, own == mirror_.delegations().end() ? 0 : own->second.second}};
-    txn.writes = {{key, ledger::encode(ledger::DelegationRecord{settings_.zone}), lease_}};
+    txn.writes = {{key, store::encode(store::DelegationRecord{settings_.zone}), lease_}};
     store_.commit(std::move(txn),
-                  scope_.wrap([this, round, fail, sent](const ledger::CommitResult& result) {
+                  scope_.wrap([this, round, fail, sent](const store::CommitResult& result) {
                     if (round != round_) return;
                     if (result.outcome != Outcome::ok) return fail();
                     spdlog::info("zone delegate of {}: its leader is unreachable", settings_.zone);
@@ -155,9 +154,9 @@
   const auto found = mirror_.delegations().find(settings_.node);
   if (found == mirror_.delegations().end()) return;
   wire::Txn txn;
-  txn.guards = {{ledger::delegation_key(settings_.node), found->second.second}};
-  txn.writes = {{ledger::delegation_key(settings_.node), std::nullopt, 0}};
-  store_.commit(std::move(txn), [](const ledger::CommitResult&) {});
+  txn.guards = {{store::delegation_key(settings_.node), found->second.second}};
+  txn.writes = {{store::delegation_key(settings_.node), std::nullopt, 0}};
+  store_.commit(std::move(txn), [](const store::CommitResult&) {});
 }
 
 void ZoneDelegate::answer_waiting(const View& view) {
@@ -192,4 +191,4 @@
   if (now >= next_renew_) renew();
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::election
--- a/src/engine/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -18,15 +18,16 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "engine/read_index.hpp"
+#include "election/read_index.hpp"
 #include "net/http_server.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::election {
 
 class ZoneDelegate {
  public:
-  ZoneDelegate(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
-               ledger::Store& store, const ledger::Mirror& mirror, const ReadIndex& read_index)
+  ZoneDelegate(const config::Settings& settings, runtime::EventLoop& event_loop,
+               runtime::CommandQueue& queue, store::Store& store, const store::Mirror& mirror,
+               const ReadIndex& read_index)
       : settings_(settings),
         loop_(event_loop),
         store_(store),
@@ -79,11 +80,11 @@
   [[nodiscard]] bool may_start_cancelled(const wire::Report& report) const;
 
   const config::Settings& settings_;
-  EventLoop& loop_;
-  ledger::Store& store_;
-  const ledger::Mirror& mirror_;
+  runtime::EventLoop& loop_;
+  store::Store& store_;
+  const store::Mirror& mirror_;
   const ReadIndex& read_index_;
-  CommandScope scope_;
+  runtime::CommandScope scope_;
   State state_ = State::idle;
   std::uint64_t round_ = 0;  ///< answers to an earlier round are ignored
   std::uint64_t lease_ = 0;
@@ -96,4 +97,4 @@
   std::map<std::string, double> turned_away_;  ///< machines that were, and when
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::election
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -39,8 +39,6 @@
   std::size_t crowded = 256;
 };
 
-[[nodiscard]] asio::ip::tcp::endpoint parse_endpoint(std::string_view text);
-
 class HttpServer {
  public:
   /// Throws std::system_error when the address can't be had.
--- a/src/mesh/frames.cpp
+++ b/src/peer/frames.cpp
@@ -1,10 +1,10 @@
-#include "mesh/frames.hpp"
+#include "peer/frames.hpp"
 
 #include <cstdint>
 
 #include "config/constants.hpp"
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 namespace {
 
 constexpr std::size_t kHeaderBytes = 4;
@@ -49,4 +49,4 @@
   return left.substr(kHeaderBytes, length);
 }
 
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/src/mesh/frames.hpp
+++ b/src/peer/frames.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 
 /// A peer announced a message larger than any that controllers send.
 class FrameTooLarge : public std::runtime_error {
@@ -32,4 +32,4 @@
   std::size_t consumed_ = 0;  ///< bytes at its front that were handed out
 };
 
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/src/mesh/messages.cpp
+++ b/src/peer/messages.cpp
@@ -1,8 +1,8 @@
-#include "mesh/messages.hpp"
+#include "peer/messages.hpp"
 
 #include <sstream>
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 
 std::string encode(const Message& message) {
   std::ostringstream out(std::ios::binary);
@@ -21,4 +21,4 @@
   return message;
 }
 
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/src/mesh/messages.hpp
+++ b/src/peer/messages.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <variant>
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 
 /// Sent about once a second, and when something in it changes.
 struct Heartbeat {
@@ -67,4 +67,4 @@
 /// Throws std::exception on bad input.
 [[nodiscard]] Message decode(std::string_view bytes);
 
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/src/mesh/tcp_mesh.cpp
+++ b/src/peer/tcp_transport.cpp
@@ -1,4 +1,4 @@
-#include "mesh/tcp_mesh.hpp"
+#include "peer/tcp_transport.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,10 +6,10 @@
 #include <deque>
 
 #include "config/constants.hpp"
-#include "mesh/frames.hpp"
-#include "net/http_server.hpp"
+#include "config/endpoint.hpp"
+#include "peer/frames.hpp"
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 namespace {
 
 constexpr auto kReconnectPause = std::chrono::milliseconds(500);
@@ -195,7 +195,7 @@
   // A peer that lost its connection silently opens another one.
   shared_->max_incoming = peers.size() * 4 + 4;
   for (const auto& peer : peers)
-    peers_[peer.name] = std::make_shared<Outgoing>(io, net::parse_endpoint(peer.endpoint));
+    peers_[peer.name] = std::make_shared<Outgoing>(io, config::parse_endpoint(peer.endpoint));
   acceptor_.open(listen.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
   acceptor_.bind(listen);
@@ -235,4 +235,4 @@
   if (found != peers_.end()) found->second->send(frame(encode(message)));
 }
 
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/src/mesh/tcp_mesh.hpp
+++ b/src/peer/tcp_transport.hpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "mesh/mesh.hpp"
+#include "peer/transport.hpp"
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 
 class TcpMesh : public Mesh {
  public:
@@ -39,4 +39,4 @@
   std::map<std::string, std::shared_ptr<Outgoing>> peers_;
 };
 
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/src/mesh/mesh.hpp
+++ b/src/peer/transport.hpp
@@ -4,9 +4,9 @@
 #include <functional>
 #include <string>
 
-#include "mesh/messages.hpp"
+#include "peer/messages.hpp"
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 
 class Mesh {
  public:
@@ -20,4 +20,4 @@
 
 using Receiver = std::function<void(Message)>;
 
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/src/engine/gang_coordinator.cpp
+++ b/src/placement/gang_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "engine/gang_coordinator.hpp"
+#include "placement/gang_coordinator.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,30 +6,30 @@
 #include <map>
 
 #include "config/constants.hpp"
-#include "engine/planner.hpp"
-#include "engine/preemption.hpp"
+#include "placement/planner.hpp"
+#include "placement/preemption.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::placement {
 
 namespace k = constants;
-using State = Gang::State;
+using State = state::Gang::State;
 using wire::EndCause;
 using wire::TaskState;
 
 namespace {
 
-void change_state(Job& job, State state, double now) {
+void change_state(state::Job& job, State state, double now) {
   auto& gang = job.gang_progress;
   if (gang.state == state) return;
-  if (!may_follow(gang.state, state))
+  if (!state::may_follow(gang.state, state))
     spdlog::error("gang {}: {} does not follow {}", job.id, to_text(state), to_text(gang.state));
   spdlog::info("gang {}: {}, was {}", job.id, to_text(state), to_text(gang.state));
   gang.state = state;
   gang.since = now;
 }
 
-std::vector<Task*> tasks_in_memory(const Job& job) {
-  std::vector<Task*> tasks;
+std::vector<state::Task*> tasks_in_memory(const state::Job& job) {
+  std::vector<state::Task*> tasks;
   for (const auto& [number, block] : job.blocks) {
     for (auto& task : block->tasks) tasks.push_back(&task);
   }
@@ -37,9 +37,9 @@
 }
 
 /// Ends a task without time to save.
-void end_task(Model& model, Task& task) {
-  if (task.phase == Phase::planned) return model.unplan(task);
-  if (task.phase != Phase::assigned) return;
+void end_task(state::Model& model, state::Task& task) {
+  if (task.phase == state::Phase::planned) return model.unplan(task);
+  if (task.phase != state::Phase::assigned) return;
   if (!task.offered) return model.release(task);  // it never left us
   task.stopping = true;
   task.wind_down_s = 0;
@@ -48,7 +48,7 @@
 
 /// The machine will hear and carry out a stop within a moment, and lives long
 /// enough to save.
-bool can_save(const Task& task, double silent_after_s, double now) {
+bool can_save(const state::Task& task, double silent_after_s, double now) {
   const auto& host = *task.host;
   const double save_s = task.job->spec.save_s;
   const bool leaves = host.recall_at && *host.recall_at - now < save_s + k::kGangSaveMargin;
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-void stop_gang(Model& model, Job& job, bool save, double now, double not_before) {
+void stop_gang(state::Model& model, state::Job& job, bool save, double now, double not_before) {
   auto& gang = job.gang_progress;
   const auto tasks = tasks_in_memory(job);
   for (auto* task : tasks) task->not_before = std::max(task->not_before, not_before);
@@ -75,8 +75,8 @@
   const double silent_after_s = model.settings().silent_after_s();
   const bool orderly =
       save && gang.state == State::running && job.spec.checkpoint_every_s > 0 &&
-      std::all_of(tasks.begin(), tasks.end(), [&](const Task* task) {
-        return task->phase == Phase::assigned && can_save(*task, silent_after_s, now);
+      std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
+        return task->phase == state::Phase::assigned && can_save(*task, silent_after_s, now);
       });
   if (!orderly) {
     for (auto* task : tasks) end_task(model, *task);
@@ -90,25 +90,28 @@
   change_state(job, State::stopping, now);
 }
 
-std::vector<Task*> GangCoordinator::tasks_of(Job& job) const {
+std::vector<state::Task*> GangCoordinator::tasks_of(state::Job& job) const {
   for (std::uint32_t number = 0; number < job.block_count; ++number)
     (void)model_.load_block(job, number, nullptr);
   return tasks_in_memory(job);
 }
 
-std::vector<Task*> GangCoordinator::pending_of(Job& job) const {
+std::vector<state::Task*> GangCoordinator::pending_of(state::Job& job) const {
   auto tasks = tasks_of(job);
-  std::erase_if(tasks, [](const Task* task) { return task->phase != Phase::pending; });
+  std::erase_if(tasks,
+                [](const state::Task* task) { return task->phase != state::Phase::pending; });
   return tasks;
 }
 
 // --- takeover and reports ------------------------------------------------------------
 
-void GangCoordinator::recover(Job& job, double now) const {
+void GangCoordinator::recover(state::Job& job, double now) const {
   auto& gang = job.gang_progress;
   const auto tasks = tasks_in_memory(job);
   for (const auto* task : tasks) gang.attempt = std::max(gang.attempt, task->attempt);
-  const auto assigned = [](const Task* task) { return task->phase == Phase::assigned; };
+  const auto assigned = [](const state::Task* task) {
+    return task->phase == state::Phase::assigned;
+  };
   if (std::none_of(tasks.begin(), tasks.end(), assigned)) return;
   // Whether it has begun will be seen in the reports. A task that waits by then
   // began to do so at some time before now.
@@ -117,7 +120,7 @@
   gang.gathering_since = now - settings_.gang_wait_s / 2;
 }
 
-void GangCoordinator::on_state(Task& task, TaskState state, double now) {
+void GangCoordinator::on_state(state::Task& task, TaskState state, double now) {
   auto& job = *task.job;
   auto& gang = job.gang_progress;
   if (task.attempt != gang.attempt || job.cancelled) return;
@@ -129,11 +132,11 @@
   } else if (state == TaskState::saving && !task.stopping) {
     // A former leader stops it: the others must hear of it in time.
     if (gang.state == State::starting) change_state(job, State::running, now);
-    stop_gang(model_, job, true, now, kNever);
+    stop_gang(model_, job, true, now, state::kNever);
   }
 }
 
-void GangCoordinator::on_exit(Task& task, EndCause cause, double now) {
+void GangCoordinator::on_exit(state::Task& task, EndCause cause, double now) {
   auto& job = *task.job;
   auto& gang = job.gang_progress;
   const bool refused =
@@ -148,18 +151,18 @@
   if (cause == EndCause::incomplete) {
     // Whoever has no image yet made the others wait for nothing.
     for (const auto* other : tasks_in_memory(job)) {
-      if (other->phase == Phase::assigned && other->state == TaskState::fetching)
+      if (other->phase == state::Phase::assigned && other->state == TaskState::fetching)
         gang.avoided.insert(other->host->id);
     }
   }
   model_.release(task);
 }
 
-void GangCoordinator::on_done(Job& job, double now) {
+void GangCoordinator::on_done(state::Job& job, double now) {
   if (!job.cancelled && job.gang_progress.state != State::done) complete(job, now);
 }
 
-void GangCoordinator::on_late_done(Job& job, double now) {
+void GangCoordinator::on_late_done(state::Job& job, double now) {
   auto& gang = job.gang_progress;
   if (job.cancelled || gang.state == State::done || gang.completed) return;
   gang.completed = true;
@@ -169,9 +172,9 @@
   if (job.on_hosts == 0 || gang.state == State::claiming) complete(job, now);
 }
 
-void GangCoordinator::complete(Job& job, double now) {
+void GangCoordinator::complete(state::Job& job, double now) {
   for (const auto* task : tasks_of(job)) {
-    if (task->running_since == kNever) continue;
+    if (task->running_since == state::kNever) continue;
     estimates_.learn(job.spec.job_class, job.spec.expect_s, now - task->running_since);
     break;  // they all ran for the same time
   }
@@ -179,8 +182,8 @@
   for (const auto& [number, block] : job.blocks) {
     for (std::size_t left = block->tasks.size(), i = 0; i < left; ++i) {
       auto& task = block->tasks[i];
-      if (task.phase == Phase::planned) model_.unplan(task);
-      if (task.phase != Phase::done) model_.complete(task);
+      if (task.phase == state::Phase::planned) model_.unplan(task);
+      if (task.phase != state::Phase::done) model_.complete(task);
     }
   }
   change_state(job, State::done, now);
@@ -188,7 +191,7 @@
 
 // --- one step ------------------------------------------------------------------------------
 
-bool GangCoordinator::advance(Job& job, const HostSet& roomy, double now) {
+bool GangCoordinator::advance(state::Job& job, const state::HostSet& roomy, double now) {
   auto& gang = job.gang_progress;
   switch (gang.state) {
     case State::waiting:
@@ -214,13 +217,13 @@
   return true;
 }
 
-bool GangCoordinator::may_run(const Task& task) {
+bool GangCoordinator::may_run(const state::Task& task) {
   auto& gang = task.job->gang_progress;
   if (gang.state != State::starting || task.attempt != gang.attempt) return false;
   if (gang.committed) return true;
   const auto tasks = tasks_of(*task.job);
-  gang.committed = std::all_of(tasks.begin(), tasks.end(), [&](const Task* other) {
-    return other->phase == Phase::assigned && other->attempt == gang.attempt &&
+  gang.committed = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* other) {
+    return other->phase == state::Phase::assigned && other->attempt == gang.attempt &&
            other->block->record->written >= other->needs;
   });
   return gang.committed;
@@ -228,22 +231,23 @@
 
 // --- placement -------------------------------------------------------------------------------
 
-bool GangCoordinator::within_quota(const Job& job, std::size_t tasks) {
+bool GangCoordinator::within_quota(const state::Job& job, std::size_t tasks) {
   if (job.team == nullptr) return false;
   const auto count = static_cast<double>(tasks);
   return sched::within_limit_count(*job.team, *job.team_usage, job.need, count) >= count;
 }
 
-std::optional<sched::GangSite> GangCoordinator::site_of(const Job& job, const Host& host) const {
-  if (!Model::allowed_kind(job, host)) return std::nullopt;
+std::optional<sched::GangSite> GangCoordinator::site_of(const state::Job& job,
+                                                        const state::Host& host) const {
+  if (!state::Model::allowed_kind(job, host)) return std::nullopt;
   sched::GangSite site;
   site.zone = host.zone;
   const auto room = host.room();
   site.free_slots = sched::slots_in(room, job.need);
   site.avoid = job.gang_progress.avoided.contains(host.id);
   site.cached = host.caches(job.image);
-  site.fetching = std::any_of(host.tasks.begin(), host.tasks.end(), [&](const Task* task) {
-    return task->phase == Phase::assigned && task->state == TaskState::fetching &&
+  site.fetching = std::any_of(host.tasks.begin(), host.tasks.end(), [&](const state::Task* task) {
+    return task->phase == state::Phase::assigned && task->state == TaskState::fetching &&
            task->job->image != job.image;
   });
   // What arrays and services could use is left to them, and whole machines are
@@ -259,7 +263,8 @@
   return site;
 }
 
-GangCoordinator::Sites GangCoordinator::free_sites(const Job& job, const HostSet& roomy) const {
+GangCoordinator::Sites GangCoordinator::free_sites(const state::Job& job,
+                                                   const state::HostSet& roomy) const {
   Sites found;
   for (auto* host : roomy) {
     auto site = site_of(job, *host);
@@ -271,7 +276,8 @@
   return found;
 }
 
-GangCoordinator::Sites GangCoordinator::displaceable_sites(const Job& job, double now) const {
+GangCoordinator::Sites GangCoordinator::displaceable_sites(const state::Job& job,
+                                                           double now) const {
   Sites found;
   for (const auto& [id, host] : model_.hosts()) {
     if (!Planner::usable(*host, now, settings_)) continue;
@@ -295,7 +301,7 @@
   return found;
 }
 
-sched::GangRequest GangCoordinator::request_of(const Job& job, std::size_t tasks) {
+sched::GangRequest GangCoordinator::request_of(const state::Job& job, std::size_t tasks) {
   sched::GangRequest request;
   request.tasks = tasks;
   request.together = job.spec.together;
@@ -303,12 +309,12 @@
   return request;
 }
 
-void GangCoordinator::place(Job& job, const HostSet& roomy, double now) {
+void GangCoordinator::place(state::Job& job, const state::HostSet& roomy, double now) {
   auto& gang = job.gang_progress;
   if (now < gang.tried_at + k::kGangRetryEvery) return;
   const auto tasks = pending_of(job);
   const bool free = std::all_of(tasks.begin(), tasks.end(),
-                                [&](const Task* task) { return task->not_before <= now; });
+                                [&](const state::Task* task) { return task->not_before <= now; });
   if (!free || !within_quota(job, tasks.size())) return;
   gang.tried_at = now;
   const auto sites = free_sites(job, roomy);
@@ -319,8 +325,9 @@
   reserve(job, tasks, sites, now);
 }
 
-void GangCoordinator::start(Job& job, const std::vector<Task*>& tasks, const Sites& sites,
-                            const std::vector<sched::GangShare>& shares, double now) {
+void GangCoordinator::start(state::Job& job, const std::vector<state::Task*>& tasks,
+                            const Sites& sites, const std::vector<sched::GangShare>& shares,
+                            double now) {
   auto& gang = job.gang_progress;
   std::uint64_t attempt = gang.attempt;
   for (const auto* task : tasks) attempt = std::max(attempt, task->attempt);
@@ -338,7 +345,8 @@
   spdlog::info("gang {} starts attempt {} on {} machines", job.id, gang.attempt, shares.size());
 }
 
-bool GangCoordinator::displace(Job& job, const std::vector<Task*>& tasks, double now) {
+bool GangCoordinator::displace(state::Job& job, const std::vector<state::Task*>& tasks,
+                               double now) {
   if (now < job.searched_at + k::kDisplaceEvery || searches_ >= k::kDisplaceSearches ||
       !anything_lesser(settings_, model_, job))
     return false;
@@ -347,7 +355,7 @@
   const auto sites = displaceable_sites(job, now);
   const auto shares = sched::place_gang(sites.sites, request_of(job, tasks.size()), true);
   if (!shares) return false;
-  std::vector<Task*> stopped;
+  std::vector<state::Task*> stopped;
   for (const auto& share : *shares) {
     const auto chosen =
         victims(job, *sites.hosts[share.site], job.need * static_cast<double>(share.tasks), now);
@@ -366,7 +374,7 @@
   return true;
 }
 
-void GangCoordinator::choose_zone(Job& job, const Sites& sites, double now) const {
+void GangCoordinator::choose_zone(state::Job& job, const Sites& sites, double now) const {
   // Machines are rented for the zone that the gang is most likely to fit in;
   // not for another one after each look.
   if (!job.spec.together || job.spec.zone) return;
@@ -378,8 +386,8 @@
   gang.zone_chosen_at = now;
 }
 
-void GangCoordinator::reserve(Job& job, const std::vector<Task*>& tasks, const Sites& sites,
-                              double now) {
+void GangCoordinator::reserve(state::Job& job, const std::vector<state::Task*>& tasks,
+                              const Sites& sites, double now) {
   auto& gang = job.gang_progress;
   if (reserving_ != 0 || now < job.submitted + k::kGangReserveAfter || now < gang.claim_after ||
       sites.hosts.empty())
@@ -401,33 +409,33 @@
   unplan(tasks_of(*job));
 }
 
-void GangCoordinator::unplan(const std::vector<Task*>& tasks) {
+void GangCoordinator::unplan(const std::vector<state::Task*>& tasks) {
   for (auto* task : tasks) {
-    if (task->phase == Phase::planned) model_.unplan(*task);
+    if (task->phase == state::Phase::planned) model_.unplan(*task);
   }
 }
 
-bool GangCoordinator::claim_has_room(const std::vector<Task*>& tasks) {
-  std::map<const Host*, sched::Amount> wanted;
+bool GangCoordinator::claim_has_room(const std::vector<state::Task*>& tasks) {
+  std::map<const state::Host*, sched::Amount> wanted;
   for (const auto* task : tasks) wanted[task->host] += task->job->need;
   return std::all_of(wanted.begin(), wanted.end(), [](const auto& entry) {
     const auto& host = *entry.first;
     sched::Amount taken = host.unrecorded_use;
     for (const auto* task : host.tasks) {
-      if (task->phase == Phase::assigned) taken += task->job->need;
+      if (task->phase == state::Phase::assigned) taken += task->job->need;
     }
     return entry.second.fits(host.capacity - taken);
   });
 }
 
-void GangCoordinator::settle_claim(Job& job, const HostSet& roomy, double now) {
+void GangCoordinator::settle_claim(state::Job& job, const state::HostSet& roomy, double now) {
   const bool reserving = reserving_ == job.serial;
   const double most = reserving ? k::kGangReserveMax : k::kGangClaimMax;
   const auto tasks = tasks_of(job);
   // A machine that is given up takes the places on it along.
-  const bool lost = std::any_of(tasks.begin(), tasks.end(), [&](const Task* task) {
-    return task->phase == Phase::planned ? !Planner::usable(*task->host, now, settings_)
-                                         : !reserving;
+  const bool lost = std::any_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
+    return task->phase == state::Phase::planned ? !Planner::usable(*task->host, now, settings_)
+                                                : !reserving;
   });
   if (lost || now > job.gang_progress.since + most) return give_up_claim(job, now);
   if (reserving) return widen_reservation(job, tasks, roomy, now);
@@ -442,8 +450,8 @@
   start(job, tasks, sites, shares, now);
 }
 
-void GangCoordinator::widen_reservation(Job& job, const std::vector<Task*>& tasks,
-                                        const HostSet& roomy, double now) {
+void GangCoordinator::widen_reservation(state::Job& job, const std::vector<state::Task*>& tasks,
+                                        const state::HostSet& roomy, double now) {
   const auto sites = free_sites(job, roomy);
   if (within_quota(job, tasks.size())) {
     if (const auto shares = sched::place_gang(sites.sites, request_of(job, tasks.size()), false))
@@ -453,7 +461,8 @@
   keep_places(job, tasks, sites);
 }
 
-void GangCoordinator::keep_places(Job& job, const std::vector<Task*>& tasks, const Sites& sites) {
+void GangCoordinator::keep_places(state::Job& job, const std::vector<state::Task*>& tasks,
+                                  const Sites& sites) {
   const auto zone = job.spec.together ? job.zone_choice : std::string();
   const auto limit = job.spec.spread ? sched::spread_limit(job.spec.tasks) : job.spec.tasks;
   auto next = tasks.begin();
@@ -464,34 +473,35 @@
     for (std::size_t taken = 0; taken < slots && next != tasks.end(); ++taken) {
       const auto there = job.per_zone.find(host.zone);
       const bool full = there != job.per_zone.end() && there->second >= limit;
-      if (full || !Model::within_quota(job)) break;
+      if (full || !state::Model::within_quota(job)) break;
       model_.plan(**next++, host);
     }
   }
 }
 
-void GangCoordinator::give_up_claim(Job& job, double now) {
+void GangCoordinator::give_up_claim(state::Job& job, double now) {
   unplan(tasks_of(job));
   auto& gang = job.gang_progress;
   if (reserving_ == job.serial) {
     reserving_ = 0;
     gang.claim_after = now + k::kGangReserveMax;
   }
-  gang.zone_chosen_at = kNever;
+  gang.zone_chosen_at = state::kNever;
   change_state(job, State::waiting, now);
 }
 
 // --- an attempt --------------------------------------------------------------------------------
 
-void GangCoordinator::watch_start(Job& job, const HostSet& roomy, double now) {
+void GangCoordinator::watch_start(state::Job& job, const state::HostSet& roomy, double now) {
   const auto tasks = tasks_of(job);
-  const auto running = [](const Task* task) {
-    return task->phase == Phase::assigned && task->running_since != kNever;
+  const auto running = [](const state::Task* task) {
+    return task->phase == state::Phase::assigned && task->running_since != state::kNever;
   };
   if (std::all_of(tasks.begin(), tasks.end(), running))
     return change_state(job, State::running, now);
-  const bool lost = std::any_of(tasks.begin(), tasks.end(),
-                                [](const Task* task) { return task->phase == Phase::pending; });
+  const bool lost = std::any_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
+    return task->phase == state::Phase::pending;
+  });
   if (!lost) return;
   if (job.on_hosts == 0) return end_attempt(job, "all its tasks are gone", now);
   // A gang that has begun answers a loss by itself, and so does one that was
@@ -501,18 +511,19 @@
   if (!time_for_replacement(job, nullptr, now)) end_attempt(job, "it can't be completed", now);
 }
 
-bool GangCoordinator::replaceable(Job& job) const {
+bool GangCoordinator::replaceable(state::Job& job) const {
   // Reports are late: all the others must have been seen to wait, by a report
   // that shows what was ordered before it.
   const auto tasks = tasks_of(job);
-  return std::all_of(tasks.begin(), tasks.end(), [](const Task* task) {
-    if (task->phase != Phase::assigned || !task->offered) return true;
+  return std::all_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
+    if (task->phase != state::Phase::assigned || !task->offered) return true;
     const bool waits = task->state == TaskState::fetching || task->state == TaskState::gathering;
     return task->seen && waits && task->host->synchronized;
   });
 }
 
-bool GangCoordinator::time_for_replacement(const Job& job, const Host* host, double now) const {
+bool GangCoordinator::time_for_replacement(const state::Job& job, const state::Host* host,
+                                           double now) const {
   double fetch_s = 0;
   if (host != nullptr && !host->caches(job.image)) {
     const auto* type = model_.machine_type(host->type);
@@ -523,7 +534,7 @@
          job.gang_progress.gathering_since + settings_.gang_wait_s;
 }
 
-void GangCoordinator::replace(Job& job, const HostSet& roomy, double now) {
+void GangCoordinator::replace(state::Job& job, const state::HostSet& roomy, double now) {
   auto& gang = job.gang_progress;
   if (now < gang.tried_at + k::kGangRetryEvery) return;
   gang.tried_at = now;
@@ -531,11 +542,11 @@
   if (!time_for_replacement(job, nullptr, now)) return end_attempt(job, "time is short", now);
   for (auto* task : lost) {
     if (task->not_before > now) return;
-    Host* best = nullptr;
+    state::Host* best = nullptr;
     for (auto* host : roomy) {
       // Where an attempt has been it must not be started again.
-      const bool fits = job.need.fits(host->room()) && Model::allowed(job, *host) &&
-                        !gang.avoided.contains(host->id) && Model::within_quota(job) &&
+      const bool fits = job.need.fits(host->room()) && state::Model::allowed(job, *host) &&
+                        !gang.avoided.contains(host->id) && state::Model::within_quota(job) &&
                         time_for_replacement(job, host, now);
       if (fits && (best == nullptr || (host->caches(job.image) && !best->caches(job.image))))
         best = host;
@@ -546,19 +557,19 @@
   }
 }
 
-void GangCoordinator::end_attempt(Job& job, const char* why, double now) {
+void GangCoordinator::end_attempt(state::Job& job, const char* why, double now) {
   spdlog::info("gang {} ends attempt {}: {}", job.id, job.gang_progress.attempt, why);
   change_state(job, State::ending, now);
   for (auto* task : tasks_of(job)) end_task(model_, *task);
   if (job.on_hosts == 0) finish_attempt(job, now);
 }
 
-void GangCoordinator::finish_attempt(Job& job, double now) {
+void GangCoordinator::finish_attempt(state::Job& job, double now) {
   auto& gang = job.gang_progress;
   if (gang.completed) return complete(job, now);
   gang.committed = gang.broken = false;
-  gang.tried_at = kNever;
+  gang.tried_at = state::kNever;
   change_state(job, State::waiting, now);
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::placement
--- a/src/engine/planner.cpp
+++ b/src/placement/planner.cpp
@@ -1,14 +1,14 @@
-#include "engine/planner.hpp"
+#include "placement/planner.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "config/constants.hpp"
-#include "engine/preemption.hpp"
+#include "placement/preemption.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::placement {
 
-std::optional<double> aim_s(const config::Settings& settings, const Job& job) {
+std::optional<double> aim_s(const config::Settings& settings, const state::Job& job) {
   if (job.spec.due_s) return job.spec.due_s;
   for (const auto& aim : settings.objectives) {
     if (aim.kind == "finished" && aim.job_class == job.spec.job_class && aim.within_s > 0)
@@ -17,21 +17,21 @@
   return std::nullopt;
 }
 
-bool Planner::usable(const Host& host, double now, const config::Settings& settings) {
+bool Planner::usable(const state::Host& host, double now, const config::Settings& settings) {
   return host.synchronized && !host.unresponsive && host.recorded() && !host.releasing &&
          !host.quarantined && !host.recall_at && !host.has_unknown_jobs &&
          now - host.last_report < settings.silent_after_s();
 }
 
-bool Planner::may_run(const Job& job, const Host& host) {
-  return Model::allowed(job, host) && job.need.fits(host.capacity);
+bool Planner::may_run(const state::Job& job, const state::Host& host) {
+  return state::Model::allowed(job, host) && job.need.fits(host.capacity);
 }
 
-bool Planner::startable(const Task& task, const Host& host, double now) const {
+bool Planner::startable(const state::Task& task, const state::Host& host, double now) const {
   const auto& job = *task.job;
-  return task.phase == Phase::pending && task.not_before <= now && job.failed_until <= now &&
-         !job.cancelled && Model::allowed(job, host) && job.need.fits(host.room()) &&
-         Model::within_quota(job) && model_.recordable(task);
+  return task.phase == state::Phase::pending && task.not_before <= now && job.failed_until <= now &&
+         !job.cancelled && state::Model::allowed(job, host) && job.need.fits(host.room()) &&
+         state::Model::within_quota(job) && model_.recordable(task);
 }
 
 sched::Eligible Planner::eligible() {
@@ -42,18 +42,18 @@
   };
 }
 
-void Planner::forget(Task& task) {
+void Planner::forget(state::Task& task) {
   if (!std::exchange(task.listed, false)) return;
   for (auto& [name, group] : groups_) {
     if (group.remove(task.id)) break;
   }
 }
 
-void Planner::update_worker(Host& host, double now) {
+void Planner::update_worker(state::Host& host, double now) {
   ++steps_;
   if (!usable(host, now, settings_)) return remove_worker(host);
   const auto room = host.room();
-  const auto note = [&host](HostSet& set, bool belongs) {
+  const auto note = [&host](state::HostSet& set, bool belongs) {
     if (belongs) {
       set.insert(&host);
     } else {
@@ -63,9 +63,10 @@
   note(roomy_, model_.least_need().fits(room));
   const auto& least_of_gangs = model_.least_gang_need();
   note(roomy_for_gangs_, least_of_gangs && least_of_gangs->fits(room));
-  const auto in_transit = static_cast<std::size_t>(std::count_if(
-      host.tasks.begin(), host.tasks.end(),
-      [](const Task* task) { return task->phase == Phase::assigned && !task->seen; }));
+  const auto in_transit = static_cast<std::size_t>(
+      std::count_if(host.tasks.begin(), host.tasks.end(), [](const state::Task* task) {
+        return task->phase == state::Phase::assigned && !task->seen;
+      }));
   // Machines of a group are alike; the slots follow from the task at hand.
   const double used_share = host.used.share_of(host.capacity);
   const double per_task =
@@ -88,14 +89,14 @@
   for (auto* host : model_.take_dirty()) update_worker(*host, now);
 }
 
-void Planner::remove_worker(Host& host) {
+void Planner::remove_worker(state::Host& host) {
   roomy_.erase(&host);
   roomy_for_gangs_.erase(&host);
   if (const auto found = groups_.find(group_name(host)); found != groups_.end())
     found->second.remove_worker(host.id);
 }
 
-Planner::QueuePosition Planner::queue_position(const Job& job, double now) const {
+Planner::QueuePosition Planner::queue_position(const state::Job& job, double now) const {
   QueuePosition place{precedence(job), 0, 0,
                       estimates_.run_time(job.spec.job_class, job.spec.expect_s)};
   const auto aim = aim_s(settings_, job);
@@ -137,7 +138,7 @@
   }
 }
 
-void Planner::enlist(const Job& job, const std::vector<Task*>& tasks, double now) {
+void Planner::enlist(const state::Job& job, const std::vector<state::Task*>& tasks, double now) {
   if (tasks.empty()) return;
   std::vector<sched::Queued> block;
   const auto place = queue_position(job, now);
@@ -163,11 +164,11 @@
   best->push_block(block, may);
 }
 
-Planner::Listed Planner::list_block(Job& job, Block& block, double now) {
+Planner::Listed Planner::list_block(state::Job& job, state::Block& block, double now) {
   Listed listed;
-  std::vector<Task*> fresh;
+  std::vector<state::Task*> fresh;
   for (auto& task : block.tasks) {
-    if (task.phase != Phase::pending) continue;
+    if (task.phase != state::Phase::pending) continue;
     ++listed.waiting;
     if (task.listed) continue;
     if (task.not_before <= now) {
@@ -177,15 +178,15 @@
     }
   }
   enlist(job, fresh, now);
-  const auto outside = [](const Task* task) { return !task->listed; };
+  const auto outside = [](const state::Task* task) { return !task->listed; };
   if (std::any_of(fresh.begin(), fresh.end(), outside)) listed.whole = false;
   return listed;
 }
 
-bool Planner::list_job(Job& job, double now) {
+bool Planner::list_job(state::Job& job, double now) {
   std::size_t waiting = 0;
   bool whole = true;
-  const auto list = [&](Block& block) {
+  const auto list = [&](state::Block& block) {
     const auto listed = list_block(job, block, now);
     waiting += listed.waiting;
     whole = whole && listed.whole;
@@ -220,16 +221,16 @@
     }
     sched::Amount taken = host.unrecorded_use;
     for (const auto* other : host.tasks) {
-      if (other->phase == Phase::assigned) taken += other->job->need;
+      if (other->phase == state::Phase::assigned) taken += other->job->need;
     }
     if (!task->job->need.fits(host.capacity - taken)) continue;
     model_.unplan(*task);
-    if (Model::allowed(*task->job, host) && Model::within_quota(*task->job))
+    if (state::Model::allowed(*task->job, host) && state::Model::within_quota(*task->job))
       model_.assign(*task, host, now);
   }
 }
 
-double Planner::score(const Job& job, const Host& host) const {
+double Planner::score(const state::Job& job, const state::Host& host) const {
   const auto* machine_type = model_.machine_type(host.type);
   const double rate = machine_type == nullptr || machine_type->fetch_gb_per_s <= 0
                           ? 1
@@ -243,11 +244,11 @@
   return points;
 }
 
-Host* Planner::best_room(const Job& job) const {
-  Host* best = nullptr;
+state::Host* Planner::best_room(const state::Job& job) const {
+  state::Host* best = nullptr;
   double best_score = 0;
   for (auto* host : roomy_) {
-    if (!job.need.fits(host->room()) || !Model::allowed(job, *host)) continue;
+    if (!job.need.fits(host->room()) || !state::Model::allowed(job, *host)) continue;
     const double points = score(job, *host);
     if (best != nullptr && points <= best_score) continue;
     best = host;
@@ -256,7 +257,8 @@
   return best;
 }
 
-std::optional<Planner::Candidate> Planner::best_displacing(const Job& job, double now) const {
+std::optional<Planner::Candidate> Planner::best_displacing(const state::Job& job,
+                                                           double now) const {
   std::optional<Candidate> best;
   for (const auto& [id, host] : model_.hosts()) {
     if (!usable(*host, now, settings_) || !may_run(job, *host)) continue;
@@ -269,7 +271,7 @@
   return best;
 }
 
-std::optional<Planner::Candidate> Planner::displace(Job& job, double now) {
+std::optional<Planner::Candidate> Planner::displace(state::Job& job, double now) {
   // A search walks through all machines: not often for one job, and few in
   // one round.
   if (now < job.searched_at + constants::kDisplaceEvery ||
@@ -281,7 +283,7 @@
   return place;
 }
 
-void Planner::choose_zone(Job& job, double now) {
+void Planner::choose_zone(state::Job& job, double now) {
   if (!job.spec.together || !job.per_zone.empty() || job.spec.zone) return;
   std::map<std::string, double> free;
   for (const auto& [id, host] : model_.hosts()) {
@@ -302,14 +304,14 @@
   if (best != free.end()) job.zone_choice = best->first;
 }
 
-bool Planner::place_service(Job& job, double now) {
+bool Planner::place_service(state::Job& job, double now) {
   bool left = false;
   for (std::uint32_t number = 0; number < job.block_count; ++number) {
     for (auto& task : model_.load_block(job, number, nullptr).tasks) {
-      if (task.phase != Phase::pending) continue;
+      if (task.phase != state::Phase::pending) continue;
       left = true;
       if (task.not_before > now || !model_.recordable(task)) continue;
-      if (!Model::within_quota(job)) return true;
+      if (!state::Model::within_quota(job)) return true;
       if (auto* host = best_room(job)) {
         model_.assign(task, *host, now);
         continue;
@@ -325,12 +327,12 @@
 }
 
 void Planner::place_direct(double now) {
-  std::vector<Job*> waiting;
+  std::vector<state::Job*> waiting;
   for (auto* job : model_.open()) {
     if (direct(*job) && !job->cancelled && job->failed_until <= now && !job->all_done())
       waiting.push_back(job);
   }
-  std::stable_sort(waiting.begin(), waiting.end(), [](const Job* a, const Job* b) {
+  std::stable_sort(waiting.begin(), waiting.end(), [](const state::Job* a, const state::Job* b) {
     const int x = precedence(*a);
     const int y = precedence(*b);
     return x != y ? x > y : a->submitted < b->submitted;
@@ -345,7 +347,7 @@
   }
 }
 
-bool Planner::start_on(Host& host, double now) {
+bool Planner::start_on(state::Host& host, double now) {
   const auto may = [&](sched::TaskId id) {
     const auto* task = model_.task(id);
     return task != nullptr && startable(*task, host, now);
@@ -370,16 +372,16 @@
   return true;
 }
 
-void Planner::take(Task& task, Host& host, double now) {
+void Planner::take(state::Task& task, state::Host& host, double now) {
   forget(task);
   model_.assign(task, host, now);
 }
 
-std::vector<Host*> Planner::by_fullness() const {
-  std::vector<Host*> hosts(roomy_.begin(), roomy_.end());
+std::vector<state::Host*> Planner::by_fullness() const {
+  std::vector<state::Host*> hosts(roomy_.begin(), roomy_.end());
   // Spot machines first: ordinary room is what services need. Then the fuller
   // ones, so that others become empty and can go.
-  std::stable_sort(hosts.begin(), hosts.end(), [](const Host* a, const Host* b) {
+  std::stable_sort(hosts.begin(), hosts.end(), [](const state::Host* a, const state::Host* b) {
     if (a->spot != b->spot) return a->spot;
     return a->tasks.size() > b->tasks.size();
   });
@@ -394,7 +396,7 @@
     group.each([&](const sched::Queued& entry) { queue.push_back(entry); });
   }
   if (queue.empty()) return;
-  std::map<std::uint32_t, std::vector<Host*>> holders;
+  std::map<std::uint32_t, std::vector<state::Host*>> holders;
   for (auto* host : by_fullness()) {
     ++steps_;
     for (const auto image : host->images) holders[image].push_back(host);
@@ -406,12 +408,13 @@
     const auto found = holders.find(task->job->image);
     if (found == holders.end()) continue;
     auto& hosts = found->second;
-    const auto place = std::find_if(hosts.begin(), hosts.end(),
-                                    [&](const Host* host) { return startable(*task, *host, now); });
+    const auto place = std::find_if(hosts.begin(), hosts.end(), [&](const state::Host* host) {
+      return startable(*task, *host, now);
+    });
     if (place == hosts.end()) {
       // What has no room for this one hardly has any for the next.
-      std::erase_if(hosts,
-                    [&](const Host* host) { return !model_.least_need().fits(host->room()); });
+      std::erase_if(
+          hosts, [&](const state::Host* host) { return !model_.least_need().fits(host->room()); });
       continue;
     }
     take(*task, **place, now);
@@ -426,7 +429,7 @@
   for (auto* host : by_fullness()) {
     ++steps_;
     auto& missed = misses[{group_name(*host), host->spot}];
-    const auto hopeless = [&](const Host& one) {
+    const auto hopeless = [&](const state::Host& one) {
       return std::any_of(missed.begin(), missed.end(),
                          [&](const sched::Amount& room) { return one.room().fits(room); });
     };
@@ -458,12 +461,12 @@
   for (const auto& head : order) {
     if (searches_ >= constants::kDisplaceSearches) return;
     auto* task = model_.task(head.id);
-    if (task == nullptr || task->phase != Phase::pending || task->not_before > now ||
+    if (task == nullptr || task->phase != state::Phase::pending || task->not_before > now ||
         task->job->failed_until > now)
       continue;
     auto& job = *task->job;
     if (!guaranteed(job) && job.spec.priority == wire::Priority::idle) continue;
-    if (!Model::within_quota(job)) continue;
+    if (!state::Model::within_quota(job)) continue;
     const auto place = displace(job, now);
     if (!place) continue;
     forget(*task);
@@ -488,4 +491,4 @@
   update_workers(now);
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::placement
--- a/src/engine/planner.hpp
+++ b/src/placement/planner.hpp
@@ -1,25 +1,26 @@
 // Decides, once per batch of commands, which task goes where.
 #pragma once
 
-#include "engine/estimates.hpp"
-#include "engine/gang_coordinator.hpp"
-#include "engine/model.hpp"
+#include "placement/gang_coordinator.hpp"
+#include "placement/run_time_estimates.hpp"
 #include "sched/group.hpp"
+#include "state/model.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::placement {
 
 class Planner {
  public:
-  Planner(const config::Settings& settings, Model& model, Estimates& estimates,
+  Planner(const config::Settings& settings, state::Model& model, Estimates& estimates,
           GangCoordinator& gangs)
       : settings_(settings), model_(model), estimates_(estimates), gangs_(gangs) {}
 
   void decide(double now);
   /// The task acts as an unrecorded delegate no list any more.
-  void forget(Task& task);
+  void forget(state::Task& task);
   /// The machine takes no tasks, or is about to be forgotten.
-  void remove_worker(Host& host);
-  [[nodiscard]] static bool usable(const Host& host, double now, const config::Settings& settings);
+  void remove_worker(state::Host& host);
+  [[nodiscard]] static bool usable(const state::Host& host, double now,
+                                   const config::Settings& settings);
   [[nodiscard]] const std::map<std::string, sched::Group>& groups() const { return groups_; }
   /// Moves made by equation (1) so far.
   [[nodiscard]] std::size_t moves() const { return moves_; }
@@ -28,9 +29,9 @@
 
  private:
   struct Candidate {
-    Host* host = nullptr;
+    state::Host* host = nullptr;
     double score = 0;
-    std::vector<Task*> victims;
+    std::vector<state::Task*> victims;
   };
 
   /// What is listed of a job acts as an unrecorded delegate the lists like this.
@@ -43,65 +44,65 @@
   /// The largest room for which no startable task was found in this round.
   using Misses = std::map<std::pair<std::string, bool>, std::vector<sched::Amount>>;
 
-  void update_worker(Host& host, double now);
+  void update_worker(state::Host& host, double now);
   void update_workers(double now);
   /// What of a block or job stands in the lists.
   struct Listed {
     std::size_t waiting = 0;  ///< tasks that wait, in the lists or not
     bool whole = true;        ///< none of them waits outside
   };
-  Listed list_block(Job& job, Block& block, double now);
+  Listed list_block(state::Job& job, state::Block& block, double now);
   /// Puts the job's waiting tasks into the lists; true when all are there.
-  bool list_job(Job& job, double now);
+  bool list_job(state::Job& job, double now);
   void queue_blocks(double now);
-  void enlist(const Job& job, const std::vector<Task*>& tasks, double now);
-  [[nodiscard]] QueuePosition queue_position(const Job& job, double now) const;
+  void enlist(const state::Job& job, const std::vector<state::Task*>& tasks, double now);
+  [[nodiscard]] QueuePosition queue_position(const state::Job& job, double now) const;
   void reorder(double now);
   void settle_planned(double now);
   void place_direct(double now);
-  bool place_service(Job& job, double now);
+  bool place_service(state::Job& job, double now);
   /// Machines with room, in the order in which tasks should go there.
-  [[nodiscard]] std::vector<Host*> by_fullness() const;
+  [[nodiscard]] std::vector<state::Host*> by_fullness() const;
   void start_cached(double now);
   void start_heads(double now);
-  void take(Task& task, Host& host, double now);
-  bool start_on(Host& host, double now);
+  void take(state::Task& task, state::Host& host, double now);
+  bool start_on(state::Host& host, double now);
   void relieve_guarantees(double now);
 
-  [[nodiscard]] static bool direct(const Job& job) {
+  [[nodiscard]] static bool direct(const state::Job& job) {
     return job.service() || job.gang() || job.spec.together;
   }
-  [[nodiscard]] bool startable(const Task& task, const Host& host, double now) const;
-  [[nodiscard]] static bool may_run(const Job& job, const Host& host);
+  [[nodiscard]] bool startable(const state::Task& task, const state::Host& host, double now) const;
+  [[nodiscard]] static bool may_run(const state::Job& job, const state::Host& host);
   /// The best machine with room for the job's next task.
-  [[nodiscard]] Host* best_room(const Job& job) const;
+  [[nodiscard]] state::Host* best_room(const state::Job& job) const;
   /// The best one where room can be made by stopping lesser work.
-  [[nodiscard]] std::optional<Candidate> best_displacing(const Job& job, double now) const;
+  [[nodiscard]] std::optional<Candidate> best_displacing(const state::Job& job, double now) const;
   /// As above, unless that was tried a moment ago or can't succeed.
-  [[nodiscard]] std::optional<Candidate> displace(Job& job, double now);
-  [[nodiscard]] double score(const Job& job, const Host& host) const;
-  [[nodiscard]] static std::string group_name(const Host& host) {
+  [[nodiscard]] std::optional<Candidate> displace(state::Job& job, double now);
+  [[nodiscard]] double score(const state::Job& job, const state::Host& host) const;
+  [[nodiscard]] static std::string group_name(const state::Host& host) {
     return host.type + "/" + host.zone;
   }
-  void choose_zone(Job& job, double now);
+  void choose_zone(state::Job& job, double now);
   [[nodiscard]] sched::Eligible eligible();
 
   const config::Settings& settings_;
-  Model& model_;
+  state::Model& model_;
   Estimates& estimates_;
   GangCoordinator& gangs_;
   std::map<std::string, sched::Group> groups_;
-  HostSet roomy_;            ///< usable, with room for the smallest task
-  HostSet roomy_for_gangs_;  ///< and for the smallest task of a gang
+  state::HostSet roomy_;            ///< usable, with room for the smallest task
+  state::HostSet roomy_for_gangs_;  ///< and for the smallest task of a gang
   std::size_t moves_ = 0;
   std::size_t steps_ = 0;
   int searches_ = 0;  ///< for displacements, in this round
-  double next_reorder_ = kNever;
-  double next_review_ = kNever;
+  double next_reorder_ = state::kNever;
+  double next_review_ = state::kNever;
 };
 
 /// Seconds from submission within which the job should be complete, if anybody
 /// says so: its owner, or the users' aims for its class.
-[[nodiscard]] std::optional<double> aim_s(const config::Settings& settings, const Job& job);
+[[nodiscard]] std::optional<double> aim_s(const config::Settings& settings, const state::Job& job);
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::placement
--- a/src/engine/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -1,24 +1,24 @@
-#include "engine/preemption.hpp"
+#include "placement/preemption.hpp"
 
 #include <algorithm>
 
-#include "engine/gang_coordinator.hpp"
+#include "placement/gang_coordinator.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::placement {
 
 using wire::TaskState;
 
-bool guaranteed(const Job& job) {
+bool guaranteed(const state::Job& job) {
   return job.team != nullptr && sched::within_guarantee(*job.team, *job.team_usage + job.need);
 }
 
-int precedence(const Job& job) {
+int precedence(const state::Job& job) {
   return static_cast<int>(job.spec.priority) * 2 + (guaranteed(job) ? 1 : 0);
 }
 
-bool may_stop(const Job& job, const Task& victim) {
+bool may_stop(const state::Job& job, const state::Task& victim) {
   const auto& other = *victim.job;
-  if (victim.phase != Phase::assigned || victim.stopping) return false;
+  if (victim.phase != state::Phase::assigned || victim.stopping) return false;
   const bool higher = other.spec.priority > job.spec.priority;
   const bool lower = other.spec.priority < job.spec.priority;
   if (other.spec.team == job.spec.team) return lower;
@@ -32,26 +32,26 @@
   return lower;
 }
 
-double lost_work(const Task& victim, double now) {
-  if (victim.running_since == kNever) return 0;
+double lost_work(const state::Task& victim, double now) {
+  if (victim.running_since == state::kNever) return 0;
   const auto& spec = victim.job->spec;
   const double lost = spec.checkpoint_every_s > 0 ? spec.save_s : now - victim.running_since;
   return victim.job->gang() ? lost * spec.tasks : lost;
 }
 
-std::optional<std::vector<Task*>> victims(const Job& job, const Host& host,
-                                          const sched::Amount& need, double now) {
-  std::vector<Task*> candidates;
+std::optional<std::vector<state::Task*>> victims(const state::Job& job, const state::Host& host,
+                                                 const sched::Amount& need, double now) {
+  std::vector<state::Task*> candidates;
   for (auto* task : host.tasks) {
     if (may_stop(job, *task)) candidates.push_back(task);
   }
-  std::sort(candidates.begin(), candidates.end(), [&](const Task* a, const Task* b) {
+  std::sort(candidates.begin(), candidates.end(), [&](const state::Task* a, const state::Task* b) {
     const double x = lost_work(*a, now);
     const double y = lost_work(*b, now);
     return x != y ? x < y : a->id < b->id;
   });
   auto room = host.room();
-  std::vector<Task*> chosen;
+  std::vector<state::Task*> chosen;
   for (auto* task : candidates) {
     if (need.fits(room)) break;
     room += task->job->need;
@@ -61,7 +61,8 @@
   return chosen;
 }
 
-bool anything_lesser(const config::Settings& settings, const Model& model, const Job& job) {
+bool anything_lesser(const config::Settings& settings, const state::Model& model,
+                     const state::Job& job) {
   for (int priority = 0; priority < static_cast<int>(job.spec.priority); ++priority) {
     if (model.on_hosts(static_cast<wire::Priority>(priority)) > 0) return true;
   }
@@ -71,12 +72,12 @@
   });
 }
 
-void stop_task(Model& model, Task& task, bool save, double now, double not_before) {
+void stop_task(state::Model& model, state::Task& task, bool save, double now, double not_before) {
   if (task.job->gang() && !task.job->cancelled)
     return stop_gang(model, *task.job, save, now, not_before);
   task.not_before = std::max(task.not_before, not_before);
-  if (task.phase == Phase::planned) return model.unplan(task);
-  if (task.phase != Phase::assigned || task.stopping) return;
+  if (task.phase == state::Phase::planned) return model.unplan(task);
+  if (task.phase != state::Phase::assigned || task.stopping) return;
   if (!task.offered) return model.release(task);  // it never left us
   task.stopping = true;
   model.attention().insert(task.host);
@@ -85,4 +86,4 @@
   task.wind_down_s = worth ? spec.save_s : 0;
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::placement
--- a/src/engine/estimates.hpp
+++ b/src/placement/run_time_estimates.hpp
@@ -8,7 +8,7 @@
 
 #include "config/constants.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::placement {
 
 class Estimates {
  public:
@@ -29,4 +29,4 @@
   std::map<std::string, double> ratios_;
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::placement
--- a/src/engine/host_expiry.cpp
+++ b/src/reconcile/host_expiry.cpp
@@ -1,13 +1,13 @@
-#include "engine/host_expiry.hpp"
+#include "reconcile/host_expiry.hpp"
 
 #include <algorithm>
 
-namespace elmstall::engine {
+namespace elmstall::reconcile {
 namespace {
 
 /// A controller answers machines of its own zone only; one whose zone the
 /// settings don't tell may be of any.
-bool may_be_delegate(const std::string& zone, const Host& host) {
+bool may_be_delegate(const std::string& zone, const state::Host& host) {
   return zone.empty() || zone == host.zone;
 }
 
@@ -33,14 +33,14 @@
   }
 }
 
-void HostExpiry::retire(Host& host) {
+void HostExpiry::retire(state::Host& host) {
   host.retired = true;
   // Nobody may become a zone delegate of its zone without seeing this, and whoever
   // is one already makes it fail. Others don't answer this machine, so their
   // delegations must not: what is refused once for a whole zone's cut would hold up
   // everything else that is to be recorded.
   const auto exclude = [&](const std::string& node, const std::string& zone) {
-    if (may_be_delegate(zone, host)) host.record->absent.push_back(ledger::delegation_key(node));
+    if (may_be_delegate(zone, host)) host.record->absent.push_back(store::delegation_key(node));
   };
   host.record->absent.clear();
   exclude(settings_.node, settings_.zone);
@@ -48,15 +48,15 @@
   group_commit_.mark_dirty(*host.record);
 }
 
-void HostExpiry::revive(Host& host) {
+void HostExpiry::revive(state::Host& host) {
   if (!host.retired || host.record == nullptr) return;
   host.retired = false;
-  host.retired_at = kNever;
+  host.retired_at = state::kNever;
   host.record->absent.clear();
   group_commit_.mark_dirty(*host.record);
 }
 
-bool HostExpiry::excluded(const Host& host, double now) const {
+bool HostExpiry::excluded(const state::Host& host, double now) const {
   const double lease = settings_.lease_over_s();
   // Whoever proved its records current before the retirement was written may
   // have acted as an unrecorded delegate without a record until its leader lease ran out.
@@ -79,7 +79,7 @@
     const double last_touched =
         std::max({host->last_answer, host->last_contact, host->delegated_at});
     const double alive_until = std::max(host->inherited_until, last_touched + lease);
-    if (alive_until == kNever || host->delegated || host->record == nullptr) continue;
+    if (alive_until == state::kNever || host->delegated || host->record == nullptr) continue;
     if (!host->retired) {
       // Ahead of the lease's end, so that all who might answer it know by then.
       const double silent_since = std::max(last_touched, started_);
@@ -88,11 +88,11 @@
     }
     // Written, and the mirror has passed that point without a zone delegate.
     if (!host->record->clean() || mirror_.revision() < host->record->revision) continue;
-    if (host->retired_at == kNever) host->retired_at = now;
+    if (host->retired_at == state::kNever) host->retired_at = now;
     if (now < alive_until || !excluded(*host, now)) continue;
     expired_(*host);
     host->synchronized = false;
   }
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::reconcile
--- a/src/engine/host_expiry.hpp
+++ b/src/reconcile/host_expiry.hpp
@@ -6,26 +6,27 @@
 #include <functional>
 #include <string>
 
-#include "engine/model.hpp"
-#include "ledger/mirror.hpp"
+#include "state/model.hpp"
+#include "store/mirror.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::reconcile {
 
 /// What another controller said of itself.
 struct PeerReadState {
-  std::uint64_t revision = 0;   ///< its copy of the records is at least this far
-  double answered_at = kNever;  ///< it answered no report on its own after this
+  std::uint64_t revision = 0;          ///< its copy of the records is at least this far
+  double answered_at = state::kNever;  ///< it answered no report on its own after this
 };
 
 class HostExpiry {
  public:
   using PeerStates = std::function<PeerReadState(const std::string& peer)>;
-  using Expired = std::function<void(Host&)>;
+  using Expired = std::function<void(state::Host&)>;
 
   /// `started`: when this leadership began. `expired`: called for a host whose
   /// tasks can run nowhere any more.
-  HostExpiry(const config::Settings& settings, const ledger::Mirror& mirror, Model& model,
-             GroupCommit& group_commit, double started, PeerStates read_state, Expired expired)
+  HostExpiry(const config::Settings& settings, const store::Mirror& mirror, state::Model& model,
+             state::GroupCommit& group_commit, double started, PeerStates read_state,
+             Expired expired)
       : settings_(settings),
         mirror_(mirror),
         model_(model),
@@ -40,23 +41,23 @@
   /// To be called when the delegations in the records have changed.
   void update_delegations(double now);
   /// The host was heard: it is not given up.
-  void revive(Host& host);
+  void revive(state::Host& host);
   /// Until then a former leader may have kept leases alive.
   [[nodiscard]] double inherited_until() const;
 
  private:
-  void retire(Host& host);
+  void retire(state::Host& host);
   /// Nobody else may be answering this machine, or did so within a lease.
-  [[nodiscard]] bool excluded(const Host& host, double now) const;
+  [[nodiscard]] bool excluded(const state::Host& host, double now) const;
 
   const config::Settings& settings_;
-  const ledger::Mirror& mirror_;
-  Model& model_;
-  GroupCommit& group_commit_;
+  const store::Mirror& mirror_;
+  state::Model& model_;
+  state::GroupCommit& group_commit_;
   double started_;
   PeerStates read_state_;
   Expired expired_;
   bool any_delegated_ = true;  ///< some machine may have a zone delegate
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::reconcile
--- a/src/engine/queue.hpp
+++ b/src/runtime/command_queue.hpp
@@ -1,27 +1,17 @@
-// The command queue of the one owner of all state.
+// The command queue of a controller: the one owner of all state runs commands in
+// batches, on the event loop's thread.
 #pragma once
 
-#include <cstddef>
 #include <functional>
 #include <memory>
 #include <utility>
 #include <vector>
 
-namespace elmstall::engine {
+#include "runtime/event_loop.hpp"
 
-using Command = std::function<void()>;
+namespace elmstall::runtime {
 
-/// Time, chance and waiting, so that tests can drive the engine.
-class EventLoop {
- public:
-  virtual ~EventLoop() = default;
-  [[nodiscard]] virtual double now() const = 0;   ///< steady, seconds
-  [[nodiscard]] virtual double wall() const = 0;  ///< time of day, seconds since 1970
-  [[nodiscard]] virtual double random() = 0;      ///< in [0, 1)
-  virtual void after(double seconds, std::function<void()> fn) = 0;
-  /// Runs `fn` soon, not from inside the call.
-  virtual void defer(std::function<void()> fn) = 0;
-};
+using Command = std::function<void()>;
 
 /// Commands are taken in batches: all that wait are applied, then what
 /// follows from them is decided once.
@@ -79,24 +69,4 @@
   std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
-/// A wake-up that many may ask for and that comes once.
-class Wake {
- public:
-  Wake(EventLoop& event_loop, CommandQueue& queue) : loop_(event_loop), scope_(queue) {}
-
-  /// Nothing new while one is to come.
-  void after(double seconds, Command command) {
-    if (std::exchange(armed_, true)) return;
-    loop_.after(seconds, scope_.wrap([this, command = std::move(command)] {
-      armed_ = false;
-      command();
-    }));
-  }
-
- private:
-  EventLoop& loop_;
-  CommandScope scope_;
-  bool armed_ = false;
-};
-
-}  // namespace elmstall::engine
+}  // namespace elmstall::runtime
--- a/src/engine/gang.cpp
+++ b/src/state/gang.cpp
@@ -1,6 +1,6 @@
-#include "engine/gang.hpp"
+#include "state/gang.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::state {
 
 bool may_follow(Gang::State from, Gang::State to) {
   using State = Gang::State;
@@ -44,4 +44,4 @@
   return "?";
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::state
--- a/src/engine/gang.hpp
+++ b/src/state/gang.hpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <string>
 
-namespace elmstall::engine {
+namespace elmstall::state {
 
 /// The state of a gang's current attempt.
 struct Gang {
@@ -45,4 +45,4 @@
 [[nodiscard]] bool may_follow(Gang::State from, Gang::State to);
 [[nodiscard]] const char* to_text(Gang::State state);
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::state
--- a/src/engine/group_commit.cpp
+++ b/src/state/group_commit.cpp
@@ -1,4 +1,4 @@
-#include "engine/group_commit.hpp"
+#include "state/group_commit.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,14 +6,14 @@
 
 #include "config/constants.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::state {
 
 namespace k = constants;
-using ledger::Outcome;
+using store::Outcome;
 
-GroupCommit::GroupCommit(const config::Settings& settings, EventLoop& event_loop,
-                         CommandQueue& queue, ledger::Store& store, const ledger::Mirror& mirror,
-                         std::uint64_t term_stamp, Events events)
+GroupCommit::GroupCommit(const config::Settings& settings, runtime::EventLoop& event_loop,
+                         runtime::CommandQueue& queue, store::Store& store,
+                         const store::Mirror& mirror, std::uint64_t term_stamp, Events events)
     : settings_(settings),
       loop_(event_loop),
       store_(store),
@@ -29,7 +29,7 @@
 }
 
 GroupCommit::Record* GroupCommit::add(Record::Kind kind, std::string job,
-                                      std::function<ledger::Packed()> pack) {
+                                      std::function<store::Packed()> pack) {
   auto record = std::make_unique<Record>();
   record->kind = kind;
   record->job = std::move(job);
@@ -41,7 +41,7 @@
 }
 
 GroupCommit::Record* GroupCommit::adopt(Record::Kind kind, std::string job,
-                                        std::function<ledger::Packed()> pack, std::uint32_t slot) {
+                                        std::function<store::Packed()> pack, std::uint32_t slot) {
   auto* record = add(kind, std::move(job), std::move(pack));
   record->revision = slots_[slot].stamp;
   record->slot = slot;
@@ -58,7 +58,7 @@
   dirty_[record.ticket] = &record;
 }
 
-void GroupCommit::discard(Record& record, ledger::Packed last) {
+void GroupCommit::discard(Record& record, store::Packed last) {
   record.remove = true;
   record.job.clear();
   record.absent.clear();
@@ -74,7 +74,7 @@
 // --- building a transaction ------------------------------------------------------
 
 std::size_t GroupCommit::value_limit() const {
-  const auto bytes = ledger::value_bytes(settings_.state_limits().value_kb);
+  const auto bytes = store::value_bytes(settings_.state_limits().value_kb);
   return static_cast<std::size_t>(static_cast<double>(bytes) * scale_);
 }
 
@@ -121,12 +121,12 @@
     if (job->record.cancelled) final.record.state = wire::JobState::cancelled;
     // One change is kept for the log.
     if (pending.txn.writes.size() + 3 > max_ops()) break;
-    auto value = ledger::encode(final.record);
-    pending.txn.guards.push_back({ledger::job_key(id), job->stamp});
-    pending.txn.guards.push_back({ledger::final_key(id), 0});
+    auto value = store::encode(final.record);
+    pending.txn.guards.push_back({store::job_key(id), job->stamp});
+    pending.txn.guards.push_back({store::final_key(id), 0});
     pending.json += value.size() * 2 + 200;
-    pending.txn.writes.push_back({ledger::final_key(id), std::move(value), 0});
-    pending.txn.writes.push_back({ledger::job_key(id), std::nullopt, 0});
+    pending.txn.writes.push_back({store::final_key(id), std::move(value), 0});
+    pending.txn.writes.push_back({store::job_key(id), std::nullopt, 0});
     pending.finals.push_back(id);
   }
   for (const auto& id : over) finished(id);
@@ -150,7 +150,7 @@
   }
 }
 
-void GroupCommit::put(Value& value, Record& record, ledger::Packed packed) {
+void GroupCommit::put(Value& value, Record& record, store::Packed packed) {
   value.json += packed.json;
   value.entries.push_back({record.serial, record.version, packed.json});
   (record.kind == Record::Kind::host ? value.hosts : value.blocks)
@@ -202,9 +202,9 @@
     if (!pending.values.empty() && value.entries.empty()) return;
     const auto known = slots_.find(value.slot);
     pending.txn.guards.push_back(
-        {ledger::slot_key(value.slot), known == slots_.end() ? 0 : known->second.stamp});
-    pending.txn.writes.push_back({ledger::slot_key(value.slot),
-                                  ledger::encode_slot(value.number, value.blocks, value.hosts), 0});
+        {store::slot_key(value.slot), known == slots_.end() ? 0 : known->second.stamp});
+    pending.txn.writes.push_back({store::slot_key(value.slot),
+                                  store::encode_slot(value.number, value.blocks, value.hosts), 0});
     pending.json += value.json + 200;
     pending.values.push_back(std::move(value));
   } while (!all() && pending.txn.writes.size() < max_values() &&
@@ -219,7 +219,7 @@
   const double now = loop_.now();
   if (now < next_commit_) return wake_.after(next_commit_ - now, [this] { flush(); });
   auto pending = std::make_shared<Pending>();
-  pending->txn.guards.push_back({std::string(ledger::kTermKey), term_stamp_});
+  pending->txn.guards.push_back({std::string(store::kTermKey), term_stamp_});
   add_finals(*pending);
   add_values(*pending);
   if (pending->values.empty()) return;
@@ -227,7 +227,7 @@
   pending->sent = now;
   next_commit_ = now + k::kCommitEvery;
   // One change that carries what many wait for goes before any single one.
-  store_.commit(pending->txn, scope_.wrap([this, pending](const ledger::CommitResult& result) {
+  store_.commit(pending->txn, scope_.wrap([this, pending](const store::CommitResult& result) {
     on_result(pending, result);
   }));
 }
@@ -235,7 +235,7 @@
 // --- what became of it -------------------------------------------------------------
 
 void GroupCommit::on_result(const std::shared_ptr<Pending>& pending,
-                            const ledger::CommitResult& result) {
+                            const store::CommitResult& result) {
   busy_ = false;
   switch (result.outcome) {
     case Outcome::ok:
@@ -244,13 +244,13 @@
       const auto failed = [&](const std::string& key) {
         return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
       };
-      if (failed(std::string(ledger::kTermKey))) return events_.deposed();
+      if (failed(std::string(store::kTermKey))) return events_.deposed();
       // The log is ours alone: an earlier transaction, thought lost, was
       // applied after all. All other records change under other hands too,
       // and the watch tells.
       const bool ours =
           std::any_of(pending->values.begin(), pending->values.end(),
-                      [&](const Value& value) { return failed(ledger::slot_key(value.slot)); });
+                      [&](const Value& value) { return failed(store::slot_key(value.slot)); });
       if (ours) return read_back(pending);
       wait_revision_ = std::max(wait_revision_, result.revision);
       return pause(0.05);
@@ -292,26 +292,25 @@
   // One transaction is applied whole or not at all: one of its values tells.
   const auto& first = pending->values.front();
   const auto ask = [this, pending](std::uint32_t slot,
-                                   std::function<void(const ledger::GetResult&)> then) {
-    store_.get(
-        ledger::slot_key(slot),
-        scope_.wrap([this, pending, then = std::move(then)](const ledger::GetResult& result) {
-          if (result.outcome == Outcome::ok || result.outcome == Outcome::missing)
-            return then(result);
-          loop_.after(k::kStateRetry, scope_.wrap([this, pending] { read_back(pending); }));
-        }));
+                                   std::function<void(const store::GetResult&)> then) {
+    store_.get(store::slot_key(slot),
+               scope_.wrap([this, pending, then = std::move(then)](const store::GetResult& result) {
+                 if (result.outcome == Outcome::ok || result.outcome == Outcome::missing)
+                   return then(result);
+                 loop_.after(k::kStateRetry, scope_.wrap([this, pending] { read_back(pending); }));
+               }));
   };
-  ask(first.slot, [this, pending, ask](const ledger::GetResult& result) {
+  ask(first.slot, [this, pending, ask](const store::GetResult& result) {
     const auto& value = pending->values.front();
     if (result.outcome == Outcome::ok &&
-        ledger::decode_slot(result.entry.value).number == value.number) {
+        store::decode_slot(result.entry.value).number == value.number) {
       busy_ = false;
       return succeed(*pending, result.entry.stamp);
     }
     // Not applied. Learn the versions that an older copy may have left.
     auto left = std::make_shared<std::size_t>(pending->values.size());
     for (const auto& one : pending->values) {
-      ask(one.slot, [this, left, slot = one.slot](const ledger::GetResult& found) {
+      ask(one.slot, [this, left, slot = one.slot](const store::GetResult& found) {
         const bool present = found.outcome == Outcome::ok;
         if (present || slots_.contains(slot)) slots_[slot].stamp = present ? found.entry.stamp : 0;
         if (--*left == 0) pause(0.05);
@@ -382,4 +381,4 @@
   records_.erase(record.serial);
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::state
--- a/src/engine/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -17,11 +17,11 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "engine/queue.hpp"
-#include "ledger/mirror.hpp"
-#include "ledger/store.hpp"
+#include "runtime/coalescing_timer.hpp"
+#include "store/mirror.hpp"
+#include "store/state_store.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::state {
 
 class GroupCommit {
  public:
@@ -31,7 +31,7 @@
     enum class Kind : std::uint8_t { block, host };
     Kind kind = Kind::block;
     std::string job;  ///< of a block: written only while that job's record is there
-    std::function<ledger::Packed()> pack;
+    std::function<store::Packed()> pack;
     std::uint64_t version = 0;
     std::uint64_t written = 0;
     std::uint64_t revision = 0;  ///< at which `written` was committed, 0: never
@@ -50,7 +50,7 @@
   /// The final state of a job, written together with the removal of its record.
   struct Finalization {
     std::string job;
-    ledger::FinalRecord record;
+    store::FinalRecord record;
     std::vector<Record*> blocks;
   };
   struct Events {
@@ -60,19 +60,19 @@
     std::function<void(double sent)> confirmed;
   };
 
-  GroupCommit(const config::Settings& settings, EventLoop& event_loop, CommandQueue& queue,
-              ledger::Store& store, const ledger::Mirror& mirror, std::uint64_t term_stamp,
-              Events events);
+  GroupCommit(const config::Settings& settings, runtime::EventLoop& event_loop,
+              runtime::CommandQueue& queue, store::Store& store, const store::Mirror& mirror,
+              std::uint64_t term_stamp, Events events);
 
   /// An entry that is not in the log yet.
-  Record* add(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack);
+  Record* add(Record::Kind kind, std::string job, std::function<store::Packed()> pack);
   /// An entry that the log has in this slot.
-  Record* adopt(Record::Kind kind, std::string job, std::function<ledger::Packed()> pack,
+  Record* adopt(Record::Kind kind, std::string job, std::function<store::Packed()> pack,
                 std::uint32_t slot);
   void mark_dirty(Record& record);
   /// Says that the entry is gone and forgets it; the pointer is not to be used
   /// again. `last`: its last packed form.
-  void discard(Record& record, ledger::Packed last);
+  void discard(Record& record, store::Packed last);
   void finish(Finalization final);
   [[nodiscard]] bool finishing(const std::string& job) const { return finals_.contains(job); }
   /// Sends the next transaction, if there is one and none is in flight.
@@ -117,9 +117,9 @@
   /// Puts in what is live in the slot; false if that leaves too little room.
   bool carry(Pending& pending, Value& value);
   void fill(Pending& pending, Value& value, std::map<std::uint64_t, Record*>::iterator& next);
-  static void put(Value& value, Record& record, ledger::Packed packed);
+  static void put(Value& value, Record& record, store::Packed packed);
   void add_values(Pending& pending);
-  void on_result(const std::shared_ptr<Pending>& pending, const ledger::CommitResult& result);
+  void on_result(const std::shared_ptr<Pending>& pending, const store::CommitResult& result);
   /// The service called it malformed: the next ones are smaller.
   void shrink(const Pending& pending);
   /// After many accepted ones they may be larger again.
@@ -133,12 +133,12 @@
   void finished(const std::string& job);
 
   const config::Settings& settings_;
-  EventLoop& loop_;
-  ledger::Store& store_;
-  const ledger::Mirror& mirror_;
+  runtime::EventLoop& loop_;
+  store::Store& store_;
+  const store::Mirror& mirror_;
   std::uint64_t term_stamp_;
   Events events_;
-  CommandScope scope_;
+  runtime::CommandScope scope_;
   std::map<std::uint64_t, std::unique_ptr<Record>> records_;  ///< by serial
   std::map<std::uint64_t, Record*> dirty_;  ///< by ticket: first come, first written
   std::map<std::string, Finalization> finals_;
@@ -149,9 +149,9 @@
   bool busy_ = false;
   double scale_ = 1;  ///< of the limits that transactions keep to
   int accepted_ = 0;  ///< since that was last changed
-  Wake wake_;
+  runtime::CoalescingTimer wake_;
   double next_commit_ = -1e18;
   std::uint64_t wait_revision_ = 0;  ///< not before the mirror is this far
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::state
--- a/src/engine/model.cpp
+++ b/src/state/model.cpp
@@ -1,11 +1,11 @@
-#include "engine/model.hpp"
+#include "state/model.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "config/constants.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::state {
 namespace {
 
 constexpr int kIndexBits = 20;  // more than the 100,000 tasks a job may have
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Job& Model::add_job(const std::string& id, const ledger::JobRecord& record, double submitted) {
+Job& Model::add_job(const std::string& id, const store::JobRecord& record, double submitted) {
   auto job = std::make_unique<Job>();
   job->id = id;
   job->serial = next_serial_++;
@@ -21,7 +21,7 @@
   job->need = {record.spec.cpus, record.spec.gpus, record.spec.memory_gb};
   job->cancelled = record.cancelled;
   job->submitted = submitted;
-  const auto size = ledger::block_size(settings_.state.value_kb);
+  const auto size = store::block_size(settings_.state.value_kb);
   job->block_count = (record.spec.tasks + size - 1) / size;
   job->team = settings_.team(record.spec.team);
   job->team_usage = &usage_[record.spec.team];
@@ -65,17 +65,17 @@
 
 Task* Model::task(Job& job, std::uint32_t index) {
   if (index >= job.spec.tasks) return nullptr;
-  const auto size = ledger::block_size(settings_.state.value_kb);
+  const auto size = store::block_size(settings_.state.value_kb);
   auto& block = load_block(job, index / size, nullptr);
   return block.all_done() ? nullptr : &block.tasks[index - block.first];
 }
 
-Block& Model::load_block(Job& job, std::uint32_t number, const ledger::Mirror::Block* stored) {
+Block& Model::load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored) {
   auto& slot = job.blocks[number];
   if (slot) return *slot;
   slot = std::make_unique<Block>();
   auto& block = *slot;
-  const auto size = ledger::block_size(settings_.state.value_kb);
+  const auto size = store::block_size(settings_.state.value_kb);
   block.job = &job;
   block.number = number;
   block.first = number * size;
@@ -103,7 +103,7 @@
     }
   }
   const auto pack = [&block] {
-    return ledger::pack(ledger::BlockEntry{block.job->id, block.number, record_of(block)});
+    return store::pack(store::BlockEntry{block.job->id, block.number, record_of(block)});
   };
   block.record =
       stored == nullptr
@@ -112,8 +112,8 @@
   return block;
 }
 
-ledger::BlockRecord Model::record_of(const Block& block) {
-  ledger::BlockRecord record;
+store::BlockRecord Model::record_of(const Block& block) {
+  store::BlockRecord record;
   record.done = block.done;
   for (const auto& task : block.tasks) {
     // An attempt number must never be used twice, so it outlives its host.
@@ -146,7 +146,7 @@
   dirty_.erase(found->second.get());
   attention_.erase(found->second.get());
   if (found->second->record != nullptr)
-    group_commit_.discard(*found->second->record, ledger::pack(ledger::HostEntry{id, true, {}}));
+    group_commit_.discard(*found->second->record, store::pack(store::HostEntry{id, true, {}}));
   hosts_.erase(found);
 }
 
@@ -377,4 +377,4 @@
   return job.team != nullptr && sched::within_limit(*job.team, *job.team_usage + job.need);
 }
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::state
--- a/src/engine/model.hpp
+++ b/src/state/model.hpp
@@ -14,12 +14,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "engine/gang.hpp"
-#include "engine/group_commit.hpp"
 #include "sched/group.hpp"
 #include "sched/resources.hpp"
+#include "state/gang.hpp"
+#include "state/group_commit.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::state {
 
 inline constexpr double kNever = -std::numeric_limits<double>::infinity();
 
@@ -199,9 +199,9 @@
   Model(const config::Settings& settings, GroupCommit& group_commit)
       : settings_(settings),
         group_commit_(group_commit),
-        max_started_tasks_(ledger::max_started_tasks(settings.state_limits().value_kb)) {}
+        max_started_tasks_(store::max_started_tasks(settings.state_limits().value_kb)) {}
 
-  Job& add_job(const std::string& id, const ledger::JobRecord& record, double submitted);
+  Job& add_job(const std::string& id, const store::JobRecord& record, double submitted);
   void remove_job(const std::string& id);
   [[nodiscard]] Job* job(const std::string& id);
   [[nodiscard]] Job* job_of(sched::TaskId id);
@@ -210,7 +210,7 @@
   [[nodiscard]] Task* task(sched::TaskId id);
   /// The task, its block brought into memory if need be.
   [[nodiscard]] Task* task(Job& job, std::uint32_t index);
-  Block& load_block(Job& job, std::uint32_t number, const ledger::Mirror::Block* stored);
+  Block& load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored);
 
   Host& host(const std::string& id);
   [[nodiscard]] Host* find_host(const std::string& id);
@@ -285,7 +285,7 @@
   void mark_dirty(Task& task);
   void include_need(const Job& job);
   void include_gang_need(const Job& job);
-  [[nodiscard]] static ledger::BlockRecord record_of(const Block& block);
+  [[nodiscard]] static store::BlockRecord record_of(const Block& block);
 
   const config::Settings& settings_;
   GroupCommit& group_commit_;
@@ -308,4 +308,4 @@
   std::set<std::string> released_;
 };
 
-}  // namespace elmstall::engine
+}  // namespace elmstall::state
--- a/src/ledger/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -1,10 +1,10 @@
-#include "ledger/mirror.hpp"
+#include "store/mirror.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include "config/constants.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 
 void Mirror::restart() {
   listed_ = false;
@@ -209,4 +209,4 @@
   return status;
 }
 
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/src/ledger/mirror.hpp
+++ b/src/store/mirror.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "ledger/records.hpp"
+#include "store/records.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 
 class Mirror {
  public:
@@ -102,4 +102,4 @@
   std::deque<std::string> final_order_;
 };
 
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/src/ledger/records.cpp
+++ b/src/store/records.cpp
@@ -1,11 +1,11 @@
-#include "ledger/records.hpp"
+#include "store/records.hpp"
 
 #include <algorithm>
 #include <charconv>
 
 #include "config/constants.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 namespace {
 
 constexpr std::string_view kJobs = "elm/l/job/";
@@ -269,4 +269,4 @@
   return size;
 }
 
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/src/ledger/records.hpp
+++ b/src/store/records.hpp
@@ -9,7 +9,7 @@
 
 #include "wire/types.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 
 // Everything lies under one prefix, so that one watch sees it all in order.
 // Live records have a prefix of their own: recovery reads only these, and
@@ -149,4 +149,4 @@
 /// Tasks per block: a full block takes less than half of one value.
 [[nodiscard]] std::uint32_t block_size(double value_kb);
 
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/src/ledger/store.hpp
+++ b/src/store/state_store.hpp
@@ -7,7 +7,7 @@
 
 #include "wire/types.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 
 enum class Outcome : std::uint8_t {
   ok,
@@ -56,4 +56,4 @@
   virtual void renew(std::uint64_t lease, std::function<void(Outcome)> done) = 0;
 };
 
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/src/ledger/state_client.cpp
+++ b/src/store/state_store_client.cpp
@@ -1,10 +1,10 @@
-#include "ledger/state_client.hpp"
+#include "store/state_store_client.hpp"
 
 #include <algorithm>
 
 #include "config/constants.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 namespace {
 
 /// Answers are decoded where they arrive; one that can't be read counts as
@@ -198,4 +198,4 @@
   submit({0, {}, std::move(send), [done] { done(Outcome::unavailable); }});
 }
 
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/src/ledger/state_client.hpp
+++ b/src/store/state_store_client.hpp
@@ -5,10 +5,10 @@
 #include <asio.hpp>
 #include <deque>
 
-#include "ledger/store.hpp"
 #include "net/http_client.hpp"
+#include "store/state_store.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 
 struct RateShare {
   double requests_per_s = 1;
@@ -58,4 +58,4 @@
   std::deque<Job> queue_;
 };
 
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <string_view>
 
-#include "ledger/records.hpp"
-#include "mesh/messages.hpp"
+#include "peer/messages.hpp"
+#include "store/records.hpp"
 
 namespace elmstall {
 namespace {
@@ -23,14 +23,14 @@
 template <typename Decode>
 void expect_unchanged(std::string_view digits, Decode&& decode) {
   const auto stored = from_hex(digits);
-  EXPECT_EQ(ledger::encode(decode(stored)), stored);
+  EXPECT_EQ(store::encode(decode(stored)), stored);
 }
 
 TEST(StoredRecords, OfEarlierBuildsAreReadAndWrittenAlike) {
-  expect_unchanged("81a16e29", ledger::decode_term);
-  expect_unchanged("83a46e6f6465a66e6f64652d31a3696e63a437372f32a47465726d29", ledger::decode_lead);
-  expect_unchanged("81a47a6f6e65a161", ledger::decode_delegation);
-  expect_unchanged("82a57374617465a977697468647261776ea57461736b7310", ledger::decode_final);
+  expect_unchanged("81a16e29", store::decode_term);
+  expect_unchanged("83a46e6f6465a66e6f64652d31a3696e63a437372f32a47465726d29", store::decode_lead);
+  expect_unchanged("81a47a6f6e65a161", store::decode_delegation);
+  expect_unchanged("82a57374617465a977697468647261776ea57461736b7310", store::decode_final);
 }
 
 TEST(StoredRecords, AJobKeepsItsFields) {
@@ -41,7 +41,7 @@
       "74746572c3a76c6f616e657273c3a662756e646c65a6696d672d3037a770756c6c5f6762cb4018cccccccccc"
       "cda86578706563745f73ccf0ac6d61726b5f65766572795f731ea66d61726b5f7304a56475655f73cd0384a9"
       "63616e63656c6c6564c3a26174cb40934a0000000000";
-  const auto job = ledger::decode_job(from_hex(kStored));
+  const auto job = store::decode_job(from_hex(kStored));
   EXPECT_EQ(job.spec.id, "job-000412");
   EXPECT_EQ(job.spec.job_class, "train");
   EXPECT_EQ(job.spec.team, "vision");
@@ -50,7 +50,7 @@
   EXPECT_EQ(job.spec.zone, "a");
   EXPECT_TRUE(job.spec.spread);
   EXPECT_TRUE(job.cancelled);
-  EXPECT_EQ(ledger::encode(job), from_hex(kStored));
+  EXPECT_EQ(store::encode(job), from_hex(kStored));
 }
 
 TEST(StoredRecords, ALogValueKeepsBlocksAndHosts) {
@@ -58,7 +58,7 @@
       "83a16e09a1629195aa6a6f622d3030303431320103a13192932102ab686f73742d303030323331932201a0a1"
       "689295ab686f73742d303030323331af31302e312e302e3233323a39303030a26738a1610391ab686f73742d"
       "303030303037";
-  const auto slot = ledger::decode_slot(from_hex(kStored));
+  const auto slot = store::decode_slot(from_hex(kStored));
   ASSERT_EQ(slot.blocks.size(), 1U);
   ASSERT_EQ(slot.hosts.size(), 2U);
   EXPECT_EQ(slot.blocks[0].record.done, (std::vector<bool>{true, false, false}));
@@ -66,8 +66,8 @@
   EXPECT_TRUE(slot.hosts[0].record.retired);
   EXPECT_TRUE(slot.hosts[1].removed);
   EXPECT_EQ(
-      ledger::encode_slot(slot.number, {ledger::pack(slot.blocks[0]).bytes},
-                          {ledger::pack(slot.hosts[0]).bytes, ledger::pack(slot.hosts[1]).bytes}),
+      store::encode_slot(slot.number, {store::pack(slot.blocks[0]).bytes},
+                         {store::pack(slot.hosts[0]).bytes, store::pack(slot.hosts[1]).bytes}),
       from_hex(kStored));
 }
 
@@ -81,9 +81,9 @@
         std::string_view("01020000000700000000000000c80000000600000000000000616e73776572"),
         std::string_view("01030000000a000000000000006a6f622d303030343132")}) {
     const auto bytes = from_hex(sent);
-    EXPECT_EQ(mesh::encode(mesh::decode(bytes)), bytes) << sent;
+    EXPECT_EQ(peer::encode(peer::decode(bytes)), bytes) << sent;
   }
-  const auto heartbeat = std::get<mesh::Heartbeat>(mesh::decode(from_hex(
+  const auto heartbeat = std::get<peer::Heartbeat>(peer::decode(from_hex(
       "010000000006000000000000006e6f64652d31290000000000000006000000000000006e6f64652d32010000"
       "02000000000000000000000000f83f")));
   EXPECT_EQ(heartbeat.node, "node-1");
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "app/controller.hpp"
+#include "config/endpoint.hpp"
 #include "net/http_client.hpp"
 #include "support/http_fronts.hpp"
 #include "support/jobs.hpp"
@@ -39,7 +40,8 @@
           settings.peers.push_back({"node-" + std::to_string(j), settings.zones[j % 2], mesh[j]});
       }
       settings_.push_back(settings);
-      clients_.push_back(std::make_unique<net::HttpClient>(io_, net::parse_endpoint(api[i]), 16));
+      clients_.push_back(
+          std::make_unique<net::HttpClient>(io_, config::parse_endpoint(api[i]), 16));
       controllers_.push_back(std::make_unique<app::Controller>(io_, settings_.back()));
     }
     world_.carry = [this](std::size_t node, net::Request request, net::Responder respond) {
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -34,8 +34,8 @@
   // Nothing of it is left but the last word.
   ASSERT_NE(world.leader(), nullptr);
   EXPECT_EQ(world.leader()->mirror().blocks("job-1"), nullptr);
-  EXPECT_TRUE(world.state.items().contains(ledger::final_key("job-1")));
-  EXPECT_FALSE(world.state.items().contains(ledger::job_key("job-1")));
+  EXPECT_TRUE(world.state.items().contains(store::final_key("job-1")));
+  EXPECT_FALSE(world.state.items().contains(store::job_key("job-1")));
 }
 
 TEST(Engine, AServiceRunsInBothZonesUntilItIsCancelled) {
--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -63,8 +63,8 @@
   world.expect(job);
   world.rules.told_accepted(world.loop.now(), job.id);
   wire::Txn txn;
-  txn.writes = {{ledger::job_key(job.id), ledger::encode(ledger::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(txn).outcome, ledger::Outcome::ok);
+  txn.writes = {{store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
+  ASSERT_EQ(world.state.commit(txn).outcome, store::Outcome::ok);
   world.run_until(40);
   ASSERT_EQ(placed(world, "job-1"), 2U);
   world.lower_state_limits();
@@ -100,8 +100,8 @@
   auto job = array(1, 2);
   for (int i = 0; i < 80; ++i) job.types.push_back("m12");
   wire::Txn txn;
-  txn.writes = {{ledger::job_key(job.id), ledger::encode(ledger::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(txn).outcome, ledger::Outcome::ok);
+  txn.writes = {{store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
+  ASSERT_EQ(world.state.commit(txn).outcome, store::Outcome::ok);
   world.run_until(8);
   wire::Packer packer;
   wire::pack_job(packer, job);
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -89,7 +89,8 @@
   ASSERT_EQ(world.last_told("job-2"), JobState::done);
   const auto starts = world.rules.starts();
   EXPECT_EQ(starts, 2U);
-  EXPECT_EQ(worker->direct(token, session, {order}).outcome, fleet::OrdersResult::Outcome::refused);
+  EXPECT_EQ(worker->direct(token, session, {order}).outcome,
+            clients::OrdersResult::Outcome::refused);
   world.run_until(60);
   EXPECT_EQ(world.rules.starts(), starts);
   expect_rules(world);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -19,18 +19,18 @@
   return job;
 }
 
-engine::Job* job_at_leader(World& world, const std::string& id) {
+state::Job* job_at_leader(World& world, const std::string& id) {
   auto* node = world.leader();
   return node == nullptr ? nullptr : node->leader()->model().job(id);
 }
 
-engine::Gang::State state_of(World& world, const std::string& id) {
+state::Gang::State state_of(World& world, const std::string& id) {
   const auto* job = job_at_leader(world, id);
-  return job == nullptr ? engine::Gang::State::done : job->gang_progress.state;
+  return job == nullptr ? state::Gang::State::done : job->gang_progress.state;
 }
 
 /// Until the gang is in this state; false if that took too long.
-bool wait_for(World& world, const std::string& id, engine::Gang::State state, double most = 60) {
+bool wait_for(World& world, const std::string& id, state::Gang::State state, double most = 60) {
   for (const double end = world.loop.now() + most; world.loop.now() < end;) {
     if (state_of(world, id) == state) return true;
     world.run_until(world.loop.now() + 0.02);
@@ -45,8 +45,7 @@
   if (job == nullptr) return 0;
   for (const auto& [number, block] : job->blocks) {
     for (const auto& task : block->tasks) {
-      if (task.phase == engine::Phase::assigned && task.state == wire::TaskState::gathering)
-        ++count;
+      if (task.phase == state::Phase::assigned && task.state == wire::TaskState::gathering) ++count;
     }
   }
   return count;
@@ -55,7 +54,7 @@
 TEST(Gang, AllTasksCompleteWithTheFirst) {
   World world(801);
   world.submit(gang(1, 6));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   EXPECT_EQ(world.rules.present("job-1"), 6U);
   world.run_until(world.loop.now() + 60);
   EXPECT_EQ(told(world, "job-1"), JobState::done);
@@ -76,7 +75,7 @@
   for (double t = 1; t < 60 && world.gangs.begun() == 0; t += 0.01) {
     world.run_until(t);
     auto* job = job_at_leader(world, "job-1");
-    if (job == nullptr || job->gang_progress.state != engine::Gang::State::starting) continue;
+    if (job == nullptr || job->gang_progress.state != state::Gang::State::starting) continue;
     bool offered = false;
     bool unwritten = false;
     for (const auto& [number, block] : job->blocks) {
@@ -110,9 +109,9 @@
   spare.cpus = 1;
   spare.gpus = 0;
   world.submit(spare);
-  ASSERT_TRUE(wait_for(world, "job-2", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-2", state::Gang::State::running));
   world.submit(gang(1, 4));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::starting));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::starting));
   // The last machine of the four that never gets its image.
   auto& job = *job_at_leader(world, "job-1");
   auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].host->id).get();
@@ -123,7 +122,7 @@
   ASSERT_GT(gathering(world, "job-1"), 0U);
   const auto attempt = job.gang_progress.attempt;
   last->die();
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   EXPECT_EQ(job_at_leader(world, "job-1")->gang_progress.attempt, attempt);
   EXPECT_EQ(world.gangs.failed(), 0U);
   expect_rules(world);
@@ -134,14 +133,14 @@
   world.settings.gang_wait_s = 9;
   for (std::size_t i = 0; i < world.node_count(); ++i) world.set_gang_wait(i, 9);
   world.submit(gang(1, 4));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::starting));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::starting));
   auto& job = *job_at_leader(world, "job-1");
   const auto attempt = job.gang_progress.attempt;
   auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].host->id).get();
   last->hang(100);
   world.run_until(world.loop.now() + 5);
   last->die();
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running, 120));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running, 120));
   EXPECT_GT(job_at_leader(world, "job-1")->gang_progress.attempt, attempt);
   expect_rules(world);
 }
@@ -149,10 +148,10 @@
 TEST(Gang, ALostMachineEndsTheAttemptAndTheNextGoesOnFromTheCheckpoint) {
   World world(805);
   world.submit(gang(1, 4, 40));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   world.run_until(world.loop.now() + 12);
   worker_of(world, "job-1")->die();
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::ending));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::ending));
   EXPECT_EQ(world.gangs.progress("job-1"), 10);
   world.run_until(world.loop.now() + 120);
   EXPECT_EQ(told(world, "job-1"), JobState::done);
@@ -164,7 +163,7 @@
   World world(806);
   world.settings.gang_peer_s = 2;
   world.submit(gang(1, 4, 30));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   worker_of(world, "job-1")->hang(5);
   world.run_until(world.loop.now() + 120);
   EXPECT_EQ(told(world, "job-1"), JobState::done);
@@ -178,12 +177,12 @@
   auto job = gang(1, 4, 60);
   job.priority = wire::Priority::idle;
   world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   world.run_until(world.loop.now() + 7);
   auto urgent = service(2, 1);
   urgent.spread = false;
   world.submit(urgent);
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::stopping));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping));
   world.run_until(world.loop.now() + 10);
   EXPECT_EQ(world.gangs.saved(), 1U);
   EXPECT_EQ(world.gangs.failed(), 0U);
@@ -198,7 +197,7 @@
   auto job = gang(1, 4, 60);
   job.spot = true;
   world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   world.run_until(world.loop.now() + seconds);
 }
 
@@ -206,7 +205,7 @@
   World world(808);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->recall_at = world.loop.now() + 20;
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::stopping));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping));
   world.run_until(world.loop.now() + 6);
   EXPECT_EQ(world.gangs.saved(), 1U);
   expect_rules(world);
@@ -216,7 +215,7 @@
   World world(809);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->recall_at = world.loop.now() + 2;
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::ending));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::ending));
   world.run_until(world.loop.now() + 5);
   EXPECT_EQ(world.gangs.saved(), 0U);
   EXPECT_EQ(world.gangs.progress("job-1"), 5);
@@ -229,14 +228,14 @@
   auto job = gang(1, 4, 60);
   job.priority = wire::Priority::idle;
   world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   world.run_until(world.loop.now() + 7);
   auto urgent = service(2, 1);
   urgent.spread = false;
   // The first command that reaches a machine is the last of this leader.
   bool stopping = false;
   world.on_orders = [&] {
-    if (stopping || state_of(world, "job-1") != engine::Gang::State::stopping) return;
+    if (stopping || state_of(world, "job-1") != state::Gang::State::stopping) return;
     stopping = true;
     world.loop.after(0.0005, [&world] { world.crash(leader_index(world), 8); });
   };
@@ -266,14 +265,14 @@
 TEST(Gang, OneThatSavesAtAFormerLeadersCommandIsStoppedWhole) {
   World world(815);
   world.submit(gang(1, 4, 60));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   world.run_until(world.loop.now() + 7);
   auto& leader = *world.leader()->leader();
   const auto& task = job_at_leader(world, "job-1")->blocks.begin()->second->tasks[0];
   (void)world.workers.at(task.host->id)
       ->direct(leader.token() + task.host->fence, task.host->session,
                {{wire::Verb::stop, "job-1", 0, task.attempt, 2}});
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::stopping, 5));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping, 5));
   world.run_until(world.loop.now() + 4);
   EXPECT_EQ(world.gangs.saved(), 1U);
   EXPECT_EQ(world.gangs.failed(), 0U);
@@ -284,15 +283,15 @@
 TEST(Gang, ATakeoverInItsSecondAttemptGoesOnWithThat) {
   World world(814);
   world.submit(gang(1, 4, 200));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   world.run_until(world.loop.now() + 6);
   worker_of(world, "job-1")->die();
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::ending));
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running, 120));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::ending));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running, 120));
   world.crash(leader_index(world), 8);
   world.run_until(world.loop.now() + 15);
   EXPECT_EQ(job_at_leader(world, "job-1")->gang_progress.attempt, 2U);
-  EXPECT_EQ(state_of(world, "job-1"), engine::Gang::State::running);
+  EXPECT_EQ(state_of(world, "job-1"), state::Gang::State::running);
   EXPECT_EQ(world.gangs.failed(), 1U) << "the loss, not the takeover";
   expect_rules(world);
 }
@@ -309,7 +308,7 @@
     auto* node = world.leader();
     if (crashed || node == nullptr) return;
     auto* job = node->leader()->model().job("job-1");
-    if (job == nullptr || job->gang_progress.state != engine::Gang::State::starting) return;
+    if (job == nullptr || job->gang_progress.state != state::Gang::State::starting) return;
     crashed = true;
     world.loop.after(0, [&world] { world.crash(leader_index(world), 5); });
   };
@@ -327,7 +326,7 @@
   auto job = gang(1, 4, 40);
   job.together = true;
   world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", engine::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
   world.run_until(world.loop.now() + 6);
   // What is cut off keeps its zone until its lease is over.
   auto* lost = worker_of(world, "job-1");
@@ -394,13 +393,13 @@
 }
 
 TEST(GangStates, OnlyTheListedOnesFollowEachOther) {
-  using State = engine::Gang::State;
-  EXPECT_TRUE(engine::may_follow(State::waiting, State::starting));
-  EXPECT_TRUE(engine::may_follow(State::stopping, State::waiting));
-  EXPECT_FALSE(engine::may_follow(State::waiting, State::running));
-  EXPECT_FALSE(engine::may_follow(State::ending, State::starting));
-  EXPECT_FALSE(engine::may_follow(State::running, State::waiting));
-  EXPECT_FALSE(engine::may_follow(State::done, State::waiting));
+  using State = state::Gang::State;
+  EXPECT_TRUE(state::may_follow(State::waiting, State::starting));
+  EXPECT_TRUE(state::may_follow(State::stopping, State::waiting));
+  EXPECT_FALSE(state::may_follow(State::waiting, State::running));
+  EXPECT_FALSE(state::may_follow(State::ending, State::starting));
+  EXPECT_FALSE(state::may_follow(State::running, State::waiting));
+  EXPECT_FALSE(state::may_follow(State::done, State::waiting));
 }
 
 }  // namespace
--- a/tests/group_commit_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -1,15 +1,15 @@
 // The ledger log: whatever gets lost, late or twice on the way to the state
 // service, what a new leader would read is what this leader counts as written.
-#include "engine/group_commit.hpp"
+#include "state/group_commit.hpp"
 
 #include <gtest/gtest.h>
 
 #include "support/fake_state.hpp"
 
-namespace elmstall::engine {
+namespace elmstall::state {
 namespace {
 
-using ledger::BlockEntry;
+using store::BlockEntry;
 using Kind = GroupCommit::Record::Kind;
 
 /// One leader's group commit over the plain state service, with blocks whose
@@ -30,7 +30,7 @@
     settings_.state.value_kb = 1;
     settings_.state.txn_ops = 8;
     wire::Txn txn;
-    txn.writes = {{std::string(ledger::kTermKey), ledger::encode(ledger::TermRecord{1}), 0}};
+    txn.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{1}), 0}};
     state_.commit(txn);
     refresh();
     group_commit_ = std::make_unique<GroupCommit>(
@@ -41,22 +41,22 @@
 
   void refresh() {
     mirror_.restart();
-    mirror_.load(state_.list(std::string(ledger::kLive), "", 1'000'000).listing);
+    mirror_.load(state_.list(std::string(store::kLive), "", 1'000'000).listing);
   }
   Block& add_block(int job) {
     const std::string id = "job-" + std::to_string(job);
-    ledger::JobRecord record;
+    store::JobRecord record;
     record.spec.id = id;
     record.spec.job_class = record.spec.team = "x";
     record.spec.image = "i";
     wire::Txn txn;
-    txn.writes = {{ledger::job_key(id), ledger::encode(record), 0}};
+    txn.writes = {{store::job_key(id), store::encode(record), 0}};
     state_.commit(txn);
     refresh();
     auto& block = blocks_[id];
     block.entry = {id, 0, {{false, false}, {{0, 0, "host-1"}}}};
     block.record =
-        group_commit_->add(Kind::block, id, [&block] { return ledger::pack(block.entry); });
+        group_commit_->add(Kind::block, id, [&block] { return store::pack(block.entry); });
     return block;
   }
   void change(Block& block) {
@@ -80,9 +80,9 @@
   test::FakeState state_;
   test::VirtualEventLoop event_loop_;
   test::FakeStore store_;
-  CommandQueue queue_;
-  CommandScope scope_;
-  ledger::Mirror mirror_;
+  runtime::CommandQueue queue_;
+  runtime::CommandScope scope_;
+  store::Mirror mirror_;
   std::unique_ptr<GroupCommit> group_commit_;
   std::map<std::string, Block> blocks_;
   std::set<std::string> finished_;
@@ -111,7 +111,7 @@
   run(1);
   std::size_t slots = 0;
   for (const auto& [key, item] : state_.items()) {
-    if (ledger::parse_key(key).kind != ledger::Key::Kind::slot) continue;
+    if (store::parse_key(key).kind != store::Key::Kind::slot) continue;
     ++slots;
     EXPECT_LE(wire::json_size(wire::Document::parse(item.value).root()), 1024U);
   }
@@ -177,7 +177,7 @@
     const auto id = "job-" + std::to_string(i);
     EXPECT_TRUE(finished_.contains(id));
     EXPECT_EQ(mirror_.job(id), nullptr);
-    EXPECT_TRUE(state_.items().contains(ledger::final_key(id)));
+    EXPECT_TRUE(state_.items().contains(store::final_key(id)));
   }
 }
 
@@ -189,7 +189,7 @@
   std::mt19937 random(4);
   for (int round = 0; round < 150; ++round) {
     mirror_.restart();
-    const auto page = state_.list(std::string(ledger::kLive), "", 20).listing;
+    const auto page = state_.list(std::string(store::kLive), "", 20).listing;
     ASSERT_TRUE(page.truncated);
     mirror_.load(page);
     for (int i = 0; i < 5; ++i) {
@@ -213,7 +213,7 @@
 TEST_F(GroupCommitTest, AFormerLeadersTransactionFails) {
   change(add_block(1));
   wire::Txn txn;
-  txn.writes = {{std::string(ledger::kTermKey), ledger::encode(ledger::TermRecord{2}), 0}};
+  txn.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{2}), 0}};
   state_.commit(txn);
   run(1);
   EXPECT_TRUE(deposed_);
@@ -271,4 +271,4 @@
 }
 
 }  // namespace
-}  // namespace elmstall::engine
+}  // namespace elmstall::state
--- a/tests/leadership_faults_test.cpp
+++ b/tests/leadership_faults_test.cpp
@@ -69,8 +69,8 @@
   std::set<std::string> held;
   world.state.on_commit = [&](const wire::Txn& txn) {
     for (const auto& write : txn.writes) {
-      if (write.key != ledger::kLeadKey || !write.value) continue;
-      const auto node = ledger::decode_lead(*write.value).node;
+      if (write.key != store::kLeadKey || !write.value) continue;
+      const auto node = store::decode_lead(*write.value).node;
       if (!held.insert(node).second) continue;
       const auto index = static_cast<std::size_t>(node.back() - '0');
       world.store(index).road.watch_held = true;
@@ -152,7 +152,7 @@
     for (auto& [id, one] : world.workers) one->cut = true;  // we speak for them
     const auto term = world.leader()->leader()->term() + (next ? 1 : 0);
     world.cut_zone("south", true);
-    world.node(1)->on_message(mesh::Heartbeat{"node-0", term, "node-0", true, true, 0, 1e9});
+    world.node(1)->on_message(peer::Heartbeat{"node-0", term, "node-0", true, true, 0, 1e9});
     world.run_until(world.loop.now() + 5);
     auto report = report_of(*worker, 1, 1, term << constants::kTokenFenceBits);
     const auto ask = [&](double patience) {
--- a/tests/machine_faults_test.cpp
+++ b/tests/machine_faults_test.cpp
@@ -256,14 +256,14 @@
   world.cloud.capacity = 0;
   world.submit(job);
   world.run_until(5);
-  ledger::BlockRecord record;
+  store::BlockRecord record;
   record.done.assign(8, false);
   for (std::uint32_t i = 0; i < 8; ++i) record.tasks.push_back({i, 1, "host-gone"});
-  std::vector<std::string> blocks{ledger::pack(ledger::BlockEntry{"job-1", 0, record}).bytes};
+  std::vector<std::string> blocks{store::pack(store::BlockEntry{"job-1", 0, record}).bytes};
   wire::Txn txn;
-  txn.writes = {{ledger::slot_key(0), ledger::encode_slot(1'000, blocks, {}), 0}};
+  txn.writes = {{store::slot_key(0), store::encode_slot(1'000, blocks, {}), 0}};
   for (std::size_t i = 0; i < 3; ++i) world.crash(i, 0.3);
-  ASSERT_EQ(world.state.commit(txn).outcome, ledger::Outcome::ok);
+  ASSERT_EQ(world.state.commit(txn).outcome, store::Outcome::ok);
   world.run_until(12);
   world.cloud.capacity = 12;
   world.run_until(70);
@@ -271,7 +271,7 @@
   world.cancel("job-1");
   world.run_until(85);
   EXPECT_EQ(told(world, "job-1"), JobState::cancelled);
-  EXPECT_TRUE(world.state.items().contains(ledger::final_key("job-1")));
+  EXPECT_TRUE(world.state.items().contains(store::final_key("job-1")));
   expect_rules(world);
 }
 
@@ -358,7 +358,7 @@
   world.store(1).road = {};
   send();
   world.run_until(world.loop.now() + 0.1);
-  const auto care = ledger::delegation_key("node-1");
+  const auto care = store::delegation_key("node-1");
   ASSERT_TRUE(world.state.items().contains(care));
   for (int i = 0; i < 60; ++i) {
     world.run_until(world.loop.now() + 0.1);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -5,6 +5,7 @@
 #include <optional>
 
 #include "config/constants.hpp"
+#include "config/endpoint.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 
@@ -14,7 +15,7 @@
 class Loopback : public ::testing::Test {
  protected:
   Loopback()
-      : server_(io_, parse_endpoint("127.0.0.1:0"), {4, constants::kMaxBodyBytes, 2},
+      : server_(io_, config::parse_endpoint("127.0.0.1:0"), {4, constants::kMaxBodyBytes, 2},
                 [this](Request request, Responder respond) {
                   seen_ = request;
                   ++served_;
@@ -140,7 +141,7 @@
   asio::io_context io;
   std::string body(24 * 1024 * 1024, 'x');
   for (std::size_t i = 0; i < body.size(); i += 1000) body[i] = static_cast<char>('a' + i % 26);
-  HttpServer server(io, parse_endpoint("127.0.0.1:0"), {4, constants::kMaxBodyBytes, 4},
+  HttpServer server(io, config::parse_endpoint("127.0.0.1:0"), {4, constants::kMaxBodyBytes, 4},
                     [&body](const Request&, const Responder& respond) {
                       respond({200, body, 0});
                     });
@@ -216,10 +217,10 @@
 }
 
 TEST(Endpoint, BadOnesAreNamed) {
-  EXPECT_THROW((void)parse_endpoint("10.0.0.1"), std::invalid_argument);
-  EXPECT_THROW((void)parse_endpoint("10.0.0.1:x"), std::invalid_argument);
-  EXPECT_THROW((void)parse_endpoint("nowhere:80"), std::invalid_argument);
-  EXPECT_EQ(parse_endpoint("10.0.0.1:80").port(), 80);
+  EXPECT_THROW((void)config::parse_endpoint("10.0.0.1"), std::invalid_argument);
+  EXPECT_THROW((void)config::parse_endpoint("10.0.0.1:x"), std::invalid_argument);
+  EXPECT_THROW((void)config::parse_endpoint("nowhere:80"), std::invalid_argument);
+  EXPECT_EQ(config::parse_endpoint("10.0.0.1:80").port(), 80);
 }
 
 }  // namespace
--- a/tests/odd_requests_test.cpp
+++ b/tests/odd_requests_test.cpp
@@ -43,7 +43,7 @@
   const auto jobs_stored = [&] {
     return std::count_if(
         world.state.items().begin(), world.state.items().end(),
-        [](const auto& item) { return item.first.starts_with(ledger::job_key("job-")); });
+        [](const auto& item) { return item.first.starts_with(store::job_key("job-")); });
   };
   int number = 100;
   const auto submit = [&](const std::string& body) {
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -31,7 +31,7 @@
     case Moment::election:
       world.state.on_commit = [soon](const wire::Txn& txn) {
         for (const auto& write : txn.writes) {
-          if (write.key == ledger::kLeadKey) soon();
+          if (write.key == store::kLeadKey) soon();
         }
       };
       break;
--- a/tests/mesh_test.cpp
+++ b/tests/peer_test.cpp
@@ -3,10 +3,10 @@
 
 #include <asio.hpp>
 
-#include "mesh/frames.hpp"
-#include "mesh/tcp_mesh.hpp"
+#include "peer/frames.hpp"
+#include "peer/tcp_transport.hpp"
 
-namespace elmstall::mesh {
+namespace elmstall::peer {
 namespace {
 
 /// Whatever comes in on a controller's port, on however many connections:
@@ -119,4 +119,4 @@
 }
 
 }  // namespace
-}  // namespace elmstall::mesh
+}  // namespace elmstall::peer
--- a/tests/production/adapter.cpp
+++ b/tests/production/adapter.cpp
@@ -44,16 +44,16 @@
   };
 }
 
-void connect_reads(production::Ports& to, ledger::Store& store) {
+void connect_reads(production::Ports& to, store::Store& store) {
   to.get = [&store](const std::string& key, production::GetDone done) {
-    store.get(key, [done = std::move(done)](const ledger::GetResult& result) {
+    store.get(key, [done = std::move(done)](const store::GetResult& result) {
       const auto& entry = result.entry;
       done(number_of(result.outcome), {entry.key, entry.value, entry.stamp}, result.revision);
     });
   };
   to.list = [&store](const std::string& prefix, const std::string& since,
                      production::ListDone done) {
-    store.list(prefix, since, [done = std::move(done)](const ledger::ListResult& result) {
+    store.list(prefix, since, [done = std::move(done)](const store::ListResult& result) {
       std::vector<production::Entry> entries;
       for (const auto& one : result.listing.entries)
         entries.push_back({one.key, one.value, one.stamp});
@@ -63,7 +63,7 @@
   };
   to.watch = [&store](const std::string& prefix, std::uint64_t since, double hold_s,
                       production::WatchDone done) {
-    store.watch(prefix, since, hold_s, [done = std::move(done)](const ledger::WatchResult& result) {
+    store.watch(prefix, since, hold_s, [done = std::move(done)](const store::WatchResult& result) {
       std::vector<production::Change> changes;
       for (const auto& one : result.changes.log) changes.push_back({one.key, one.value, one.stamp});
       done(number_of(result.outcome), result.changes.revision, std::move(changes));
@@ -71,28 +71,28 @@
   };
 }
 
-void connect_writes(production::Ports& to, ledger::Store& store) {
+void connect_writes(production::Ports& to, store::Store& store) {
   to.commit = [&store](const std::vector<production::Guard>& guards,
                        const std::vector<production::Write>& writes, production::CommitDone done) {
     wire::Txn txn;
     for (const auto& one : guards) txn.guards.push_back({one.key, one.stamp});
     for (const auto& one : writes) txn.writes.push_back({one.key, one.value, one.lease});
-    store.commit(std::move(txn), [done = std::move(done)](const ledger::CommitResult& result) {
+    store.commit(std::move(txn), [done = std::move(done)](const store::CommitResult& result) {
       done(number_of(result.outcome), result.revision, result.failed);
     });
   };
   to.grant = [&store](double life_s, production::GrantDone done) {
-    store.grant(life_s, [done = std::move(done)](const ledger::GrantResult& result) {
+    store.grant(life_s, [done = std::move(done)](const store::GrantResult& result) {
       done(number_of(result.outcome), result.lease);
     });
   };
   to.renew = [&store](std::uint64_t lease, production::RenewDone done) {
     store.renew(lease,
-                [done = std::move(done)](ledger::Outcome outcome) { done(number_of(outcome)); });
+                [done = std::move(done)](store::Outcome outcome) { done(number_of(outcome)); });
   };
 }
 
-void connect_cloud(production::Ports& to, fleet::Cloud& cloud) {
+void connect_cloud(production::Ports& to, clients::Cloud& cloud) {
   to.machine_types = [&cloud](production::TypesDone done) {
     cloud.machine_types(
         [done = std::move(done)](const std::optional<std::vector<wire::MachineType>>& types) {
@@ -112,7 +112,7 @@
   to.rent = [&cloud](const std::string& name, const std::string& type, const std::string& zone,
                      bool spot, int count, production::RentDone done) {
     cloud.rent(name, type, zone, spot, count,
-               [done = std::move(done)](const fleet::RentResult& result) {
+               [done = std::move(done)](const clients::RentResult& result) {
                  done(number_of(result.outcome), result.hosts);
                });
   };
@@ -121,23 +121,23 @@
   };
 }
 
-void connect_workers(production::Ports& to, fleet::Workers& workers) {
+void connect_workers(production::Ports& to, clients::Workers& workers) {
   to.order = [&workers](const std::string& addr, std::uint64_t token, std::uint64_t session,
                         const std::string& orders, production::OrderDone done) {
     const auto decoded = wire::decode_orders(wire::Document::parse(orders).root());
     workers.order(
         addr, token, session, decoded.orders,
-        [done = std::move(done)](const fleet::OrdersResult& result) {
+        [done = std::move(done)](const clients::OrdersResult& result) {
           done(number_of(result.outcome),
                result.report ? std::optional(wire::encode_report(*result.report)) : std::nullopt);
         });
   };
 }
 
-void connect_mesh(production::Ports& to, mesh::Mesh& mesh) {
+void connect_mesh(production::Ports& to, peer::Mesh& mesh) {
   // Through this version's reader, which must read all that the other sends.
   to.send = [&mesh](const std::string& node, const std::string& bytes) {
-    const auto message = mesh::decode(bytes);
+    const auto message = peer::decode(bytes);
     if (node.empty()) {
       mesh.broadcast(message);
     } else {
--- a/tests/ledger_test.cpp
+++ b/tests/store_test.cpp
@@ -1,10 +1,10 @@
 #include <gtest/gtest.h>
 
-#include "engine/limiter.hpp"
-#include "ledger/mirror.hpp"
-#include "mesh/messages.hpp"
+#include "api/concurrency_limit.hpp"
+#include "peer/messages.hpp"
+#include "store/mirror.hpp"
 
-namespace elmstall::ledger {
+namespace elmstall::store {
 namespace {
 
 std::string job_value(const std::string& id, bool cancelled) {
@@ -194,15 +194,15 @@
 
 TEST(MeshMessages, SurviveTheRoundTripAndRefuseRubbish) {
   const auto back =
-      mesh::decode(mesh::encode(mesh::ForwardedReport{"node-1", 7, std::string("a\0b", 3)}));
-  EXPECT_EQ(std::get<mesh::ForwardedReport>(back).id, 7U);
-  EXPECT_EQ(std::get<mesh::ForwardedReport>(back).body.size(), 3U);
-  EXPECT_THROW((void)mesh::decode("rubbish that is no message"), std::exception);
-  EXPECT_THROW((void)mesh::decode(""), std::exception);
+      peer::decode(peer::encode(peer::ForwardedReport{"node-1", 7, std::string("a\0b", 3)}));
+  EXPECT_EQ(std::get<peer::ForwardedReport>(back).id, 7U);
+  EXPECT_EQ(std::get<peer::ForwardedReport>(back).body.size(), 3U);
+  EXPECT_THROW((void)peer::decode("rubbish that is no message"), std::exception);
+  EXPECT_THROW((void)peer::decode(""), std::exception);
 }
 
 TEST(ConcurrencyLimit, ShrinksWhenTimesGrowAndRecovers) {
-  engine::ConcurrencyLimit limit;
+  api::ConcurrencyLimit limit;
   const auto serve = [&](double seconds, int times) {
     for (int i = 0; i < times; ++i) {
       ASSERT_TRUE(limit.try_enter());
@@ -218,7 +218,7 @@
 }
 
 TEST(ConcurrencyLimit, ShedsBeyondTheLimit) {
-  engine::ConcurrencyLimit limit;
+  api::ConcurrencyLimit limit;
   int entered = 0;
   while (limit.try_enter()) ++entered;
   EXPECT_EQ(entered, static_cast<int>(constants::kLimitStart));
@@ -228,4 +228,4 @@
 }
 
 }  // namespace
-}  // namespace elmstall::ledger
+}  // namespace elmstall::store
--- a/tests/support/fake_state.cpp
+++ b/tests/support/fake_state.cpp
@@ -4,7 +4,7 @@
 
 namespace elmstall::test {
 
-using ledger::Outcome;
+using store::Outcome;
 
 namespace {
 // Far fewer changes than the real one keeps, so that 410 comes up.
@@ -40,14 +40,14 @@
   return false;
 }
 
-ledger::CommitResult FakeState::commit(const wire::Txn& txn) {
+store::CommitResult FakeState::commit(const wire::Txn& txn) {
   expire();
   if (too_large(txn)) {
     ++rejected;
     return {Outcome::rejected, revision_, {}};
   }
   if (too_fast(txn)) return {Outcome::unavailable, revision_, {}};
-  ledger::CommitResult result;
+  store::CommitResult result;
   for (const auto& guard : txn.guards) {
     const auto found = items_.find(guard.key);
     if ((found == items_.end() ? 0 : found->second.stamp) != guard.stamp)
@@ -73,17 +73,17 @@
   return result;
 }
 
-ledger::GetResult FakeState::get(const std::string& key) {
+store::GetResult FakeState::get(const std::string& key) {
   expire();
   const auto found = items_.find(key);
   if (found == items_.end()) return {Outcome::missing, {}, revision_};
   return {Outcome::ok, {key, found->second.value, found->second.stamp}, revision_};
 }
 
-ledger::ListResult FakeState::list(const std::string& prefix, const std::string& since,
-                                   std::size_t most) {
+store::ListResult FakeState::list(const std::string& prefix, const std::string& since,
+                                  std::size_t most) {
   expire();
-  ledger::ListResult result{Outcome::ok, {}};
+  store::ListResult result{Outcome::ok, {}};
   for (auto it = items_.upper_bound(std::max(since, prefix));
        it != items_.end() && it->first.starts_with(prefix); ++it) {
     if (result.listing.entries.size() == most) {
@@ -183,28 +183,28 @@
   });
 }
 
-void FakeStore::get(const std::string& key, std::function<void(ledger::GetResult)> done) {
+void FakeStore::get(const std::string& key, std::function<void(store::GetResult)> done) {
   ++gets;
-  exchange<ledger::GetResult>([this, key] { return state_.get(key); }, std::move(done),
-                              {Outcome::unavailable, {}, 0}, {}, false);
+  exchange<store::GetResult>([this, key] { return state_.get(key); }, std::move(done),
+                             {Outcome::unavailable, {}, 0}, {}, false);
 }
 
 void FakeStore::list(const std::string& prefix, const std::string& since,
-                     std::function<void(ledger::ListResult)> done) {
+                     std::function<void(store::ListResult)> done) {
   // Small pages, so that loading takes several and changes fall in between.
-  exchange<ledger::ListResult>([this, prefix, since] { return state_.list(prefix, since, 7); },
-                               std::move(done), {Outcome::unavailable, {}}, {}, false);
+  exchange<store::ListResult>([this, prefix, since] { return state_.list(prefix, since, 7); },
+                              std::move(done), {Outcome::unavailable, {}}, {}, false);
 }
 
-void FakeStore::commit(wire::Txn txn, std::function<void(ledger::CommitResult)> done) {
-  exchange<ledger::CommitResult>([this, txn = std::move(txn)] { return state_.commit(txn); },
-                                 std::move(done), {Outcome::unavailable, 0, {}}, {}, true);
+void FakeStore::commit(wire::Txn txn, std::function<void(store::CommitResult)> done) {
+  exchange<store::CommitResult>([this, txn = std::move(txn)] { return state_.commit(txn); },
+                                std::move(done), {Outcome::unavailable, 0, {}}, {}, true);
 }
 
-void FakeStore::grant(double life_s, std::function<void(ledger::GrantResult)> done) {
-  exchange<ledger::GrantResult>(
+void FakeStore::grant(double life_s, std::function<void(store::GrantResult)> done) {
+  exchange<store::GrantResult>(
       [this, life_s] {
-        return ledger::GrantResult{Outcome::ok, state_.grant(life_s)};
+        return store::GrantResult{Outcome::ok, state_.grant(life_s)};
       },
       std::move(done), {Outcome::unavailable, 0}, {}, false);
 }
@@ -215,7 +215,7 @@
 }
 
 void FakeStore::watch(const std::string& prefix, std::uint64_t since, double hold_s,
-                      std::function<void(ledger::WatchResult)> done) {
+                      std::function<void(store::WatchResult)> done) {
   const double until = loop_.now() + hold_s;
   loop_.after(0.002, [this, prefix, since, until, done = std::move(done),
                       alive = std::weak_ptr<char>(alive_)] {
@@ -224,7 +224,7 @@
 }
 
 void FakeStore::poll_watch(std::string prefix, std::uint64_t since, double until,
-                           std::function<void(ledger::WatchResult)> done) {
+                           std::function<void(store::WatchResult)> done) {
   const bool silent = state_.down || road.refused || road.watch_held;  // open watches wait
   if (!silent) {
     auto changes = state_.changes(prefix, since);
--- a/tests/support/fake_state.hpp
+++ b/tests/support/fake_state.hpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "config/settings.hpp"
-#include "ledger/store.hpp"
+#include "store/state_store.hpp"
 #include "support/virtual_time.hpp"
 
 namespace elmstall::test {
@@ -22,9 +22,9 @@
     std::uint64_t lease = 0;
   };
 
-  ledger::CommitResult commit(const wire::Txn& txn);
-  ledger::GetResult get(const std::string& key);
-  ledger::ListResult list(const std::string& prefix, const std::string& since, std::size_t most);
+  store::CommitResult commit(const wire::Txn& txn);
+  store::GetResult get(const std::string& key);
+  store::ListResult list(const std::string& prefix, const std::string& since, std::size_t most);
   /// Nothing when `since` is too old to tell.
   std::optional<wire::Changes> changes(const std::string& prefix, std::uint64_t since);
   std::uint64_t grant(double life_s);
@@ -65,7 +65,7 @@
 };
 
 /// One node's way to the state service, with the faults of the road.
-class FakeStore : public ledger::Store {
+class FakeStore : public store::Store {
  public:
   struct Road {
     bool refused = false;     ///< 503 to this node alone
@@ -80,14 +80,14 @@
   FakeStore(VirtualLoop& loop, FakeState& state, unsigned seed)
       : loop_(loop), state_(state), random_(seed) {}
 
-  void get(const std::string& key, std::function<void(ledger::GetResult)> done) override;
+  void get(const std::string& key, std::function<void(store::GetResult)> done) override;
   void list(const std::string& prefix, const std::string& since,
-            std::function<void(ledger::ListResult)> done) override;
+            std::function<void(store::ListResult)> done) override;
   void watch(const std::string& prefix, std::uint64_t since, double hold_s,
-             std::function<void(ledger::WatchResult)> done) override;
-  void commit(wire::Txn txn, std::function<void(ledger::CommitResult)> done) override;
-  void grant(double life_s, std::function<void(ledger::GrantResult)> done) override;
-  void renew(std::uint64_t lease, std::function<void(ledger::Outcome)> done) override;
+             std::function<void(store::WatchResult)> done) override;
+  void commit(wire::Txn txn, std::function<void(store::CommitResult)> done) override;
+  void grant(double life_s, std::function<void(store::GrantResult)> done) override;
+  void renew(std::uint64_t lease, std::function<void(store::Outcome)> done) override;
   /// The process at this end died: nothing comes back any more.
   void cut() { alive_.reset(); }
   Road road;
@@ -97,7 +97,7 @@
   void exchange(std::function<Result()> execute, std::function<void(Result)> done,
                 Result unavailable, Result lost, bool may_be_late);
   void poll_watch(std::string prefix, std::uint64_t since, double until,
-                  std::function<void(ledger::WatchResult)> done);
+                  std::function<void(store::WatchResult)> done);
   [[nodiscard]] bool chance(double share) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < share;
   }
--- a/tests/support/http_fronts.cpp
+++ b/tests/support/http_fronts.cpp
@@ -3,11 +3,12 @@
 #include <algorithm>
 
 #include "config/constants.hpp"
+#include "config/endpoint.hpp"
 
 namespace elmstall::test {
 namespace {
 
-using ledger::Outcome;
+using store::Outcome;
 
 std::string parameter(const std::string& path, const std::string& name) {
   const auto at = path.find(name + "=");
@@ -41,7 +42,7 @@
   return {status, packer.take(), 0};
 }
 
-net::Response answer_get(const ledger::GetResult& result) {
+net::Response answer_get(const store::GetResult& result) {
   if (result.outcome == Outcome::missing) return revision_only(404, result.revision);
   wire::Packer packer;
   packer.map(3)
@@ -87,7 +88,7 @@
   return {200, packer.take(), 0};
 }
 
-net::Response answer_commit(const ledger::CommitResult& result) {
+net::Response answer_commit(const store::CommitResult& result) {
   if (result.outcome == Outcome::ok) return revision_only(200, result.revision);
   wire::Packer packer;
   if (result.outcome == Outcome::no_lease) {
@@ -106,7 +107,7 @@
 StateFront::StateFront(asio::io_context& io, FakeState& state)
     : io_(io),
       state_(state),
-      server_(io, net::parse_endpoint("127.0.0.1:0"), kLimits,
+      server_(io, config::parse_endpoint("127.0.0.1:0"), kLimits,
               [this](const net::Request& request, net::Responder respond) {
                 handle(request, std::move(respond));
               }) {}
@@ -149,7 +150,7 @@
 
 CloudFront::CloudFront(asio::io_context& io, World& world)
     : world_(world),
-      server_(io, net::parse_endpoint("127.0.0.1:0"), kLimits,
+      server_(io, config::parse_endpoint("127.0.0.1:0"), kLimits,
               [this](const net::Request& request, net::Responder respond) {
                 handle(request, std::move(respond));
               }) {}
@@ -186,8 +187,8 @@
   }
   world_.cloud.rent(fields.text("hire"), fields.text("build"), fields.text("yard"),
                     fields.flag_or("loaners", false), static_cast<int>(fields.integer("count")),
-                    [respond](const fleet::RentResult& result) {
-                      using Result = fleet::RentResult::Outcome;
+                    [respond](const clients::RentResult& result) {
+                      using Result = clients::RentResult::Outcome;
                       wire::Packer none;
                       none.map(1).key("error").text("no capacity");
                       if (result.outcome == Result::ok)
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -80,7 +80,7 @@
 }
 
 /// All tasks that the leader knows there, in this state.
-inline void show_tasks(wire::Report& report, const engine::Host& host, wire::TaskState state,
+inline void show_tasks(wire::Report& report, const state::Host& host, wire::TaskState state,
                        wire::EndCause cause) {
   for (const auto* task : host.tasks)
     report.tasks.push_back({task->job->id, task->index, task->attempt, state, cause, false});
--- a/tests/support/virtual_time.hpp
+++ b/tests/support/virtual_time.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <random>
 
-#include "engine/queue.hpp"
+#include "runtime/command_queue.hpp"
 
 namespace elmstall::test {
 
@@ -32,7 +32,7 @@
 };
 
 /// The runtime of one process; nothing of it runs once the process is dead.
-class VirtualEventLoop : public engine::EventLoop {
+class VirtualEventLoop : public runtime::EventLoop {
  public:
   /// `rate`: how fast its steady clock runs.
   VirtualEventLoop(VirtualLoop& loop, unsigned seed, double rate = 1)
