--- a/tests/support/worker.cpp
+++ b/tests/support/worker.cpp
@@ -115,9 +115,9 @@
   return report;
 }
 
-fleet::OrdersResult FakeWorker::direct(std::uint64_t token, std::uint64_t session,
-                                       const std::vector<wire::Order>& orders) {
-  using Outcome = fleet::OrdersResult::Outcome;
+clients::OrdersResult FakeWorker::direct(std::uint64_t token, std::uint64_t session,
+                                         const std::vector<wire::Order>& orders) {
+  using Outcome = clients::OrdersResult::Outcome;
   if (token < token_) return {Outcome::refused, compose()};
   const bool learned = token > token_;
   token_ = token;
--- a/tests/support/worker.hpp
+++ b/tests/support/worker.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/workers.hpp"
+#include "clients/workers.hpp"
 #include "net/http_server.hpp"
 #include "sched/resources.hpp"
 
@@ -27,8 +27,8 @@
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] bool spot() const { return spot_; }
   /// Straight to this worker, whenever it arrives.
-  fleet::OrdersResult direct(std::uint64_t token, std::uint64_t session,
-                             const std::vector<wire::Order>& orders);
+  clients::OrdersResult direct(std::uint64_t token, std::uint64_t session,
+                               const std::vector<wire::Order>& orders);
   /// Stands still with all its tasks, and goes on later.
   void hang(double seconds);
   [[nodiscard]] bool hung() const;
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -6,15 +6,16 @@
 
 void FakeWorkers::order(const std::string& addr, std::uint64_t token, std::uint64_t session,
                         const std::vector<wire::Order>& orders,
-                        std::function<void(fleet::OrdersResult)> done) {
-  using Outcome = fleet::OrdersResult::Outcome;
+                        std::function<void(clients::OrdersResult)> done) {
+  using Outcome = clients::OrdersResult::Outcome;
   const auto give_up = [this, done](Outcome outcome) {
     world_.loop.after(2.0, [done, outcome] { done({outcome, std::nullopt}); });
   };
   const auto found = world_.workers.find(addr);
   if (found == world_.workers.end() || world_.no_direct) return give_up(Outcome::never);
   auto* worker = found->second.get();
-  const auto carry_out = [worker, token, session, orders]() -> std::optional<fleet::OrdersResult> {
+  const auto carry_out = [worker, token, session,
+                          orders]() -> std::optional<clients::OrdersResult> {
     if (worker->dead()) return std::nullopt;
     return worker->direct(token, session, orders);
   };
@@ -71,13 +72,13 @@
 }
 
 void FakeCloud::rent(const std::string& name, const std::string& type, const std::string& zone,
-                     bool spot, int count, std::function<void(fleet::RentResult)> done) {
-  using Outcome = fleet::RentResult::Outcome;
+                     bool spot, int count, std::function<void(clients::RentResult)> done) {
+  using Outcome = clients::RentResult::Outcome;
   world_.loop.after(0.1, [=, this] {
     if (down) return done({Outcome::unavailable, {}});
     if (const auto known = served_.find(name); known != served_.end())
       return done({Outcome::ok, known->second});
-    fleet::RentResult result{Outcome::ok, {}};
+    clients::RentResult result{Outcome::ok, {}};
     for (int i = 0; i < count && capacity > 0; ++i, --capacity) {
       char id[32];
       std::snprintf(id, sizeof id, "host-%06zu", world_.workers.size());
@@ -116,14 +117,14 @@
 
 // --- world -----------------------------------------------------------------------
 
-struct World::Mesh : mesh::Mesh {
+struct World::Mesh : peer::Mesh {
   Mesh(World& owner, std::size_t from) : world(owner), self(from) {}
-  void broadcast(const mesh::Message& message) override {
+  void broadcast(const peer::Message& message) override {
     for (std::size_t i = 0; i < world.nodes_.size(); ++i) {
       if (i != self) queued.emplace_back(i, message);
     }
   }
-  void send(const std::string& node, const mesh::Message& message) override {
+  void send(const std::string& node, const peer::Message& message) override {
     queued.emplace_back(static_cast<std::size_t>(node.back() - '0'), message);
   }
   void flush() override {
@@ -132,17 +133,17 @@
     world.mesh_messages += queued.size();
     for (const auto& [to, message] : std::exchange(queued, {})) deliver(to, message);
   }
-  void deliver(std::size_t to, const mesh::Message& message) {
+  void deliver(std::size_t to, const peer::Message& message) {
     if (world.mesh_cut_[self] || world.mesh_cut_[to]) return;
     if (!world.reachable(to, world.nodes_[self].settings.zone)) return;
     // Through the real encoding.
-    world.loop.after(0.002, [this, to, bytes = mesh::encode(message), &owner = world] {
+    world.loop.after(0.002, [this, to, bytes = peer::encode(message), &owner = world] {
       if (owner.nodes_[to].alive()) owner.nodes_[to].message(bytes);
     });
   }
   World& world;
   std::size_t self;
-  std::vector<std::pair<std::size_t, mesh::Message>> queued;
+  std::vector<std::pair<std::size_t, peer::Message>> queued;
 };
 
 namespace {
@@ -221,9 +222,9 @@
                             *process.workers, *process.mesh, std::move(incarnation)});
     return;
   }
-  process.node = std::make_unique<engine::Node>(
+  process.node = std::make_unique<controller::Node>(
       process.settings,
-      engine::Node::Ports{*process.event_loop, *process.store, cloud, *process.workers},
+      controller::Node::Ports{*process.event_loop, *process.store, cloud, *process.workers},
       std::move(incarnation));
   process.node->start(*process.mesh);
 }
@@ -313,7 +314,7 @@
   return found == specs_.end() ? nullptr : &found->second;
 }
 
-engine::Node* World::leader() {
+controller::Node* World::leader() {
   for (auto& process : nodes_) {
     if (process.node && process.node->leader() != nullptr &&
         process.node->leader()->leader_lease_valid())
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <set>
 
-#include "engine/node.hpp"
+#include "controller/node.hpp"
 #include "support/fake_state.hpp"
 #include "support/gangs.hpp"
 #include "support/rules.hpp"
@@ -15,12 +15,12 @@
 namespace elmstall::test {
 
 /// One node's way to the workers' own addresses.
-class FakeWorkers : public fleet::Workers {
+class FakeWorkers : public clients::Workers {
  public:
   FakeWorkers(World& world, std::size_t node) : world_(world), node_(node) {}
   void order(const std::string& addr, std::uint64_t token, std::uint64_t session,
              const std::vector<wire::Order>& orders,
-             std::function<void(fleet::OrdersResult)> done) override;
+             std::function<void(clients::OrdersResult)> done) override;
 
  private:
   World& world_;
@@ -28,7 +28,7 @@
 };
 
 /// Rents machines; its list lags.
-class FakeCloud : public fleet::Cloud {
+class FakeCloud : public clients::Cloud {
  public:
   explicit FakeCloud(World& world) : world_(world) {}
   void machine_types(
@@ -36,7 +36,7 @@
   void list(const std::string& since,
             std::function<void(std::optional<wire::CloudPage>)> done) override;
   void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-            int count, std::function<void(fleet::RentResult)> done) override;
+            int count, std::function<void(clients::RentResult)> done) override;
   void release(const std::vector<std::string>& hosts, std::function<void(bool)> done) override;
   bool down = false;
   int capacity = 12;
@@ -59,10 +59,10 @@
 struct OtherNodePorts {
   const config::Settings& settings;
   VirtualEventLoop& event_loop;
-  ledger::Store& store;
-  fleet::Cloud& cloud;
-  fleet::Workers& workers;
-  mesh::Mesh& mesh;
+  store::Store& store;
+  clients::Cloud& cloud;
+  clients::Workers& workers;
+  peer::Mesh& mesh;
   std::string incarnation;
 };
 using OtherNodeFactory = std::function<std::unique_ptr<OtherNode>(const OtherNodePorts&)>;
@@ -127,9 +127,9 @@
   /// What the node has answered after so many seconds, if anything.
   std::optional<net::Response> answer_of(std::size_t node, net::Request request, double patience);
   [[nodiscard]] const wire::JobSpec* spec(const std::string& id) const;
-  [[nodiscard]] engine::Node* node(std::size_t index) { return nodes_[index].node.get(); }
+  [[nodiscard]] controller::Node* node(std::size_t index) { return nodes_[index].node.get(); }
   [[nodiscard]] FakeStore& store(std::size_t index) { return *nodes_[index].store; }
-  [[nodiscard]] engine::Node* leader();
+  [[nodiscard]] controller::Node* leader();
   [[nodiscard]] std::size_t node_count() const {
     return nodes_.empty() ? outside_nodes : nodes_.size();
   }
@@ -171,7 +171,7 @@
     std::unique_ptr<FakeStore> store;
     std::unique_ptr<FakeWorkers> workers;
     std::unique_ptr<Mesh> mesh;
-    std::unique_ptr<engine::Node> node;
+    std::unique_ptr<controller::Node> node;
     std::unique_ptr<OtherNode> other;  ///< instead of `node`
     bool upgraded = true;
     std::uint64_t incarnation = 0;
@@ -182,7 +182,7 @@
     }
     void message(const std::string& bytes) {
       if (other) return other->on_message(bytes);
-      node->on_message(mesh::decode(bytes));
+      node->on_message(peer::decode(bytes));
     }
   };
   void boot(std::size_t index);
