--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -30,7 +30,7 @@
 
 void UserApi::later(const CallPtr& call) { call->respond({503, {}, k::kRetryAfter}); }
 
-void UserApi::answer(const CallPtr& call, int status, const wire::JobStatus& state, bool counts) {
+void UserApi::reply(const CallPtr& call, int status, const wire::JobStatus& state, bool counts) {
   call->respond({status, wire::encode_status(state, counts), 0});
 }
 
@@ -48,20 +48,20 @@
 void UserApi::if_known(const CallPtr& call, bool counts, std::function<void()> otherwise) {
   const auto& id = call->id;
   // What is final never changes: no read index is needed.
-  if (mirror_.final_state(id)) return answer(call, 200, mirror_.status(id), counts);
+  if (mirror_.final_state(id)) return reply(call, 200, mirror_.status(id), counts);
   read_index_.request(
       call->deadline - loop_.now(),
       [this, call, counts, otherwise = std::move(otherwise)](bool current) {
         if (!current) return later(call);
         if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr)
-          return answer(call, 200, mirror_.status(call->id), counts);
+          return reply(call, 200, mirror_.status(call->id), counts);
         // Not among the live jobs; it may be over since before this node began.
         store_.get(store::final_key(call->id),
                    scope_.wrap([this, call, counts, otherwise](const store::GetResult& result) {
                      if (result.outcome == Outcome::missing) return otherwise();
                      if (result.outcome != Outcome::ok) return later(call);
                      mirror_.remember_final(call->id, store::decode_final(result.entry.value));
-                     answer(call, 200, mirror_.status(call->id), counts);
+                     reply(call, 200, mirror_.status(call->id), counts);
                    }));
       });
 }
@@ -118,7 +118,7 @@
     // else is sent with it now.
     call->id = wire::decode_job_id(document.root());
     call->spec = wire::decode_job(document.root());
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::DecodeError& error) {
     spdlog::info("a submission is malformed: {}", error.what());
     if (call->id.empty()) return refuse(call, 400, error.what());
     return if_known(call, false,
@@ -136,32 +136,33 @@
 }
 
 void UserApi::create(const CallPtr& call) {
-  wire::Txn txn;
+  wire::Transaction transaction;
   // Guarded on the final record too: a copy of this request that arrives
   // after the job is over must not create it again.
-  txn.guards = {{store::job_key(call->id), 0}, {store::final_key(call->id), 0}};
-  txn.writes = {{store::job_key(call->id),
-                 store::encode(store::JobRecord{call->spec, false, loop_.wall()}), 0}};
-  store_.commit(std::move(txn), scope_.wrap([this, call](const store::CommitResult& result) {
-    switch (result.outcome) {
-      case Outcome::ok:
-        return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
-      case Outcome::conflict:
-        return if_known(call, false, [call] { later(call); });
-      case Outcome::unavailable:
-        return retry(call, [this, call] { create(call); });
-      case Outcome::unknown:
-        return confirm_create(call);
-      default:
-        return later(call);
-    }
-  }));
+  transaction.preconditions = {{store::job_key(call->id), 0}, {store::final_key(call->id), 0}};
+  transaction.writes = {{store::job_key(call->id),
+                         store::encode(store::JobRecord{call->spec, false, loop_.wall()}), 0}};
+  store_.commit(std::move(transaction),
+                scope_.wrap([this, call](const store::CommitResult& result) {
+                  switch (result.outcome) {
+                    case Outcome::ok:
+                      return reply(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
+                    case Outcome::conflict:
+                      return if_known(call, false, [call] { later(call); });
+                    case Outcome::unavailable:
+                      return retry(call, [this, call] { create(call); });
+                    case Outcome::unknown:
+                      return confirm_create(call);
+                    default:
+                      return later(call);
+                  }
+                }));
 }
 
 void UserApi::confirm_create(const CallPtr& call) {
   store_.get(store::job_key(call->id), scope_.wrap([this, call](const store::GetResult& result) {
     if (result.outcome == Outcome::ok)
-      return answer(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
+      return reply(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
     if (result.outcome == Outcome::missing) return retry(call, [this, call] { create(call); });
     later(call);
   }));
@@ -185,26 +186,27 @@
       if_known(call, false, [call] { refuse(call, 404, "no such job"); });
     });
   }
-  if (job->record.cancelled) return answer(call, 200, mirror_.status(call->id), false);
+  if (job->record.cancelled) return reply(call, 200, mirror_.status(call->id), false);
   const auto record =
       store::cancelled_record(job->record, store::value_bytes(settings_.state_limits().value_kb));
-  wire::Txn txn;
-  txn.guards = {{store::job_key(call->id), job->stamp}};
-  txn.writes = {{store::job_key(call->id), store::encode(record), 0}};
-  store_.commit(std::move(txn), scope_.wrap([this, call](const store::CommitResult& result) {
-    if (result.outcome == Outcome::ok) {
-      cancelled_(call->id);
-      return answer(call, 200, {call->id, wire::JobState::cancelled, 0, 0}, false);
-    }
-    if (result.outcome == Outcome::unavailable)
-      return retry(call, [this, call] { mark_cancelled(call); });
-    // Changed by somebody else, or perhaps by this very request: look again
-    // with a mirror that is current.
-    read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
-      if (!current) return later(call);
-      retry(call, [this, call] { mark_cancelled(call); });
-    });
-  }));
+  wire::Transaction transaction;
+  transaction.preconditions = {{store::job_key(call->id), job->mod_revision}};
+  transaction.writes = {{store::job_key(call->id), store::encode(record), 0}};
+  store_.commit(std::move(transaction),
+                scope_.wrap([this, call](const store::CommitResult& result) {
+                  if (result.outcome == Outcome::ok) {
+                    cancelled_(call->id);
+                    return reply(call, 200, {call->id, wire::JobState::cancelled, 0, 0}, false);
+                  }
+                  if (result.outcome == Outcome::unavailable)
+                    return retry(call, [this, call] { mark_cancelled(call); });
+                  // Changed by somebody else, or perhaps by this very request: look again
+                  // with a mirror that is current.
+                  read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
+                    if (!current) return later(call);
+                    retry(call, [this, call] { mark_cancelled(call); });
+                  });
+                }));
 }
 
 }  // namespace elmstall::api
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -15,7 +15,7 @@
  public:
   /// `cancelled`: called for each cancellation recorded, before its user is told.
   UserApi(const config::Settings& settings, runtime::EventLoop& event_loop,
-          runtime::CommandQueue& queue, store::Store& store, store::Mirror& mirror,
+          runtime::CommandQueue& queue, store::StateStore& store, store::Mirror& mirror,
           election::ReadIndex& read_index, std::function<void(const std::string& job)> cancelled)
       : settings_(settings),
         loop_(event_loop),
@@ -46,7 +46,7 @@
   /// Counts the request against the limit; nothing when it is shed.
   CallPtr enter(net::Responder respond, double patience_s);
   static void later(const CallPtr& call);
-  static void answer(const CallPtr& call, int status, const wire::JobStatus& state, bool counts);
+  static void reply(const CallPtr& call, int status, const wire::JobStatus& state, bool counts);
   static void refuse(const CallPtr& call, int status, const std::string& text);
 
   /// Answers with the job's state if there is such a job, else calls `otherwise`.
@@ -59,7 +59,7 @@
 
   const config::Settings& settings_;
   runtime::EventLoop& loop_;
-  store::Store& store_;
+  store::StateStore& store_;
   store::Mirror& mirror_;
   election::ReadIndex& read_index_;
   std::function<void(const std::string& job)> cancelled_;
--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -42,7 +42,7 @@
     io.run();
   } catch (const std::system_error& error) {
     std::fprintf(stderr, "elmstall: cannot serve on %s and %s: %s\n", settings.api_addr.c_str(),
-                 settings.mesh_addr.c_str(), error.what());
+                 settings.peer_addr.c_str(), error.what());
     return cannot_listen;
   }
   return ok;
@@ -74,7 +74,7 @@
     }
     set_up_logging();
     return serve(settings);
-  } catch (const config::Invalid& error) {
+  } catch (const config::SettingsError& error) {
     std::fprintf(stderr, "elmstall: %s\n", error.what());
     return bad_settings;
   } catch (const std::exception& error) {
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "clients/cloud_client.hpp"
-#include "clients/worker_client.hpp"
+#include "clients/worker_rpc_client.hpp"
 #include "config/constants.hpp"
 #include "config/endpoint.hpp"
 #include "controller/node.hpp"
@@ -70,24 +70,24 @@
         event_loop(io),
         store(io, config::parse_endpoint(settings.state_endpoint), rate_share(settings)),
         cloud(io, config::parse_endpoint(settings.cloud_endpoint)),
-        workers(io, static_cast<std::size_t>(settings.fd_limit * constants::kWorkerSocketShare)),
-        node(settings, {event_loop, store, cloud, workers}, event_loop.incarnation()),
-        mesh(io, config::parse_endpoint(settings.mesh_addr), settings.peers,
-             [this](peer::Message message) { node.on_message(std::move(message)); }),
+        worker_rpc(io, static_cast<std::size_t>(settings.fd_limit * constants::kWorkerSocketShare)),
+        node(settings, {event_loop, store, cloud, worker_rpc}, event_loop.incarnation()),
+        transport(io, config::parse_endpoint(settings.peer_addr), settings.peers,
+                  [this](peer::Message message) { node.on_message(std::move(message)); }),
         server(io, config::parse_endpoint(settings.api_addr), server_limits(settings),
                [this](net::Request request, net::Responder respond) {
                  node.on_request(std::move(request), std::move(respond));
                }) {
-    node.start(mesh);
+    node.start(transport);
   }
 
   config::Settings settings;
   AsioEventLoop event_loop;
-  store::StateClient store;
+  store::StateStoreClient store;
   clients::CloudClient cloud;
-  clients::WorkerClient workers;
+  clients::WorkerRpcClient worker_rpc;
   controller::Node node;
-  peer::TcpMesh mesh;
+  peer::TcpTransport transport;
   net::HttpServer server;
 };
 
--- a/src/autoscaler/fleet_autoscaler.cpp
+++ b/src/autoscaler/fleet_autoscaler.cpp
@@ -13,15 +13,16 @@
 
 FleetAutoscaler::FleetAutoscaler(const config::Settings& settings, runtime::EventLoop& event_loop,
                                  runtime::CommandQueue& queue, clients::Cloud& cloud,
-                                 state::Model& model, placement::Estimates& estimates,
-                                 std::uint64_t term, std::function<void(state::Host&)> host_lost)
+                                 state::Model& model, placement::RunTimeEstimates& estimates,
+                                 std::uint64_t term,
+                                 std::function<void(state::Machine&)> machine_lost)
     : settings_(settings),
       loop_(event_loop),
       cloud_(cloud),
       model_(model),
       estimates_(estimates),
       term_(term),
-      host_lost_(std::move(host_lost)),
+      machine_lost_(std::move(machine_lost)),
       scope_(queue),
       started_(event_loop.now()) {}
 
@@ -33,22 +34,22 @@
     read_list("");
   }
   if (now >= next_plan_) {
-    next_plan_ = now + k::kFleetEvery;
-    review_hosts(now);
+    next_plan_ = now + k::kAutoscaleInterval;
+    review_machines(now);
     plan(now);
   }
-  send_releases();
+  send_terminations();
 }
 
 void FleetAutoscaler::read_list(const std::string& since) {
   cloud_.list(since, scope_.wrap([this](std::optional<wire::CloudPage> page) {
     if (!page) {
       listing_ = false;
-      next_list_ = loop_.now() + k::kFleetEvery;
+      next_list_ = loop_.now() + k::kAutoscaleInterval;
       return;
     }
-    listed_.insert(listed_.end(), page->hosts.begin(), page->hosts.end());
-    if (page->truncated && !page->hosts.empty()) return read_list(page->hosts.back().id);
+    listed_.insert(listed_.end(), page->machines.begin(), page->machines.end());
+    if (page->truncated && !page->machines.empty()) return read_list(page->machines.back().id);
     finish_list();
   }));
 }
@@ -57,118 +58,120 @@
   listing_ = false;
   ever_listed_ = true;
   const double now = loop_.now();
-  next_list_ = now + k::kListEvery;
-  for (auto& [id, host] : model_.hosts()) host->listed = false;
+  next_list_ = now + k::kListInterval;
+  for (auto& [id, machine] : model_.machines()) machine->listed = false;
   for (const auto& entry : listed_) {
     // The list is late: what we deleted may act as an unrecorded delegate it for a while.
-    if (model_.released(entry.id)) continue;
-    const bool known = model_.find_host(entry.id) != nullptr;
-    auto& host = model_.host(entry.id);
-    if (host.type.empty()) model_.describe(host, entry.type, entry.zone, entry.spot, entry.addr);
-    if (!known) host.rented_at = now - entry.age_s;
-    host.listed = true;
-    if (entry.state == wire::CloudHost::State::failed && !host.listed_failed) {
+    if (model_.terminated(entry.id)) continue;
+    const bool known = model_.find_machine(entry.id) != nullptr;
+    auto& machine = model_.machine(entry.id);
+    if (machine.type.empty())
+      model_.describe(machine, entry.type, entry.zone, entry.spot, entry.addr);
+    if (!known) machine.provisioned_at = now - entry.age_s;
+    machine.listed = true;
+    if (entry.state == wire::CloudMachine::State::failed && !machine.reported_failed) {
       // It stopped on its own: the one thing the late list proves.
-      host.listed_failed = true;
-      spdlog::info("host {} failed, as the cloud lists it", host.id);
-      host_lost_(host);
+      machine.reported_failed = true;
+      spdlog::info("machine {} failed, as the cloud lists it", machine.id);
+      machine_lost_(machine);
     }
   }
 }
 
-void FleetAutoscaler::release(state::Host& host) {
-  host.releasing = true;
-  model_.mark_dirty(host);
+void FleetAutoscaler::terminate(state::Machine& machine) {
+  machine.terminating = true;
+  model_.mark_dirty(machine);
 }
 
-void FleetAutoscaler::send_releases() {
+void FleetAutoscaler::send_terminations() {
   const double now = loop_.now();
-  if (releasing_ || now < next_release_) return;
+  if (terminating_ || now < next_termination_) return;
   std::vector<std::string> names;
-  for (const auto& [id, host] : model_.hosts()) {
-    if (host->releasing && names.size() < k::kMaxReleaseCount) names.push_back(id);
+  for (const auto& [id, machine] : model_.machines()) {
+    if (machine->terminating && names.size() < k::kMaxTerminationsPerRequest) names.push_back(id);
   }
   if (names.empty()) return;
-  releasing_ = true;
-  next_release_ = now + k::kReleaseEvery;
-  cloud_.release(names, scope_.wrap([this, names](bool ok) {
-    releasing_ = false;
+  terminating_ = true;
+  next_termination_ = now + k::kTerminationInterval;
+  cloud_.terminate(names, scope_.wrap([this, names](bool ok) {
+    terminating_ = false;
     if (!ok) {
-      next_release_ = loop_.now() + k::kFleetEvery;
+      next_termination_ = loop_.now() + k::kAutoscaleInterval;
       return;
     }
     for (const auto& id : names) {
-      auto* found = model_.find_host(id);
+      auto* found = model_.find_machine(id);
       if (found == nullptr) continue;
-      spdlog::info("host {} returned", id);
-      host_lost_(*found);
-      model_.remove_host(id);
+      spdlog::info("machine {} returned", id);
+      machine_lost_(*found);
+      model_.remove_machine(id);
     }
   }));
 }
 
-void FleetAutoscaler::review_hosts(double now) {
+void FleetAutoscaler::review_machines(double now) {
   FleetHealth health;
-  for (auto& [id, slot] : model_.hosts()) {
-    auto& host = *slot;
-    if (host.releasing || host.listed_failed) {
-      release(host);
-    } else if (host.heard) {
-      review_heard(host, health, now);
+  for (auto& [id, slot] : model_.machines()) {
+    auto& machine = *slot;
+    if (machine.terminating || machine.reported_failed) {
+      terminate(machine);
+    } else if (machine.heard) {
+      review_heard(machine, health, now);
     } else {
-      review_booting(host, now);
+      review_booting(machine, now);
     }
   }
-  release_unresponsive(health, now);
-  release_silent(health, now);
+  terminate_unresponsive(health, now);
+  terminate_silent(health, now);
 }
 
-void FleetAutoscaler::review_heard(state::Host& host, FleetHealth& health, double now) {
-  const bool silent = host.quiet(now) > settings_.silent_after_s();
-  if (host.tasks.empty() && host.quarantined) {
-    release(host);
+void FleetAutoscaler::review_heard(state::Machine& machine, FleetHealth& health, double now) {
+  const bool silent = machine.quiet(now) > settings_.silent_after_s();
+  if (machine.tasks.empty() && machine.quarantined) {
+    terminate(machine);
   } else if (silent) {
-    health.silent.push_back(&host);
-  } else if (host.unresponsive) {
-    health.unresponsive.push_back(&host);
+    health.silent.push_back(&machine);
+  } else if (machine.unresponsive) {
+    health.unresponsive.push_back(&machine);
   }
-  for (auto* count : {&health.all, &health.zones[host.zone]}) {
+  for (auto* count : {&health.all, &health.zones[machine.zone]}) {
     ++count->heard;
     if (silent) ++count->silent;
   }
 }
 
-void FleetAutoscaler::review_booting(state::Host& host, double now) {
-  const auto* machine_type = model_.machine_type(host.type);
-  if (machine_type == nullptr || !host.tasks.empty()) return;
+void FleetAutoscaler::review_booting(state::Machine& machine, double now) {
+  const auto* machine_type = model_.machine_type(machine.type);
+  if (machine_type == nullptr || !machine.tasks.empty()) return;
   const double give_up = k::kBootGiveUp * machine_type->ready_s;
   // An adopted machine may have been up for long and simply not have found
   // us yet, so it also gets a lease's time from the takeover.
-  const double since = std::max(host.rented_at, started_ + settings_.lease_over_s() - give_up);
+  const double since =
+      std::max(machine.provisioned_at, started_ + settings_.lease_over_s() - give_up);
   if (now - since <= give_up) return;
-  spdlog::info("host {} did not come up, returning it", host.id);
-  release(host);
+  spdlog::info("machine {} did not come up, returning it", machine.id);
+  terminate(machine);
 }
 
-void FleetAutoscaler::release_unresponsive(const FleetHealth& health, double now) {
+void FleetAutoscaler::terminate_unresponsive(const FleetHealth& health, double now) {
   // As for silent machines: many at once are the network.
   const auto count = health.unresponsive.size();
   if (count * 3 > health.all.heard && count > 1) return;
   const double patience = k::kUnresponsiveLeases * settings_.lease_over_s();
-  for (auto* host : health.unresponsive) {
-    if (now - host->unacknowledged_since > patience) release(*host);
+  for (auto* machine : health.unresponsive) {
+    if (now - machine->unacknowledged_since > patience) terminate(*machine);
   }
 }
 
-void FleetAutoscaler::release_silent(const FleetHealth& health, double now) {
+void FleetAutoscaler::terminate_silent(const FleetHealth& health, double now) {
   const double lease = settings_.lease_over_s();
   const double list_lag = 2 * settings_.list_lag_s + 1;
-  for (auto* host : health.silent) {
-    const double quiet = host->quiet(now);
-    const bool unlisted = ever_listed_ && !host->listed && quiet > list_lag;
-    const bool partition = health.all.partitioned() || health.zones.at(host->zone).partitioned();
+  for (auto* machine : health.silent) {
+    const double quiet = machine->quiet(now);
+    const bool unlisted = ever_listed_ && !machine->listed && quiet > list_lag;
+    const bool partition = health.all.partitioned() || health.zones.at(machine->zone).partitioned();
     const double patience = lease + (partition ? 4 * lease : lease * 0.5);
-    if (unlisted || quiet > patience) release(*host);
+    if (unlisted || quiet > patience) terminate(*machine);
   }
 }
 
@@ -193,18 +196,18 @@
       pools.push_back(std::move(pool));
     }
   }
-  for (const auto& [id, host] : model_.hosts()) {
-    if (host->type != machine_type.name || host->releasing || host->quarantined ||
-        host->recall_at || host->listed_failed)
+  for (const auto& [id, machine] : model_.machines()) {
+    if (machine->type != machine_type.name || machine->terminating || machine->quarantined ||
+        machine->interruption_at || machine->reported_failed)
       continue;
-    const auto pool =
-        std::find_if(pools.begin(), pools.end(), [&, one = host.get()](const sched::Pool& other) {
-          return other.spot == one->spot && other.zone == one->zone;
-        });
+    const auto pool = std::find_if(pools.begin(), pools.end(),
+                                   [&, one = machine.get()](const sched::Pool& other) {
+                                     return other.spot == one->spot && other.zone == one->zone;
+                                   });
     if (pool == pools.end()) continue;
-    if (!host->heard) {
+    if (!machine->heard) {
       ++pool->booting;
-    } else if (host->quiet(now) < settings_.silent_after_s()) {
+    } else if (machine->quiet(now) < settings_.silent_after_s()) {
       ++pool->alive;
     }
   }
@@ -212,7 +215,7 @@
 }
 
 bool FleetAutoscaler::urgent(const state::Job& job, const wire::MachineType& machine_type) const {
-  const auto aim = placement::aim_s(settings_, job);
+  const auto aim = placement::completion_objective_s(settings_, job);
   if (!aim) return false;
   const double fetch =
       machine_type.fetch_gb_per_s > 0 ? job.spec.image_gb / machine_type.fetch_gb_per_s : 0;
@@ -267,7 +270,7 @@
   const auto& spec = job.spec;
   if (spec.zone) return {*spec.zone};
   // Half of a spread gang may be in one zone: it needs machines in several.
-  const bool spread_gang = job.gang() && spec.spread;
+  const bool spread_gang = job.is_gang() && spec.spread;
   const auto open = spread_gang ? std::nullopt : zone_left_open(job, zones);
   if (open) return {*open};
   if (spec.together && !job.per_zone.empty()) return {job.per_zone.begin()->first};
@@ -298,8 +301,8 @@
   return bound;
 }
 
-void FleetAutoscaler::rent_for_zones(const wire::MachineType& machine_type,
-                                     const std::vector<sched::Pool>& pools, double now) {
+void FleetAutoscaler::scale_out_for_zones(const wire::MachineType& machine_type,
+                                          const std::vector<sched::Pool>& pools, double now) {
   // The fleet's size follows all demand together, but a machine in one zone
   // is no use to work that may only run in another.
   const sched::Amount whole{machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
@@ -311,11 +314,11 @@
     for (const auto& pool : pools) {
       if (pool.zone == zone) there += pool.booting;
     }
-    for (const auto& [id, host] : model_.hosts()) {
-      const bool kind =
-          host->type == machine_type.name && host->zone == zone && (bound.spot || !host->spot);
-      if (kind && placement::Planner::usable(*host, now, settings_))
-        there += std::max(0.0, 1 - host->used.share_of(whole));
+    for (const auto& [id, machine] : model_.machines()) {
+      const bool kind = machine->type == machine_type.name && machine->zone == zone &&
+                        (bound.spot || !machine->spot);
+      if (kind && placement::Planner::usable(*machine, now, settings_))
+        there += std::max(0.0, 1 - machine->used.share_of(whole));
     }
     const auto missing = static_cast<int>(std::ceil(bound.machines - there - 1e-6));
     if (missing <= 0) continue;
@@ -324,7 +327,7 @@
           return one.zone == *z && !one.blocked && (b->spot || !one.spot);
         });
     if (pool != pools.end()) {
-      rent({pool->type, pool->zone, pool->spot}, missing);
+      scale_out({pool->type, pool->zone, pool->spot}, missing);
     } else {
       stranded_ += missing;
     }
@@ -377,83 +380,86 @@
   // Machines a former leader rented a moment ago show up in the late list
   // only after a while; renting before would buy them twice.
   const double wait = term_ <= 1 ? 0 : 2 * settings_.list_lag_s;
-  allowance_ = settings_.cloud_rps * k::kRentShare * k::kFleetEvery;
+  allowance_ = settings_.cloud_rps * k::kProvisionRateShare * k::kAutoscaleInterval;
   if (!ever_listed_ || now < started_ + wait) return;
   for (const auto& machine_type : model_.machine_types()) {
     const auto pools = pools_of(machine_type, now);
-    rent_for_zones(machine_type, pools, now);
+    scale_out_for_zones(machine_type, pools, now);
     const auto demand = demand_of(machine_type, now);
-    for (const auto& rental : sched::plan_rentals(pools, demand)) {
-      const auto& pool = pools[rental.pool];
-      rent({pool.type, pool.zone, pool.spot}, rental.count);
+    for (const auto& addition : sched::plan_scale_out(pools, demand)) {
+      const auto& pool = pools[addition.pool];
+      scale_out({pool.type, pool.zone, pool.spot}, addition.count);
     }
-    return_idle(machine_type, pools, demand, now);
+    scale_in(machine_type, pools, demand, now);
   }
 }
 
-void FleetAutoscaler::return_idle(const wire::MachineType& machine_type,
-                                  const std::vector<sched::Pool>& pools,
-                                  const sched::Demand& demand, double now) {
+void FleetAutoscaler::scale_in(const wire::MachineType& machine_type,
+                               const std::vector<sched::Pool>& pools, const sched::Demand& demand,
+                               double now) {
   auto spare = sched::surplus(pools, demand);
   // What chance does to demand weighs less the larger the fleet.
   const double scale = std::clamp(
-      std::sqrt(k::kIdleFleet / std::max<double>(1, static_cast<double>(model_.hosts().size()))),
+      std::sqrt(k::kIdleFleet / std::max<double>(1, static_cast<double>(model_.machines().size()))),
       k::kIdleScaleMin, 1.0);
   const double keep = settings_.tuning.idle_share * scale * machine_type.ready_s;
-  for (auto& [id, host] : model_.hosts()) {
-    if (host->type != machine_type.name || !host->synchronized || host->releasing) continue;
-    if (!host->tasks.empty() || host->has_unknown_jobs) {
-      host->idle_since = state::kNever;
+  for (auto& [id, machine] : model_.machines()) {
+    if (machine->type != machine_type.name || !machine->synchronized || machine->terminating)
+      continue;
+    if (!machine->tasks.empty() || machine->has_unknown_jobs) {
+      machine->idle_since = state::kNever;
       continue;
     }
-    if (host->idle_since == state::kNever) host->idle_since = now;
-    int& left = host->spot ? spare.spot : spare.ordinary;
+    if (machine->idle_since == state::kNever) machine->idle_since = now;
+    int& left = machine->spot ? spare.spot : spare.ordinary;
     // What waits for another zone does not keep this one: the cloud may have
     // had to take from there what stands idle here.
     int& reason = left > 0 ? left : stranded_;
     // For work that waits for this zone, as many as it needs and no more: a
     // gang that waits for two zones once kept all there was in one of them,
     // and the other got none.
-    const auto wanted = wanted_zones_.find(host->zone);
+    const auto wanted = wanted_zones_.find(machine->zone);
     if (wanted != wanted_zones_.end() && wanted->second.machines > 0 &&
-        (wanted->second.spot || !host->spot)) {
+        (wanted->second.spot || !machine->spot)) {
       wanted->second.machines -= 1;
       continue;
     }
-    if (reason <= 0 || now - host->idle_since < keep) continue;
+    if (reason <= 0 || now - machine->idle_since < keep) continue;
     --reason;
-    spdlog::info("host {} idle, returning it", host->id);
-    release(*host);
+    spdlog::info("machine {} idle, returning it", machine->id);
+    terminate(*machine);
   }
 }
 
-void FleetAutoscaler::rent(const PoolKey& key, int count) {
+void FleetAutoscaler::scale_out(const PoolKey& key, int count) {
   // A fleet that has far to grow is asked for in many requests at once: what
   // is not rented now boots later.
-  for (; count > 0 && allowance_ >= 1; count -= k::kMaxRentCount, allowance_ -= 1) {
+  for (; count > 0 && allowance_ >= 1; count -= k::kMaxMachinesPerProvision, allowance_ -= 1) {
     // Term and counter: never used before, by no node.
     const Request request{key, "r-" + std::to_string(term_) + "-" + std::to_string(next_request_++),
-                          std::min(count, k::kMaxRentCount)};
+                          std::min(count, k::kMaxMachinesPerProvision)};
     pools_[key].pending += request.count;
-    send_rent(request);
+    send_provision_request(request);
   }
 }
 
-void FleetAutoscaler::send_rent(const Request& request) {
+void FleetAutoscaler::send_provision_request(const Request& request) {
   const auto& [type, zone, spot] = request.pool;
   spdlog::info("renting {} x {} in {}{} as {}", request.count, type, zone, spot ? " (spot)" : "",
                request.name);
-  cloud_.rent(request.name, type, zone, spot, request.count,
-              scope_.wrap([this, request](const clients::RentResult& result) {
-                on_rented(request, result);
-              }));
+  cloud_.provision(request.name, type, zone, spot, request.count,
+                   scope_.wrap([this, request](const clients::ProvisionResult& result) {
+                     on_provisioned(request, result);
+                   }));
 }
 
-void FleetAutoscaler::on_rented(const Request& request, const clients::RentResult& result) {
-  using Outcome = clients::RentResult::Outcome;
+void FleetAutoscaler::on_provisioned(const Request& request,
+                                     const clients::ProvisionResult& result) {
+  using Outcome = clients::ProvisionResult::Outcome;
   if (result.outcome == Outcome::unknown || result.outcome == Outcome::unavailable) {
     // The same name again: if it was carried out, it is answered the same.
-    loop_.after(k::kFleetEvery, scope_.wrap([this, request] { send_rent(request); }));
+    loop_.after(k::kAutoscaleInterval,
+                scope_.wrap([this, request] { send_provision_request(request); }));
     return;
   }
   auto& pool = pools_[request.pool];
@@ -461,14 +467,14 @@
   const double now = loop_.now();
   pool.pending -= request.count;
   if (result.outcome == Outcome::ok) {
-    for (const auto& id : result.hosts) {
-      auto& host = model_.host(id);
-      if (host.type.empty()) model_.describe(host, type, zone, spot, "");
-      if (host.rented_at == state::kNever) host.rented_at = now;
+    for (const auto& id : result.machines) {
+      auto& machine = model_.machine(id);
+      if (machine.type.empty()) model_.describe(machine, type, zone, spot, "");
+      if (machine.provisioned_at == state::kNever) machine.provisioned_at = now;
     }
   }
   if (result.outcome == Outcome::ok &&
-      result.hosts.size() == static_cast<std::size_t>(request.count)) {
+      result.machines.size() == static_cast<std::size_t>(request.count)) {
     pool.pause = k::kNoCapacityPause;
     return;
   }
--- a/src/autoscaler/fleet_autoscaler.hpp
+++ b/src/autoscaler/fleet_autoscaler.hpp
@@ -4,7 +4,7 @@
 #include "clients/cloud.hpp"
 #include "placement/planner.hpp"
 #include "sched/arrivals.hpp"
-#include "sched/fleet_plan.hpp"
+#include "sched/scaling_plan.hpp"
 #include "state/model.hpp"
 
 namespace elmstall::autoscaler {
@@ -14,12 +14,12 @@
   /// `term`: in the first nobody can have rented anything before us.
   FleetAutoscaler(const config::Settings& settings, runtime::EventLoop& event_loop,
                   runtime::CommandQueue& queue, clients::Cloud& cloud, state::Model& model,
-                  placement::Estimates& estimates, std::uint64_t term,
-                  std::function<void(state::Host&)> host_lost);
+                  placement::RunTimeEstimates& estimates, std::uint64_t term,
+                  std::function<void(state::Machine&)> machine_lost);
 
   void tick();
   /// Has the cloud delete the machine, which proves its tasks gone.
-  void release(state::Host& host);
+  void terminate(state::Machine& machine);
 
  private:
   struct PoolState {
@@ -35,7 +35,7 @@
     int count = 0;
   };
 
-  void send_releases();
+  void send_terminations();
   void read_list(const std::string& since);
   void finish_list();
   /// How many machines reported once, and how many of them are silent now.
@@ -47,23 +47,23 @@
     [[nodiscard]] bool partitioned() const { return silent * 3 > heard && silent > 1; }
   };
   struct FleetHealth {
-    std::vector<state::Host*> silent;
-    std::vector<state::Host*> unresponsive;
+    std::vector<state::Machine*> silent;
+    std::vector<state::Machine*> unresponsive;
     Silence all;
     /// A cut may take one zone alone, however few of all machines it holds.
     std::map<std::string, Silence> zones;
   };
-  void review_hosts(double now);
-  void review_heard(state::Host& host, FleetHealth& health, double now);
-  void review_booting(state::Host& host, double now);
-  void release_unresponsive(const FleetHealth& health, double now);
-  void release_silent(const FleetHealth& health, double now);
+  void review_machines(double now);
+  void review_heard(state::Machine& machine, FleetHealth& health, double now);
+  void review_booting(state::Machine& machine, double now);
+  void terminate_unresponsive(const FleetHealth& health, double now);
+  void terminate_silent(const FleetHealth& health, double now);
   void plan(double now);
-  void return_idle(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
-                   const sched::Demand& demand, double now);
-  void rent(const PoolKey& key, int count);
-  void send_rent(const Request& request);
-  void on_rented(const Request& request, const clients::RentResult& result);
+  void scale_in(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
+                const sched::Demand& demand, double now);
+  void scale_out(const PoolKey& key, int count);
+  void send_provision_request(const Request& request);
+  void on_provisioned(const Request& request, const clients::ProvisionResult& result);
   [[nodiscard]] std::vector<sched::Pool> pools_of(const wire::MachineType& machine_type,
                                                   double now) const;
   /// Work that waits for machines of one zone: bound there by its job, a gang
@@ -83,8 +83,8 @@
                                                    const sched::Amount& whole);
   [[nodiscard]] std::map<std::string, Bound> bound_to_zones(const wire::MachineType& machine_type,
                                                             double now) const;
-  void rent_for_zones(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
-                      double now);
+  void scale_out_for_zones(const wire::MachineType& machine_type,
+                           const std::vector<sched::Pool>& pools, double now);
   [[nodiscard]] sched::Demand demand_of(const wire::MachineType& machine_type, double now);
   /// Its aim leaves no time to boot a machine for it.
   [[nodiscard]] bool urgent(const state::Job& job, const wire::MachineType& machine_type) const;
@@ -94,9 +94,9 @@
   runtime::EventLoop& loop_;
   clients::Cloud& cloud_;
   state::Model& model_;
-  placement::Estimates& estimates_;
+  placement::RunTimeEstimates& estimates_;
   std::uint64_t term_;
-  std::function<void(state::Host&)> host_lost_;
+  std::function<void(state::Machine&)> machine_lost_;
   runtime::CommandScope scope_;
   std::map<PoolKey, PoolState> pools_;
   std::map<std::string, sched::ArrivalRate> arrivals_;
@@ -110,11 +110,11 @@
   std::map<std::string, Bound> wanted_zones_;
   double allowance_ = 0;  ///< requests that may be sent now
   double next_list_ = state::kNever;
-  bool releasing_ = false;  ///< a request is under way
-  double next_release_ = state::kNever;
+  bool terminating_ = false;  ///< a request is under way
+  double next_termination_ = state::kNever;
   bool listing_ = false;
   bool ever_listed_ = false;
-  std::vector<wire::CloudHost> listed_;
+  std::vector<wire::CloudMachine> listed_;
 };
 
 }  // namespace elmstall::autoscaler
--- a/src/clients/cloud_client.cpp
+++ b/src/clients/cloud_client.cpp
@@ -12,14 +12,15 @@
   if (reply.status != 200) return std::nullopt;
   try {
     return decode(wire::Document::parse(reply.body).root());
-  } catch (const wire::Malformed&) {
+  } catch (const wire::DecodeError&) {
     return std::nullopt;
   }
 }
 
-RentResult rent_result(const net::Reply& reply) {
-  using Outcome = RentResult::Outcome;
-  if (auto hosts = decoded(reply, wire::decode_host_names)) return {Outcome::ok, std::move(*hosts)};
+ProvisionResult provision_result(const net::Reply& reply) {
+  using Outcome = ProvisionResult::Outcome;
+  if (auto machines = decoded(reply, wire::decode_machine_names))
+    return {Outcome::ok, std::move(*machines)};
   switch (reply.status) {
     case 503:
       // Two kinds of 503: nothing to be had, or the interface is in fault.
@@ -58,15 +59,18 @@
                   });
 }
 
-void CloudClient::rent(const std::string& name, const std::string& type, const std::string& zone,
-                       bool spot, int count, std::function<void(RentResult)> done) {
-  client_.request("POST", "/hosts", wire::encode_rent(name, type, zone, spot, count),
-                  constants::kCloudTimeout,
-                  [done = std::move(done)](const net::Reply& reply) { done(rent_result(reply)); });
+void CloudClient::provision(const std::string& name, const std::string& type,
+                            const std::string& zone, bool spot, int count,
+                            std::function<void(ProvisionResult)> done) {
+  client_.request("POST", "/hosts", wire::encode_provision_request(name, type, zone, spot, count),
+                  constants::kCloudTimeout, [done = std::move(done)](const net::Reply& reply) {
+                    done(provision_result(reply));
+                  });
 }
 
-void CloudClient::release(const std::vector<std::string>& hosts, std::function<void(bool)> done) {
-  client_.request("POST", "/hosts/release", wire::encode_host_names(hosts),
+void CloudClient::terminate(const std::vector<std::string>& machines,
+                            std::function<void(bool)> done) {
+  client_.request("POST", "/hosts/release", wire::encode_machine_names(machines),
                   constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) { done(reply.status == 200); });
 }
--- a/src/clients/cloud_client.hpp
+++ b/src/clients/cloud_client.hpp
@@ -15,9 +15,9 @@
       std::function<void(std::optional<std::vector<wire::MachineType>>)> done) override;
   void list(const std::string& since,
             std::function<void(std::optional<wire::CloudPage>)> done) override;
-  void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-            int count, std::function<void(RentResult)> done) override;
-  void release(const std::vector<std::string>& hosts, std::function<void(bool)> done) override;
+  void provision(const std::string& name, const std::string& type, const std::string& zone,
+                 bool spot, int count, std::function<void(ProvisionResult)> done) override;
+  void terminate(const std::vector<std::string>& machines, std::function<void(bool)> done) override;
 
  private:
   net::HttpClient client_;
--- a/src/clients/workers.hpp
+++ b/src/clients/worker_rpc.hpp
@@ -10,24 +10,24 @@
 
 namespace elmstall::clients {
 
-struct OrdersResult {
+struct CommandResult {
   enum class Outcome : std::uint8_t {
     done,     ///< executed
-    refused,  ///< nothing was executed: token or session did not match
+    refused,  ///< nothing was executed: token or epoch did not match
     never,    ///< certainly not executed: the worker was not reached
     unknown,  ///< may have been executed, or may yet be
   };
   Outcome outcome = Outcome::unknown;
-  /// The worker's report after `done` or `refused`.
-  std::optional<wire::Report> report;
+  /// The worker's heartbeat after `done` or `refused`.
+  std::optional<wire::WorkerHeartbeat> heartbeat;
 };
 
-class Workers {
+class WorkerRpc {
  public:
-  virtual ~Workers() = default;
-  virtual void order(const std::string& addr, std::uint64_t token, std::uint64_t session,
-                     const std::vector<wire::Order>& orders,
-                     std::function<void(OrdersResult)> done) = 0;
+  virtual ~WorkerRpc() = default;
+  virtual void send_commands(const std::string& addr, std::uint64_t token, std::uint64_t epoch,
+                             const std::vector<wire::WorkerCommand>& commands,
+                             std::function<void(CommandResult)> done) = 0;
 };
 
 }  // namespace elmstall::clients
--- a/src/clients/worker_client.cpp
+++ b/src/clients/worker_rpc_client.cpp
@@ -1,4 +1,4 @@
-#include "clients/worker_client.hpp"
+#include "clients/worker_rpc_client.hpp"
 
 #include <algorithm>
 
@@ -8,9 +8,9 @@
 namespace elmstall::clients {
 namespace {
 
-OrdersResult result_of(const net::Reply& reply) {
-  using Outcome = OrdersResult::Outcome;
-  OrdersResult result;
+CommandResult result_of(const net::Reply& reply) {
+  using Outcome = CommandResult::Outcome;
+  CommandResult result;
   switch (reply.status) {
     case 200:
       result.outcome = Outcome::done;
@@ -25,8 +25,8 @@
       return result;
   }
   try {
-    result.report = wire::decode_report(wire::Document::parse(reply.body).root());
-  } catch (const wire::Malformed&) {
+    result.heartbeat = wire::decode_heartbeat(wire::Document::parse(reply.body).root());
+  } catch (const wire::DecodeError&) {
     // Executed or not, what the machine holds now is not known.
     result.outcome = Outcome::unknown;
   }
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-std::shared_ptr<WorkerClient::Line> WorkerClient::line(const std::string& addr) {
+std::shared_ptr<WorkerRpcClient::Line> WorkerRpcClient::line(const std::string& addr) {
   auto& slot = lines_[addr];
   if (!slot) {
     slot = std::make_shared<Line>(io_, config::parse_endpoint(addr));
@@ -55,22 +55,23 @@
   return slot;
 }
 
-void WorkerClient::order(const std::string& addr, std::uint64_t token, std::uint64_t session,
-                         const std::vector<wire::Order>& orders,
-                         std::function<void(OrdersResult)> done) {
+void WorkerRpcClient::send_commands(const std::string& addr, std::uint64_t token,
+                                    std::uint64_t epoch,
+                                    const std::vector<wire::WorkerCommand>& commands,
+                                    std::function<void(CommandResult)> done) {
   std::shared_ptr<Line> to;
   try {
     to = line(addr);
   } catch (const std::invalid_argument&) {
     asio::post(io_, [done = std::move(done)] {
-      done({OrdersResult::Outcome::never, std::nullopt});
+      done({CommandResult::Outcome::never, std::nullopt});
     });
     return;
   }
   ++to->in_use;
   to->used = ++uses_;
-  to->client.request("POST", "/orders", wire::encode_direct_orders(token, session, orders),
-                     constants::kOrdersTimeout,
+  to->client.request("POST", "/orders", wire::encode_direct_commands(token, epoch, commands),
+                     constants::kCommandRpcTimeout,
                      [to, done = std::move(done)](const net::Reply& reply) {
                        --to->in_use;
                        done(result_of(reply));
--- a/src/clients/worker_client.hpp
+++ b/src/clients/worker_rpc_client.hpp
@@ -5,20 +5,20 @@
 #include <map>
 #include <memory>
 
-#include "clients/workers.hpp"
+#include "clients/worker_rpc.hpp"
 #include "net/http_client.hpp"
 
 namespace elmstall::clients {
 
 /// Keeps the connections of the workers it spoke to last, up to a bound.
-class WorkerClient : public Workers {
+class WorkerRpcClient : public WorkerRpc {
  public:
-  WorkerClient(asio::io_context& io, std::size_t max_connections)
+  WorkerRpcClient(asio::io_context& io, std::size_t max_connections)
       : io_(io), max_connections_(max_connections) {}
 
-  void order(const std::string& addr, std::uint64_t token, std::uint64_t session,
-             const std::vector<wire::Order>& orders,
-             std::function<void(OrdersResult)> done) override;
+  void send_commands(const std::string& addr, std::uint64_t token, std::uint64_t epoch,
+                     const std::vector<wire::WorkerCommand>& commands,
+                     std::function<void(CommandResult)> done) override;
 
  private:
   struct Line {
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -19,17 +19,17 @@
 inline constexpr std::size_t kMaxDepth = 16;
 /// Tasks. Most tasks of one job.
 inline constexpr std::uint64_t kMaxTasks = 100'000;
-/// Seconds. A worker drops the response to a report after this long.
-inline constexpr double kReportReplyLimit = 4.0;
+/// Seconds. A worker drops the response to a heartbeat after this long.
+inline constexpr double kHeartbeatReplyTimeout = 4.0;
 /// Machines per rental request.
-inline constexpr int kMaxRentCount = 50;
+inline constexpr int kMaxMachinesPerProvision = 50;
 /// Machines per request to delete some.
-inline constexpr std::size_t kMaxReleaseCount = 100;
+inline constexpr std::size_t kMaxTerminationsPerRequest = 100;
 /// Entries per page asked of the state service and of the cloud list.
 inline constexpr int kStatePage = 1000;
 inline constexpr int kCloudPage = 500;
 /// Bytes. Largest transaction; kept below the 64 KiB of the protocol.
-inline constexpr std::size_t kMaxTxnBytes = std::size_t{48} * 1024;
+inline constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
 
 // --- network ---------------------------------------------------------------
 /// Seconds. A connection that stays silent this long while a request is half
@@ -39,14 +39,14 @@
 inline constexpr double kIdleTimeout = 60.0;
 /// Seconds. Interval at which connections past their deadline are looked for:
 /// a timer for each would be set three times in every request.
-inline constexpr double kDeadlineCheckEvery = 1.0;
+inline constexpr double kDeadlineCheckInterval = 1.0;
 /// Share of the socket limit that inbound connections may take; the rest is
-/// for workers that are sent orders (`kWorkerSocketShare`), the state service
+/// for workers that are sent commands (`kWorkerSocketShare`), the state service
 /// (10), the cloud (4), peers (5 each) and what is being closed.
 inline constexpr double kInboundSocketShare = 0.8;
 /// Share of those above which workers' connections are closed after their
 /// answer: a fleet may be larger than what one controller has sockets, and a
-/// report takes its own for milliseconds only. What is left is for readiness,
+/// heartbeat takes its own for milliseconds only. What is left is for readiness,
 /// users, and workers that all come at once.
 inline constexpr double kCrowdedShare = 0.7;
 /// Seconds. Longest wait for an answer of the state service: users wait 5 s
@@ -65,7 +65,7 @@
 /// enough for several renewals to get lost.
 inline constexpr double kLeadLease = 3.0;
 /// Seconds. Interval of lease renewals and of term confirmations.
-inline constexpr double kRenewEvery = 0.8;
+inline constexpr double kRenewInterval = 0.8;
 /// Seconds. Spread of the moment at which followers start an election.
 inline constexpr double kElectionJitter = 0.1;
 /// Candidacies remembered by a node that is not elected: the transaction of one
@@ -73,39 +73,39 @@
 /// in which a dozen others fit at `kStateRetry`.
 inline constexpr std::size_t kCandidaciesKept = 12;
 /// Seconds. Taken off W for timer steps and the time it takes to kill a task.
-/// Not for the way of an answer: a lease counts from the sending of the report,
+/// Not for the way of an answer: a lease counts from the sending of the heartbeat,
 /// which lies before the moment of the answer, however late that arrives.
 inline constexpr double kLeaderLeaseMargin = 1.5;
 /// Seconds. Oldest knowledge of cancellations on which a task is started, unless
 /// nobody reaches the state service: a read index is requested every second
-/// (`kProbeEvery`) and may take a slow answer or two to come.
+/// (`kProbeInterval`) and may take a slow answer or two to come.
 inline constexpr double kStartKnowledge = 4.0;
 /// Ratio. Steady clocks drift apart by at most 0.05%; doubled here.
 inline constexpr double kDrift = 0.001;
 /// Seconds. Added to any wait for a lease to run out, for timer steps.
 inline constexpr double kLeaseMargin = 0.5;
-/// Bits of a token below the term, left for per-host fences.
+/// Bits of a token below the term, left for per-machine fences.
 inline constexpr int kTokenFenceBits = 20;
 
-// --- mesh --------------------------------------------------------------------
+// --- peer network --------------------------------------------------------------------
 /// Seconds. Interval of heartbeats between controllers.
-inline constexpr double kHeartbeatEvery = 0.8;
+inline constexpr double kPeerHeartbeatInterval = 0.8;
 /// Seconds. A peer not heard from for this long counts as unreachable.
 inline constexpr double kPeerSilence = 2.6;
 /// Bytes. Largest message between controllers.
-inline constexpr std::size_t kMaxMeshBytes = std::size_t{256} * 1024;
+inline constexpr std::size_t kMaxPeerMessageBytes = std::size_t{256} * 1024;
 /// Bytes. Messages between controllers that are written together at most, and
-/// read at once; a forwarded report takes some hundred.
-inline constexpr std::size_t kMeshWriteBytes = std::size_t{16} * 1024;
-inline constexpr std::size_t kMeshReadBytes = std::size_t{8} * 1024;
-/// Seconds. Interval at which forwarded reports and their answers are sent: each
-/// packet costs a small machine more than the report in it, and workers report
+/// read at once; a forwarded heartbeat takes some hundred.
+inline constexpr std::size_t kPeerWriteBytes = std::size_t{16} * 1024;
+inline constexpr std::size_t kPeerReadBytes = std::size_t{8} * 1024;
+/// Seconds. Interval at which forwarded heartbeats and their answers are sent: each
+/// packet costs a small machine more than the heartbeat in it, and workers send theirs
 /// half a second apart at the least.
-inline constexpr double kForwardEvery = 0.05;
+inline constexpr double kForwardInterval = 0.05;
 /// Seconds. A worker that comes back within this time after a redirect could
-/// not reach the leader; its report is then forwarded over the mesh.
+/// not reach the leader; its heartbeat is then forwarded over the peer network.
 inline constexpr double kRedirectMemory = 12.0;
-/// Seconds. Longest wait for the leader's answer to a forwarded report; the
+/// Seconds. Longest wait for the leader's answer to a forwarded heartbeat; the
 /// worker gives up after 4 s.
 inline constexpr double kForwardTimeout = 3.4;
 
@@ -131,9 +131,9 @@
 inline constexpr double kGangPeerDefault = 8.0;
 /// Seconds. Pause between two searches of places for one gang: each walks through
 /// all machines with room.
-inline constexpr double kGangRetryEvery = 0.25;
+inline constexpr double kGangRetryInterval = 0.25;
 /// Seconds. How long places are kept while lesser work makes room: it saves for
-/// some seconds, and reports that late.
+/// some seconds, and says so late.
 inline constexpr double kGangClaimMax = 15.0;
 /// Seconds. A gang that has waited this long keeps the places there are, so that
 /// smaller work does not take them one by one for ever; and how long at most,
@@ -145,17 +145,17 @@
 /// Seconds. Pause of a task that a machine refused.
 inline constexpr double kGangRefusedPause = 0.5;
 /// Seconds. What must be left of the others' wait for a replacement to be worth
-/// it: a commit, a command, and the reports that tell.
+/// it: a commit, a command, and the heartbeats that tell.
 inline constexpr double kGangReplaceMargin = 3.0;
 /// Seconds. What a machine must live beyond the time to save, for the commands
 /// to reach all machines.
-inline constexpr double kGangSaveMargin = 2.0;
+inline constexpr double kGangCheckpointMargin = 2.0;
 /// Seconds. A stop with time to save is told again after this long.
 inline constexpr double kStopRepeat = 1.0;
 
 // --- engine ------------------------------------------------------------------
 /// Seconds. Interval of the engine's periodic work.
-inline constexpr double kTick = 0.25;
+inline constexpr double kTickInterval = 0.25;
 /// Seconds. Longest a user's request waits for a read index or a commit.
 inline constexpr double kUserDeadline = 4.0;
 /// Seconds. Longest a poll waits; users give up after 2 s.
@@ -173,7 +173,7 @@
 /// for commits, watches and lease renewals.
 inline constexpr double kReadIndexShare = 0.3;
 /// Seconds. A node proves at least this often that it reaches the state service.
-inline constexpr double kProbeEvery = 1.0;
+inline constexpr double kProbeInterval = 1.0;
 /// Seconds. Without the state service for this long a node calls itself
 /// unready, unless the others see the same; each removal by the balancer
 /// doubles its pause, so short faults are sat out.
@@ -182,8 +182,8 @@
 inline constexpr double kTypesRetry = 1.0;
 /// Jobs. Final states remembered in memory; older ones are read when asked.
 inline constexpr std::size_t kFinalCache = 20'000;
-/// Orders in one response, so that it stays far below 64 KiB.
-inline constexpr std::size_t kMaxOrders = 200;
+/// Commands in one response, so that it stays far below 64 KiB.
+inline constexpr std::size_t kMaxCommands = 200;
 
 // --- ledger log -----------------------------------------------------------------
 /// Share of a value that is filled; estimates of sizes are upper bounds, and
@@ -208,26 +208,26 @@
 inline constexpr std::size_t kSlotsFirst = 8;
 /// Seconds between two commits of the leader: together they stay far below the
 /// changes that the state service takes, with room for users' own.
-inline constexpr double kCommitEvery = 0.12;
+inline constexpr double kCommitInterval = 0.12;
 /// Seconds. Pause after a refused commit: short, for acceptances of all nodes
 /// compete for the same rate, and every start waits for this one.
 inline constexpr double kCommitRetry = 0.08;
 
-// --- direct orders ---------------------------------------------------------------
-/// Seconds. Longest wait for a worker's answer to orders: a good deal above the
+// --- direct commands ---------------------------------------------------------------
+/// Seconds. Longest wait for a worker's answer to commands: a good deal above the
 /// slowest round trip between zones, a good deal below a short lease.
-inline constexpr double kOrdersTimeout = 2.0;
-/// Seconds. After an exchange that failed the machine gets its orders with the
-/// answers to its reports for this long.
-inline constexpr double kOrdersPause = 6.0;
-/// Exchanges in flight at once, and takeover exchanges begun per tick: they
-/// share the processor with the reports.
-inline constexpr std::size_t kExchangesMax = 48;
-inline constexpr std::size_t kSyncPerTick = 24;
+inline constexpr double kCommandRpcTimeout = 2.0;
+/// Seconds. After a command RPC that failed the machine gets its commands with the
+/// answers to its heartbeats for this long.
+inline constexpr double kCommandRpcBackoff = 6.0;
+/// Command RPCs in flight at once, and takeover command RPCs begun per tick: they
+/// share the processor with the heartbeats.
+inline constexpr std::size_t kCommandRpcsMax = 48;
+inline constexpr std::size_t kSynchronizationsPerTick = 24;
 /// Share of the socket limit for connections to workers.
 inline constexpr double kWorkerSocketShare = 0.08;
 /// Share of a lease after which a machine that shows no effect of what it was
-/// told, though its reports arrive, counts as unresponsive.
+/// told, though its heartbeats arrive, counts as unresponsive.
 inline constexpr double kUnresponsiveShare = 0.7;
 /// Leases after which a machine that stays unresponsive is returned to the cloud.
 inline constexpr double kUnresponsiveLeases = 3.0;
@@ -253,7 +253,7 @@
 /// Weight of a new measurement in learned averages.
 inline constexpr double kLearnRate = 0.2;
 /// Seconds. Interval at which lists are ordered anew: deadlines draw near.
-inline constexpr double kReorderEvery = 1.0;
+inline constexpr double kReorderInterval = 1.0;
 /// Seconds. Stands for the aim of work that has none; goes last of its rank.
 inline constexpr double kNoAim = 1e6;
 /// Share of a job's remaining work, in seconds of one task after the other,
@@ -266,12 +266,12 @@
 inline constexpr double kBeginWithin = 150.0;
 /// Seconds. Interval at which every machine is looked at for what only time
 /// changes.
-inline constexpr double kReviewEvery = 1.0;
+inline constexpr double kReviewInterval = 1.0;
 /// Seconds. Interval of decisions: what happens meanwhile is decided together.
-inline constexpr double kDecideEvery = 0.05;
+inline constexpr double kDecideInterval = 0.05;
 /// Seconds. Pause of a job for which stopping others made no room, and
 /// searches for such room in one round: each walks through all machines.
-inline constexpr double kDisplaceEvery = 1.0;
+inline constexpr double kDisplaceInterval = 1.0;
 inline constexpr int kDisplaceSearches = 4;
 /// Share of its aim by which late work's next aim lies later, and how often.
 inline constexpr double kTierStep = 0.5;
@@ -287,9 +287,9 @@
 /// goes wrong, tasks can't displace each other at the speed of the commits.
 inline constexpr double kPreemptPause = 1.0;
 /// Failures of different jobs after which a machine is quarantined.
-inline constexpr int kHostErrorLimit = 2;
+inline constexpr int kMachineErrorLimit = 2;
 /// Machines on which a job's tasks fail before the job is blamed.
-inline constexpr int kJobErrorHosts = 3;
+inline constexpr int kJobErrorMachines = 3;
 /// Seconds. First pause before a failed task is tried again, and the longest.
 inline constexpr double kErrorBackoff = 2.0;
 inline constexpr double kErrorBackoffMax = 60.0;
@@ -299,17 +299,17 @@
 /// up; boots usually take up to 1.5 times that.
 inline constexpr double kBootGiveUp = 3.0;
 /// Seconds. Interval of fleet decisions and of reading the machine list.
-inline constexpr double kFleetEvery = 1.0;
+inline constexpr double kAutoscaleInterval = 1.0;
 /// Share of the cloud's rate that rentals may take; lists and deletions need
 /// the rest.
-inline constexpr double kRentShare = 0.6;
-inline constexpr double kListEvery = 5.0;
+inline constexpr double kProvisionRateShare = 0.6;
+inline constexpr double kListInterval = 5.0;
 /// Seconds. Work that is bound to a zone and has waited this long gets machines
 /// of that zone, however many stand idle elsewhere.
 inline constexpr double kZonePatience = 3.0;
 /// Seconds. Deletions are gathered for this long: each request counts against
 /// the cloud's rate, and takes up to a hundred names.
-inline constexpr double kReleaseEvery = 1.0;
+inline constexpr double kTerminationInterval = 1.0;
 /// Seconds. The pause after `no capacity`, doubled up to the maximum.
 inline constexpr double kNoCapacityPause = 10.0;
 inline constexpr double kNoCapacityPauseMax = 40.0;
--- a/src/config/properties.cpp
+++ b/src/config/properties.cpp
@@ -55,12 +55,12 @@
 }
 
 Tuning load_properties(const std::filesystem::path& file) {
-  if (!std::ifstream(file)) throw Invalid(file.string() + ": cannot be read");
+  if (!std::ifstream(file)) throw SettingsError(file.string() + ": cannot be read");
   Poco::AutoPtr<Poco::Util::PropertyFileConfiguration> source;
   try {
     source = new Poco::Util::PropertyFileConfiguration(file.string());
   } catch (const Poco::Exception& error) {
-    throw Invalid(file.string() + ": " + error.displayText());
+    throw SettingsError(file.string() + ": " + error.displayText());
   }
   std::vector<std::string> keys;
   collect(*source, "", keys);
@@ -70,13 +70,13 @@
     const auto found = std::find_if(known.begin(), known.end(),
                                     [&](const Property& one) { return one.key == key; });
     if (found == known.end())
-      throw Invalid(file.string() + ": " + key + ": there is no such property");
+      throw SettingsError(file.string() + ": " + key + ": there is no such property");
     double value = 0;
     if (!Poco::NumberParser::tryParseFloat(source->getString(key), value))
-      throw Invalid(file.string() + ": " + key + ": must be a number");
+      throw SettingsError(file.string() + ": " + key + ": must be a number");
     if (!(value >= found->low && value <= found->high)) {
-      throw Invalid(file.string() + ": " + key + ": must lie between " + shown(found->low) +
-                    " and " + shown(found->high));
+      throw SettingsError(file.string() + ": " + key + ": must lie between " + shown(found->low) +
+                          " and " + shown(found->high));
     }
     tuning.*(found->field) = value;
   }
--- a/src/config/properties.hpp
+++ b/src/config/properties.hpp
@@ -31,7 +31,7 @@
 };
 [[nodiscard]] const std::vector<Property>& properties();
 
-/// Throws Invalid, which names file and key, for what is unreadable, unknown
+/// Throws SettingsError, which names file and key, for what is unreadable, unknown
 /// or out of range.
 [[nodiscard]] Tuning load_properties(const std::filesystem::path& file);
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -16,7 +16,7 @@
   Reader(const toml::table& root, std::string file) : root_(root), file_(std::move(file)) {}
 
   [[noreturn]] void fail(const std::string& key, const std::string& problem) const {
-    throw Invalid(file_ + ": " + key + ": " + problem);
+    throw SettingsError(file_ + ": " + key + ": " + problem);
   }
 
   [[nodiscard]] std::string text(const std::string& key) const {
@@ -102,16 +102,17 @@
 
 constexpr double kMostPerSecond = 1e9;
 constexpr double kMostValueKb = 1e6;
-constexpr double kLeastTxnOps = 4;  // a final state, the job's removal, a log value, one to spare
-constexpr double kMostTxnOps = 1e6;
+constexpr double kLeastTransactionWrites =
+    4;  // a final state, the job's removal, a log value, one to spare
+constexpr double kMostTransactionWrites = 1e6;
 
 StateLimits read_state_limits(const Reader& reader) {
   StateLimits limits;
   limits.rps = reader.number("deployment.state.rps", 1, kMostPerSecond);
   limits.write_rps = reader.number("deployment.state.write_rps", 1, kMostPerSecond);
   limits.value_kb = reader.number("deployment.state.value_kb", 1, kMostValueKb);
-  limits.txn_ops =
-      static_cast<int>(reader.number("deployment.state.txn_ops", kLeastTxnOps, kMostTxnOps));
+  limits.transaction_writes_max = static_cast<int>(
+      reader.number("deployment.state.txn_ops", kLeastTransactionWrites, kMostTransactionWrites));
   return limits;
 }
 
@@ -124,8 +125,9 @@
       reader.number_or("deployment.state.next.write_rps", 1, kMostPerSecond, now.write_rps);
   limits.value_kb =
       reader.number_or("deployment.state.next.value_kb", 1, kMostValueKb, now.value_kb);
-  limits.txn_ops = static_cast<int>(
-      reader.number_or("deployment.state.next.txn_ops", kLeastTxnOps, kMostTxnOps, now.txn_ops));
+  limits.transaction_writes_max =
+      static_cast<int>(reader.number_or("deployment.state.next.txn_ops", kLeastTransactionWrites,
+                                        kMostTransactionWrites, now.transaction_writes_max));
   return limits;
 }
 
@@ -141,7 +143,7 @@
     settings.objectives.push_back({aim.optional_text("kind"), aim.optional_text("class"),
                                    aim.optional_number("within_s"), aim.optional_number("share")});
   });
-  settings.report_s = reader.number("deployment.workers.report_s", 0.01, 3600);
+  settings.heartbeat_interval_s = reader.number("deployment.workers.report_s", 0.01, 3600);
   settings.lease_s = reader.number("deployment.workers.lease_s", 0.1, 86400);
   settings.cancel_s = reader.number("deployment.workers.cancel_s", 0.1, 86400);
   settings.gang_wait_s =
@@ -169,7 +171,7 @@
   if (!state_next) return state;
   return {std::min(state.rps, state_next->rps), std::min(state.write_rps, state_next->write_rps),
           std::min(state.value_kb, state_next->value_kb),
-          std::min(state.txn_ops, state_next->txn_ops)};
+          std::min(state.transaction_writes_max, state_next->transaction_writes_max)};
 }
 
 double Settings::leader_lease_s() const {
@@ -181,7 +183,9 @@
   return lease_s * (1 + constants::kDrift) + constants::kLeaseMargin;
 }
 
-double Settings::silent_after_s() const { return 3 * report_s + constants::kReportReplyLimit; }
+double Settings::silent_after_s() const {
+  return 3 * heartbeat_interval_s + constants::kHeartbeatReplyTimeout;
+}
 
 Settings load_settings(const std::filesystem::path& file) {
   toml::table root;
@@ -190,14 +194,14 @@
   } catch (const toml::parse_error& error) {
     const auto& where = error.source().begin;
     const std::string line = where.line > 0 ? ":" + std::to_string(where.line) : "";
-    throw Invalid(file.string() + line + ": " + std::string(error.description()));
+    throw SettingsError(file.string() + line + ": " + std::string(error.description()));
   }
   const Reader reader(root, file.string());
   Settings settings;
   settings.node = reader.text("node_name");
   settings.zone = reader.text("area");
   settings.api_addr = reader.address("api_addr");
-  settings.mesh_addr = reader.address("mesh_addr");
+  settings.peer_addr = reader.address("mesh_addr");
   reader.each("known", [&](const Reader& peer) {
     settings.peers.push_back(
         {peer.text("node_name"), peer.optional_text("area"), peer.address("endpoint")});
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -12,7 +12,7 @@
 namespace elmstall::config {
 
 /// A settings file that can't be used. The text names file and key.
-class Invalid : public std::runtime_error {
+class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -45,14 +45,14 @@
   double rps = 0;
   double write_rps = 0;  ///< puts and deletes a second
   double value_kb = 0;
-  int txn_ops = 0;  ///< puts and deletes in one transaction
+  int transaction_writes_max = 0;  ///< puts and deletes in one transaction
 };
 
 struct Settings {
   std::string node;
   std::string zone;
   std::string api_addr;
-  std::string mesh_addr;
+  std::string peer_addr;
   std::vector<Peer> peers;
   std::string cloud_endpoint;
   std::string state_endpoint;
@@ -60,7 +60,7 @@
   double skew_s = 0;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 0;
+  double heartbeat_interval_s = 0;
   double lease_s = 0;
   double cancel_s = 0;
   /// How long a gang's task waits for the others, and how soon it notices that
@@ -82,17 +82,17 @@
   /// What every request keeps to: the smaller of the limits now and to come.
   [[nodiscard]] StateLimits state_limits() const;
   /// Seconds. How long after the sending of its last confirmed state request
-  /// a leader may still answer reports, so that a cancellation it could not
+  /// a leader may still answer heartbeats, so that a cancellation it could not
   /// hear of is honoured in time: renewals end by then, and the workers'
   /// leases `lease_s` later.
   [[nodiscard]] double leader_lease_s() const;
   /// Seconds after which a lease that nobody renewed is certainly over.
   [[nodiscard]] double lease_over_s() const;
-  /// Seconds without a report after which a machine counts as silent.
+  /// Seconds without a heartbeat after which a machine counts as silent.
   [[nodiscard]] double silent_after_s() const;
 };
 
-/// Throws Invalid.
+/// Throws SettingsError.
 [[nodiscard]] Settings load_settings(const std::filesystem::path& file);
 
 }  // namespace elmstall::config
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -3,13 +3,13 @@
 #pragma once
 
 #include "autoscaler/fleet_autoscaler.hpp"
-#include "clients/workers.hpp"
-#include "dispatch/order_composer.hpp"
+#include "clients/worker_rpc.hpp"
+#include "dispatch/command_composer.hpp"
 #include "election/read_index.hpp"
 #include "net/http_server.hpp"
 #include "placement/gang_coordinator.hpp"
 #include "placement/planner.hpp"
-#include "reconcile/host_expiry.hpp"
+#include "reconcile/lease_expiry.hpp"
 
 namespace elmstall::controller {
 
@@ -19,9 +19,9 @@
     const config::Settings& settings;
     runtime::EventLoop& event_loop;
     runtime::CommandQueue& queue;
-    store::Store& store;
+    store::StateStore& store;
     clients::Cloud& cloud;
-    clients::Workers& workers;
+    clients::WorkerRpc& worker_rpc;
     const store::Mirror& mirror;
     const election::ReadIndex& read_index;
     std::function<reconcile::PeerReadState(const std::string& peer)> read_state;
@@ -32,10 +32,10 @@
   };
 
   /// `confirmed`: when the request that won the term was sent.
-  Leader(Context context, std::uint64_t term, std::uint64_t term_stamp, double confirmed);
+  Leader(Context context, std::uint64_t term, std::uint64_t term_revision, double confirmed);
 
   void set_machine_types(const std::vector<wire::MachineType>& machine_types);
-  void on_report(const wire::Report& report, const net::Responder& respond);
+  void on_heartbeat(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
   /// Another controller has recorded that this job is cancelled.
   void on_cancellation(const std::string& job_id);
   void on_change(const std::vector<store::Key>& keys);
@@ -52,29 +52,35 @@
 
  private:
   void rebuild();
-  void adopt_block(state::Job& job, std::uint32_t number, const store::Mirror::Block& stored);
+  void restore_block(state::Job& job, std::uint32_t number, const store::Mirror::Block& stored);
   void add_job(const std::string& id, const store::JobRecord& record);
   void cancel(state::Job& job);
   void finalize_jobs();
-  void release_host_tasks(state::Host& host, const char* why);
-  void record_host(state::Host& host, const store::Mirror::Host* stored);
+  void unassign_all(state::Machine& machine, const char* why);
+  void record_machine(state::Machine& machine, const store::Mirror::Machine* stored);
 
-  [[nodiscard]] std::uint64_t token(const state::Host& host) const { return token() + host.fence; }
-  [[nodiscard]] static bool is_newer(const state::Host& host, const wire::Report& report);
-  void answer(state::Host& host, const net::Responder& respond, double now);
-  void raise_fence(state::Host& host);
-  void check_responsiveness(state::Host& host, const wire::Report& report, double now);
-  void give_orders();
-  void exchange(state::Host& host, const std::vector<wire::Order>& orders);
-  void on_exchange(const std::string& id, bool stated, const clients::OrdersResult& result);
-  void synchronize_hosts(double now);
-  /// `own`: it came as a report, not as the reply to direct orders.
-  void read_report(state::Host& host, const wire::Report& report, bool own, double now);
-  void read_task(state::Host& host, const wire::TaskReport& report, double now);
-  void task_ended(state::Task& task, state::Host& host, const wire::TaskReport& report, double now);
-  void task_failed(state::Task& task, state::Host& host, double now);
-  void absent_tasks(state::Host& host);
-  void handle_recall(state::Host& host, double now);
+  [[nodiscard]] std::uint64_t token(const state::Machine& machine) const {
+    return token() + machine.fence;
+  }
+  [[nodiscard]] static bool is_newer(const state::Machine& machine,
+                                     const wire::WorkerHeartbeat& heartbeat);
+  void reply(state::Machine& machine, const net::Responder& respond, double now);
+  void raise_fence(state::Machine& machine);
+  void check_responsiveness(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                            double now);
+  void deliver_commands();
+  void start_command_rpc(state::Machine& machine, const std::vector<wire::WorkerCommand>& commands);
+  void on_command_result(const std::string& id, bool stated, const clients::CommandResult& result);
+  void synchronize_machines(double now);
+  /// `own`: it came as a heartbeat, not as the reply to direct commands.
+  void read_heartbeat(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, bool own,
+                      double now);
+  void read_task(state::Machine& machine, const wire::TaskStatus& heartbeat, double now);
+  void task_ended(state::Task& task, state::Machine& machine, const wire::TaskStatus& heartbeat,
+                  double now);
+  void task_failed(state::Task& task, state::Machine& machine, double now);
+  void absent_tasks(state::Machine& machine);
+  void handle_interruption_notice(state::Machine& machine, double now);
   /// Nobody can have confirmed a cancellation that this node has not heard of,
   /// but for the last few seconds.
   [[nodiscard]] bool may_start() const;
@@ -85,14 +91,14 @@
   double confirmed_;
   state::GroupCommit group_commit_;
   state::Model model_;
-  placement::Estimates estimates_;
+  placement::RunTimeEstimates estimates_;
   placement::GangCoordinator gangs_;
-  dispatch::OrderComposer orders_;
+  dispatch::CommandComposer command_composer_;
   placement::Planner planner_;
-  autoscaler::FleetAutoscaler fleet_;
-  reconcile::HostExpiry expiry_;
-  std::size_t exchanges_ = 0;  ///< in flight
-  bool orders_due_ = true;
+  autoscaler::FleetAutoscaler autoscaler_;
+  reconcile::LeaseExpiry expiry_;
+  std::size_t rpcs_in_flight_ = 0;  ///< in flight
+  bool commands_due_ = true;
   bool starting_ = true;  ///< as last told in the log
   /// Something happened that scheduling has to look at; users' polls and the
   /// answers of the state service are not of that kind.
--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -16,7 +16,7 @@
       loop_(ports.event_loop),
       store_(ports.store),
       cloud_(ports.cloud),
-      workers_(ports.workers),
+      worker_rpc_(ports.worker_rpc),
       incarnation_(std::move(incarnation)),
       queue_(ports.event_loop, [this] { after_batch(); }),
       scope_(queue_),
@@ -28,8 +28,8 @@
       zone_delegate_(settings, ports.event_loop, queue_, ports.store, mirror_, read_index_),
       flush_wake_(ports.event_loop, queue_) {}
 
-void Node::start(peer::Mesh& mesh) {
-  mesh_ = &mesh;
+void Node::start(peer::Transport& transport) {
+  transport_ = &transport;
   // Nobody counts as silent before having had the time to speak: a restarted
   // node would become delegate of its zone for no reason.
   for (const auto& peer : settings_.peers) peers_[peer.name].heard = loop_.now();
@@ -49,15 +49,16 @@
 void Node::on_message(peer::Message message) {
   queue_.post([this, message = std::move(message)]() mutable {
     if (const auto* heartbeat = std::get_if<peer::Heartbeat>(&message))
-      return on_heartbeat(*heartbeat);
+      return on_peer_heartbeat(*heartbeat);
     if (const auto* cancelled = std::get_if<peer::Cancelled>(&message))
       return on_cancellation(cancelled->job);
-    if (auto* report = std::get_if<peer::ForwardedReport>(&message)) {
-      auto respond = [this, node = report->node, id = report->id](const net::Response& response) {
-        mesh_->send(node, peer::ForwardedReply{id, response.status, response.body});
+    if (auto* heartbeat = std::get_if<peer::ForwardedHeartbeat>(&message)) {
+      auto respond = [this, node = heartbeat->node,
+                      id = heartbeat->id](const net::Response& response) {
+        transport_->send(node, peer::ForwardedReply{id, response.status, response.body});
         forwarding_ = true;
       };
-      return on_report(report->body, std::move(respond), true);
+      return on_heartbeat(heartbeat->body, std::move(respond), true);
     }
     const auto& reply = std::get<peer::ForwardedReply>(message);
     const auto found = forwarded_.find(reply.id);
@@ -89,7 +90,7 @@
       response.yields = true;
       respond(std::move(response));
     };
-    on_report(request.body, yielding, false);
+    on_heartbeat(request.body, yielding, false);
   } else if (path == jobs) {
     if (only("POST")) user_api_.submit(request.body, std::move(respond));
   } else if (path.starts_with(jobs) && path[jobs.size()] == '/') {
@@ -105,21 +106,22 @@
   }
 }
 
-void Node::on_report(const std::string& body, net::Responder respond, bool forwarded) {
-  wire::Report report;
+void Node::on_heartbeat(const std::string& body, net::Responder respond, bool forwarded) {
+  wire::WorkerHeartbeat heartbeat;
   try {
-    report = wire::decode_report(wire::Document::parse(body).root());
-  } catch (const wire::Malformed& error) {
-    spdlog::error("a worker's report can't be read: {}", error.what());
+    heartbeat = wire::decode_heartbeat(wire::Document::parse(body).root());
+  } catch (const wire::DecodeError& error) {
+    spdlog::error("a worker's heartbeat can't be read: {}", error.what());
     return respond({400, {}, 0});
   }
   // A machine that has heard of a later term drops what is answered in an
   // earlier one, and stays with whoever answers while its lease runs out.
-  learn_term(report.token >> k::kTokenFenceBits, "");
-  if (!forwarded && redirect_to_zone(report, respond)) return;
-  if (leader_) return leader_->on_report(report, respond);
+  learn_term(heartbeat.token >> k::kTokenFenceBits, "");
+  if (!forwarded && redirect_to_zone(heartbeat, respond)) return;
+  if (leader_) return leader_->on_heartbeat(heartbeat, respond);
   if (forwarded) return respond({503, {}, 0});
-  forward_report({std::move(report), body, std::move(respond), loop_.now() + k::kForwardTimeout});
+  forward_heartbeat(
+      {std::move(heartbeat), body, std::move(respond), loop_.now() + k::kForwardTimeout});
 }
 
 bool Node::heard(const std::string& peer) const {
@@ -139,18 +141,18 @@
   return view;
 }
 
-bool Node::redirect_to_zone(const wire::Report& report, const net::Responder& respond) {
-  // Workers report to a controller of their own zone, which passes reports on
+bool Node::redirect_to_zone(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond) {
+  // Workers report to a controller of their own zone, which passes heartbeats on
   // to the leader. When the zone is cut off, or the leader ends, they are
   // already where their leases can be kept alive: finding the way there takes
   // two time-outs of 4 s, about as long as a short lease.
-  if (report.zone == settings_.zone) return false;
+  if (heartbeat.zone == settings_.zone) return false;
   const double now = loop_.now();
-  auto& last = redirects_[report.host];
+  auto& last = redirects_[heartbeat.machine];
   // Back so soon: it could not reach that node.
   if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
   for (const auto& peer : settings_.peers) {
-    if (peer.zone != report.zone || !heard(peer.name)) continue;
+    if (peer.zone != heartbeat.zone || !heard(peer.name)) continue;
     last = {peer.name, now};
     respond({421, wire::encode_redirect(peer.name), 0});
     return true;
@@ -158,20 +160,20 @@
   return false;
 }
 
-void Node::forward_report(election::ZoneDelegate::Waiting waiting) {
+void Node::forward_heartbeat(election::ZoneDelegate::Waiting waiting) {
   if (zone_delegate_.active() || !leader_heard()) {
     if (known_leader_.empty()) return waiting.respond({503, {}, 0});
-    return zone_delegate_.on_report(std::move(waiting), view());
+    return zone_delegate_.on_heartbeat(std::move(waiting), view());
   }
   const auto id = next_forward_++;
-  mesh_->send(known_leader_, peer::ForwardedReport{settings_.node, id, waiting.body});
+  transport_->send(known_leader_, peer::ForwardedHeartbeat{settings_.node, id, waiting.body});
   forwarded_[id] = {std::move(waiting), known_leader_};
   forwarding_ = true;
 }
 
 void Node::dispatch_waiting(election::ZoneDelegate::Waiting waiting) {
-  if (leader_) return leader_->on_report(waiting.report, waiting.respond);
-  forward_report(std::move(waiting));
+  if (leader_) return leader_->on_heartbeat(waiting.heartbeat, waiting.respond);
+  forward_heartbeat(std::move(waiting));
 }
 
 void Node::retry_or_expire_forwarded() {
@@ -356,13 +358,14 @@
                             loop_.now()};
   candidacies_.push_back(candidacy);
   if (candidacies_.size() > k::kCandidaciesKept) candidacies_.erase(candidacies_.begin());
-  wire::Txn txn;
-  txn.guards = {{std::string(store::kTermKey), mirror_.term_stamp()},
-                {std::string(store::kLeadKey), mirror_.lead_stamp()}};
-  txn.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{term}), 0},
-                {std::string(store::kLeadKey),
-                 store::encode(store::LeadRecord{settings_.node, candidacy.name, term}), lease}};
-  store_.commit(std::move(txn), scope_.wrap([this](const store::CommitResult& result) {
+  wire::Transaction transaction;
+  transaction.preconditions = {{std::string(store::kTermKey), mirror_.term_revision()},
+                               {std::string(store::kLeadKey), mirror_.lead_revision()}};
+  transaction.writes = {
+      {std::string(store::kTermKey), store::encode(store::TermRecord{term}), 0},
+      {std::string(store::kLeadKey),
+       store::encode(store::LeadRecord{settings_.node, candidacy.name, term}), lease}};
+  store_.commit(std::move(transaction), scope_.wrap([this](const store::CommitResult& result) {
     // Won or not, the mirror will tell: it must hold all that came before
     // this term in any case. Should it tell too late, the lease is over and
     // another try is due.
@@ -383,7 +386,7 @@
                           queue_,
                           store_,
                           cloud_,
-                          workers_,
+                          worker_rpc_,
                           mirror_,
                           read_index_,
                           [this](const std::string& peer) {
@@ -395,7 +398,8 @@
                           [this] { step_down("the term is over"); }};
   zone_delegate_.end("this node leads");
   lease_ = candidacy.lease;
-  leader_ = std::make_unique<Leader>(context, mirror_.term(), mirror_.term_stamp(), candidacy.sent);
+  leader_ =
+      std::make_unique<Leader>(context, mirror_.term(), mirror_.term_revision(), candidacy.sent);
   // Each wins at most once: names and tokens of a term must not be used again.
   candidacies_.clear();
   election_running_ = true;
@@ -404,7 +408,7 @@
   types_recorded_ = false;
   if (!machine_types_.empty()) leader_->set_machine_types(machine_types_);
   next_renew_ = 0;
-  send_heartbeat();
+  send_peer_heartbeat();
 }
 
 void Node::step_down(const char* why) {
@@ -417,23 +421,23 @@
 
 void Node::renew() {
   const double sent = loop_.now();
-  next_renew_ = sent + k::kRenewEvery;
+  next_renew_ = sent + k::kRenewInterval;
   store_.renew(lease_, scope_.wrap([this, term = leader_->term()](Outcome outcome) {
     if (outcome == Outcome::missing && leader_ && leader_->term() == term)
       step_down("the lease ran out");
   }));
-  wire::Txn txn;
-  txn.guards = {{std::string(store::kTermKey), mirror_.term_stamp()}};
+  wire::Transaction transaction;
+  transaction.preconditions = {{std::string(store::kTermKey), mirror_.term_revision()}};
   // The machine types ride along once, for nodes that start while the cloud
   // does not answer.
   if (!types_recorded_ && !machine_types_.empty() && !mirror_.types()) {
-    txn.guards.push_back({std::string(store::kTypesKey), 0});
-    txn.writes.push_back(
+    transaction.preconditions.push_back({std::string(store::kTypesKey), 0});
+    transaction.writes.push_back(
         {std::string(store::kTypesKey), wire::encode_machine_types(machine_types_), 0});
   }
   types_recorded_ = true;
-  store_.commit(std::move(txn), scope_.wrap([this, sent, term = leader_->term()](
-                                                const store::CommitResult& result) {
+  store_.commit(std::move(transaction), scope_.wrap([this, sent, term = leader_->term()](
+                                                        const store::CommitResult& result) {
     if (!leader_ || leader_->term() != term) return;
     if (result.outcome == Outcome::ok) leader_->confirm(sent);
     const bool deposed = std::find(result.failed.begin(), result.failed.end(), store::kTermKey) !=
@@ -442,32 +446,32 @@
   }));
 }
 
-// --- mesh ------------------------------------------------------------------------------
+// --- peer network ------------------------------------------------------------------------------
 
-void Node::send_heartbeat() {
-  next_heartbeat_ = loop_.now() + k::kHeartbeatEvery;
+void Node::send_peer_heartbeat() {
+  next_peer_heartbeat_ = loop_.now() + k::kPeerHeartbeatInterval;
   told_leader_heard_ = leader_heard();
   urgent_messages_ = true;
-  mesh_->broadcast(peer::Heartbeat{settings_.node, known_term_, known_leader_, state_reachable(),
-                                   told_leader_heard_, mirror_.loaded() ? mirror_.revision() : 0,
-                                   loop_.now() - zone_delegate_.answered_at()});
+  transport_->broadcast(peer::Heartbeat{
+      settings_.node, known_term_, known_leader_, state_reachable(), told_leader_heard_,
+      mirror_.loaded() ? mirror_.revision() : 0, loop_.now() - zone_delegate_.replied_at()});
 }
 
-void Node::on_heartbeat(const peer::Heartbeat& heartbeat) {
+void Node::on_peer_heartbeat(const peer::Heartbeat& heartbeat) {
   auto& peer = peers_[heartbeat.node];
   peer.heard = loop_.now();
   peer.state_reachable = heartbeat.state_reachable;
   peer.leader_heard = heartbeat.leader_heard;
   // However late this comes, what was answered was answered before it was sent.
   peer.read_state.revision = std::max(peer.read_state.revision, heartbeat.revision);
-  peer.read_state.answered_at = std::max(peer.read_state.answered_at,
-                                         loop_.now() - heartbeat.answered_ago_s * (1 - k::kDrift));
+  peer.read_state.replied_at =
+      std::max(peer.read_state.replied_at, loop_.now() - heartbeat.replied_ago_s * (1 - k::kDrift));
   learn_term(heartbeat.term, heartbeat.leader);
 }
 
 void Node::broadcast_cancellation(const std::string& job) {
   urgent_messages_ = true;
-  mesh_->broadcast(peer::Cancelled{job});
+  transport_->broadcast(peer::Cancelled{job});
   on_cancellation(job);
 }
 
@@ -479,10 +483,10 @@
 
 void Node::tick() {
   const double now = loop_.now();
-  loop_.after(k::kTick, scope_.wrap([this] { tick(); }));
+  loop_.after(k::kTickInterval, scope_.wrap([this] { tick(); }));
   if (now >= next_probe_) {
-    next_probe_ = now + k::kProbeEvery;
-    read_index_.request(k::kProbeEvery, [](bool) {});
+    next_probe_ = now + k::kProbeInterval;
+    read_index_.request(k::kProbeInterval, [](bool) {});
   }
   read_index_.check();
   std::erase_if(redirects_,
@@ -494,23 +498,23 @@
     if (now >= next_renew_) renew();
     if (leader_) leader_->tick();
   }
-  if (now >= next_heartbeat_ || told_leader_heard_ != leader_heard()) send_heartbeat();
+  if (now >= next_peer_heartbeat_ || told_leader_heard_ != leader_heard()) send_peer_heartbeat();
 }
 
 void Node::after_batch() {
   if (leader_) leader_->after_batch();
-  flush_mesh();
+  flush_peer_messages();
 }
 
-void Node::flush_mesh() {
+void Node::flush_peer_messages() {
   const double now = loop_.now();
   if (now < next_flush_ && !urgent_messages_) {
     if (forwarding_) flush_wake_.after(next_flush_ - now, [] {});
     return;
   }
-  if (forwarding_) next_flush_ = now + k::kForwardEvery;
+  if (forwarding_) next_flush_ = now + k::kForwardInterval;
   urgent_messages_ = forwarding_ = false;
-  if (mesh_ != nullptr) mesh_->flush();
+  if (transport_ != nullptr) transport_->flush();
 }
 
 }  // namespace elmstall::controller
--- a/src/controller/node.hpp
+++ b/src/controller/node.hpp
@@ -15,16 +15,16 @@
  public:
   struct Ports {
     runtime::EventLoop& event_loop;
-    store::Store& store;
+    store::StateStore& store;
     clients::Cloud& cloud;
-    clients::Workers& workers;
+    clients::WorkerRpc& worker_rpc;
   };
 
   /// `incarnation`: differs from that of every earlier process of this node.
   Node(const config::Settings& settings, Ports ports, std::string incarnation);
 
-  /// The mesh hands its messages to `on_message`, so it is made after the node.
-  void start(peer::Mesh& mesh);
+  /// The peer network hands its messages to `on_message`, so it is made after the node.
+  void start(peer::Transport& transport);
   void on_request(net::Request request, net::Responder respond);
   void on_message(peer::Message message);
 
@@ -56,11 +56,11 @@
   };
 
   void handle(const net::Request& request, net::Responder respond);
-  void on_report(const std::string& body, net::Responder respond, bool forwarded);
+  void on_heartbeat(const std::string& body, net::Responder respond, bool forwarded);
   /// Sends the worker to a node of its zone, if it should go there.
-  bool redirect_to_zone(const wire::Report& report, const net::Responder& respond);
-  void forward_report(election::ZoneDelegate::Waiting waiting);
-  /// For a report that has waited: the leader answers it if that is this node
+  bool redirect_to_zone(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
+  void forward_heartbeat(election::ZoneDelegate::Waiting waiting);
+  /// For a heartbeat that has waited: the leader answers it if that is this node
   /// by now.
   void dispatch_waiting(election::ZoneDelegate::Waiting waiting);
   void retry_or_expire_forwarded();
@@ -71,9 +71,9 @@
   [[nodiscard]] election::ZoneDelegate::View view() const;
   void tick();
   void after_batch();
-  /// Sends what is queued for other controllers, reports and answers a few at a
+  /// Sends what is queued for other controllers, heartbeats and answers a few at a
   /// time.
-  void flush_mesh();
+  void flush_peer_messages();
 
   // mirror
   void load(const std::string& since);
@@ -98,9 +98,9 @@
   void renew();
   void learn_term(std::uint64_t term, const std::string& leader);
 
-  // mesh
-  void send_heartbeat();
-  void on_heartbeat(const peer::Heartbeat& send_heartbeat);
+  // peer network
+  void send_peer_heartbeat();
+  void on_peer_heartbeat(const peer::Heartbeat& send_peer_heartbeat);
   /// A cancellation was recorded here: the leader hears of it at once.
   void broadcast_cancellation(const std::string& job);
   void on_cancellation(const std::string& job);
@@ -109,10 +109,10 @@
 
   const config::Settings& settings_;
   runtime::EventLoop& loop_;
-  store::Store& store_;
+  store::StateStore& store_;
   clients::Cloud& cloud_;
-  clients::Workers& workers_;
-  peer::Mesh* mesh_ = nullptr;
+  clients::WorkerRpc& worker_rpc_;
+  peer::Transport* transport_ = nullptr;
   std::string incarnation_;
   runtime::CommandQueue queue_;
   runtime::CommandScope scope_;
@@ -133,9 +133,9 @@
   double election_at_ = -1;
   std::uint64_t lease_ = 0;  ///< that `lead` hangs on
   double next_renew_ = 0;
-  double next_heartbeat_ = 0;
+  double next_peer_heartbeat_ = 0;
   bool urgent_messages_ = false;  ///< queued for other controllers; not to be delayed
-  bool forwarding_ = false;       ///< reports or answers are queued for them
+  bool forwarding_ = false;       ///< heartbeats or answers are queued for them
   double next_flush_ = state::kNever;
   runtime::CoalescingTimer flush_wake_;
   bool told_leader_heard_ = true;  ///< in the last heartbeat
--- /dev/null
+++ b/src/dispatch/command_composer.cpp
@@ -0,0 +1,84 @@
+#include "dispatch/command_composer.hpp"
+
+#include <algorithm>
+
+#include "config/constants.hpp"
+
+namespace elmstall::dispatch {
+
+namespace k = constants;
+using wire::TaskState;
+using wire::Verb;
+
+std::vector<wire::WorkerCommand> CommandComposer::cancellations(const state::Machine& machine) {
+  Commands commands;
+  for (const auto* task : machine.tasks) {
+    if (commands.size() >= k::kMaxCommands) break;
+    const bool may_be_there =
+        task->phase == state::Phase::assigned && task->stopping && task->job->cancelled;
+    if (may_be_there)
+      commands.push_back({Verb::stop, task->job->id, task->index, task->attempt, 0});
+  }
+  return commands;
+}
+
+bool CommandComposer::may_clear(const state::Exited& exited) {
+  // Only after what it reported is recorded: once cleared, the worker would
+  // start the attempt anew.
+  auto* job = model_.job(exited.job);
+  if (job == nullptr) return true;
+  if (group_commit_.finishing(exited.job)) return false;
+  const auto block = job->blocks.find(exited.index / store::block_size(settings_.state.value_kb));
+  return block == job->blocks.end() || block->second->record->clean();
+}
+
+void CommandComposer::add_clears(const state::Machine& machine, Commands& commands) {
+  for (const auto& exited : machine.exited) {
+    if (commands.size() >= k::kMaxCommands) return;
+    if (may_clear(exited))
+      commands.push_back({Verb::clear, exited.job, exited.index, exited.attempt, 0});
+  }
+}
+
+void CommandComposer::add_stop(state::Task& task, double now, Commands& commands) {
+  // A task that saves is left alone unless its work is of no use. One that
+  // waits for its gang to have saved may be reported as running.
+  if (task.grace_period_s > 0) {
+    if (task.state == TaskState::checkpointing || now < task.stop_sent + k::kStopRepeat) return;
+    task.stop_sent = now;
+  }
+  commands.push_back({Verb::stop, task.job->id, task.index, task.attempt, task.grace_period_s});
+}
+
+bool CommandComposer::run_due(const state::Task& task, const state::Machine& machine) {
+  if (task.in_last_heartbeat || task.block->record->written < task.required_version) return false;
+  if (task.job->is_gang() && !gangs_.may_run(task)) return false;
+  // While the machine knows an earlier attempt it would refuse this one.
+  return std::none_of(
+      machine.exited.begin(), machine.exited.end(), [&](const state::Exited& exited) {
+        return exited.index == task.index && exited.job == task.job->id && !may_clear(exited);
+      });
+}
+
+std::vector<wire::WorkerCommand> CommandComposer::compose(state::Machine& machine, double now,
+                                                          bool starting) {
+  Commands commands = cancellations(machine);
+  for (const auto& name : machine.unrecorded_tasks) {
+    if (commands.size() >= k::kMaxCommands) break;
+    commands.push_back({Verb::stop, name.job, name.index, name.attempt, 0});
+  }
+  add_clears(machine, commands);
+  for (auto* task : machine.tasks) {
+    if (commands.size() >= k::kMaxCommands) break;
+    if (task->phase != state::Phase::assigned || task->job->cancelled) continue;
+    if (task->stopping) {
+      add_stop(*task, now, commands);
+    } else if (starting && run_due(*task, machine)) {
+      commands.push_back({Verb::run, task->job->id, task->index, task->attempt, 0});
+      task->run_sent = true;
+    }
+  }
+  return commands;
+}
+
+}  // namespace elmstall::dispatch
--- a/src/dispatch/order_composer.hpp
+++ b/src/dispatch/command_composer.hpp
@@ -8,24 +8,26 @@
 
 namespace elmstall::dispatch {
 
-class OrderComposer {
+class CommandComposer {
  public:
-  OrderComposer(const config::Settings& settings, state::Model& model,
-                const state::GroupCommit& group_commit, placement::GangCoordinator& gangs)
+  CommandComposer(const config::Settings& settings, state::Model& model,
+                  const state::GroupCommit& group_commit, placement::GangCoordinator& gangs)
       : settings_(settings), model_(model), group_commit_(group_commit), gangs_(gangs) {}
 
   /// All that is due there; `starting`: also what starts a task.
-  [[nodiscard]] std::vector<wire::Order> compose(state::Host& host, double now, bool starting);
+  [[nodiscard]] std::vector<wire::WorkerCommand> compose(state::Machine& machine, double now,
+                                                         bool starting);
   /// What no answer that renews the machine's lease may lack.
-  [[nodiscard]] static std::vector<wire::Order> cancellations(const state::Host& host);
+  [[nodiscard]] static std::vector<wire::WorkerCommand> cancellations(
+      const state::Machine& machine);
 
  private:
-  using Orders = std::vector<wire::Order>;
+  using Commands = std::vector<wire::WorkerCommand>;
 
-  void add_clears(const state::Host& host, Orders& orders);
-  static void add_stop(state::Task& task, double now, Orders& orders);
+  void add_clears(const state::Machine& machine, Commands& commands);
+  static void add_stop(state::Task& task, double now, Commands& commands);
   /// The machine may be told to run the task.
-  [[nodiscard]] bool run_due(const state::Task& task, const state::Host& host);
+  [[nodiscard]] bool run_due(const state::Task& task, const state::Machine& machine);
   [[nodiscard]] bool may_clear(const state::Exited& exited);
 
   const config::Settings& settings_;
--- a/src/election/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -17,7 +17,7 @@
   using Waiter = std::function<void(bool current)>;
 
   /// `gap`: seconds between two requests, which serve all who came meanwhile.
-  ReadIndex(runtime::EventLoop& event_loop, runtime::CommandQueue& queue, store::Store& store,
+  ReadIndex(runtime::EventLoop& event_loop, runtime::CommandQueue& queue, store::StateStore& store,
             const store::Mirror& mirror, double gap)
       : loop_(event_loop),
         store_(store),
@@ -47,7 +47,7 @@
   void probe();
 
   runtime::EventLoop& loop_;
-  store::Store& store_;
+  store::StateStore& store_;
   const store::Mirror& mirror_;
   runtime::CommandScope scope_;
   std::vector<Waiting> next_;     ///< wait for a probe to be sent
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -11,18 +11,18 @@
 namespace k = constants;
 using store::Outcome;
 
-void ZoneDelegate::on_report(Waiting waiting, const View& view) {
-  if (waiting.report.zone != settings_.zone) return waiting.respond({503, {}, 0});
+void ZoneDelegate::on_heartbeat(Waiting waiting, const View& view) {
+  if (waiting.heartbeat.zone != settings_.zone) return waiting.respond({503, {}, 0});
   // It would drop an answer of ours, and be kept here while its lease runs out.
-  if (waiting.report.token >> k::kTokenFenceBits > mirror_.term())
+  if (waiting.heartbeat.token >> k::kTokenFenceBits > mirror_.term())
     return waiting.respond({503, {}, 0});
-  if (delegation_valid() || may_answer_unrecorded(waiting.report.host, view))
-    return answer(waiting.report, waiting.respond);
+  if (delegation_valid() || may_reply_unrecorded(waiting.heartbeat.machine, view))
+    return reply(waiting.heartbeat, waiting.respond);
   waiting_.push_back(std::move(waiting));
   if (state_ == State::idle) begin();
 }
 
-bool ZoneDelegate::may_answer_unrecorded(const std::string& host, const View& view) const {
+bool ZoneDelegate::may_reply_unrecorded(const std::string& machine, const View& view) const {
   const double now = loop_.now();
   if (view.leader_heard || view.state_reachable || !mirror_.loaded()) return false;
   // As for a leader: what is known of the term and of cancellations must be
@@ -31,12 +31,12 @@
   if (!view.neighbour.empty()) return true;
   // Perhaps only this node is cut off, and its workers can do better elsewhere:
   // one that was sent away and is back could not.
-  const auto sent = turned_away_.find(host);
+  const auto sent = turned_away_.find(machine);
   return sent != turned_away_.end() && now > sent->second;
 }
 
 void ZoneDelegate::turn_away(const Waiting& one, const View& view) {
-  turned_away_[one.report.host] = loop_.now();
+  turned_away_[one.heartbeat.machine] = loop_.now();
   // In a zone that is cut off the others are not to be reached, and trying
   // them takes 5 s each. With us or our neighbour it is heard when the cut ends.
   if (!view.neighbour.empty()) {
@@ -54,40 +54,41 @@
          now - read_index_.current_as_of() < k::kDelegationKnowledge;
 }
 
-void ZoneDelegate::answer(const wire::Report& report, const net::Responder& respond) {
-  const auto found = mirror_.hosts().find(report.host);
+void ZoneDelegate::reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond) {
+  const auto found = mirror_.machines().find(heartbeat.machine);
   // Unknown to the leader, or about to be called gone: not ours to keep.
-  if (found == mirror_.hosts().end() || found->second.record.retired) return respond({503, {}, 0});
-  if (may_start_cancelled(report)) return respond({503, {}, 0});
-  std::vector<wire::Order> orders;
-  for (const auto& task : report.tasks) {
+  if (found == mirror_.machines().end() || found->second.record.retired)
+    return respond({503, {}, 0});
+  if (may_start_cancelled(heartbeat)) return respond({503, {}, 0});
+  std::vector<wire::WorkerCommand> commands;
+  for (const auto& task : heartbeat.tasks) {
     const auto* job = mirror_.job(task.job);
     if (job == nullptr || !job->record.cancelled || task.state == wire::TaskState::ended) continue;
-    orders.push_back({wire::Verb::stop, task.job, task.index, task.attempt, 0});
+    commands.push_back({wire::Verb::stop, task.job, task.index, task.attempt, 0});
   }
-  answered_at_ = loop_.now();
+  replied_at_ = loop_.now();
   // The leader may have raised this machine's fence: a lower token than it has
   // seen would be dropped, and with it the lease.
-  const bool present = report.token >> k::kTokenFenceBits == mirror_.term();
-  respond(
-      {200,
-       wire::encode_orders(present ? report.token : mirror_.term() << k::kTokenFenceBits, orders),
-       0});
+  const bool present = heartbeat.token >> k::kTokenFenceBits == mirror_.term();
+  respond({200,
+           wire::encode_heartbeat_reply(
+               present ? heartbeat.token : mirror_.term() << k::kTokenFenceBits, commands),
+           0});
 }
 
-bool ZoneDelegate::may_start_cancelled(const wire::Report& report) const {
+bool ZoneDelegate::may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const {
   // A `run` that is held on its way is carried out whenever it arrives, as
-  // long as the machine has seen no higher token and its session lives. A
-  // zone delegate has no higher token to give, so it ends the session instead.
+  // long as the machine has seen no higher token and its epoch lives. A
+  // zone delegate has no higher token to give, so it ends the epoch instead.
   for (const auto& id : mirror_.cancelled()) {
     const auto* blocks = mirror_.blocks(id);
     if (blocks == nullptr) continue;
     for (const auto& [number, block] : *blocks) {
       const bool held = std::any_of(
           block.record.tasks.begin(), block.record.tasks.end(), [&](const store::TaskRecord& task) {
-            return task.host == report.host &&
-                   std::none_of(report.tasks.begin(), report.tasks.end(),
-                                [&](const wire::TaskReport& shown) {
+            return task.machine == heartbeat.machine &&
+                   std::none_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                                [&](const wire::TaskStatus& shown) {
                                   return shown.index == task.index &&
                                          shown.attempt == task.attempt && shown.job == id;
                                 });
@@ -110,15 +111,16 @@
     if (round != round_) return;
     if (granted.outcome != Outcome::ok) return fail();
     lease_ = granted.lease;
-    wire::Txn txn;
+    wire::Transaction transaction;
     // By its own version too: an earlier attempt's transaction that is applied
     // later would hang the record on that attempt's lease.
     const auto key = store::delegation_key(settings_.node);
     const auto own = mirror_.delegations().find(settings_.node);
-    txn.guards = {{std::string(store::kTermKey), mirror_.term_stamp()},
-                  {key, own == mirror_.delegations().end() ? 0 : own->second.second}};
-    txn.writes = {{key, store::encode(store::DelegationRecord{settings_.zone}), lease_}};
-    store_.commit(std::move(txn),
+    transaction.preconditions = {
+        {std::string(store::kTermKey), mirror_.term_revision()},
+        {key, own == mirror_.delegations().end() ? 0 : own->second.second}};
+    transaction.writes = {{key, store::encode(store::DelegationRecord{settings_.zone}), lease_}};
+    store_.commit(std::move(transaction),
                   scope_.wrap([this, round, fail, sent](const store::CommitResult& result) {
                     if (round != round_) return;
                     if (result.outcome != Outcome::ok) return fail();
@@ -132,7 +134,7 @@
 
 void ZoneDelegate::renew() {
   const double sent = loop_.now();
-  next_renew_ = sent + k::kRenewEvery;
+  next_renew_ = sent + k::kRenewInterval;
   store_.renew(lease_, scope_.wrap([this, sent, round = round_](Outcome outcome) {
     if (round != round_) return;
     if (outcome == Outcome::ok) {
@@ -153,18 +155,18 @@
   // lease removes it.
   const auto found = mirror_.delegations().find(settings_.node);
   if (found == mirror_.delegations().end()) return;
-  wire::Txn txn;
-  txn.guards = {{store::delegation_key(settings_.node), found->second.second}};
-  txn.writes = {{store::delegation_key(settings_.node), std::nullopt, 0}};
-  store_.commit(std::move(txn), [](const store::CommitResult&) {});
+  wire::Transaction transaction;
+  transaction.preconditions = {{store::delegation_key(settings_.node), found->second.second}};
+  transaction.writes = {{store::delegation_key(settings_.node), std::nullopt, 0}};
+  store_.commit(std::move(transaction), [](const store::CommitResult&) {});
 }
 
-void ZoneDelegate::answer_waiting(const View& view) {
+void ZoneDelegate::reply_to_waiting(const View& view) {
   const double now = loop_.now();
   std::vector<Waiting> left;
   for (auto& one : waiting_) {
-    if (delegation_valid() || may_answer_unrecorded(one.report.host, view)) {
-      answer(one.report, one.respond);
+    if (delegation_valid() || may_reply_unrecorded(one.heartbeat.machine, view)) {
+      reply(one.heartbeat, one.respond);
     } else if (now >= one.until) {
       turn_away(one, view);
     } else {
@@ -176,7 +178,7 @@
 
 void ZoneDelegate::tick(const View& view) {
   const double now = loop_.now();
-  answer_waiting(view);
+  reply_to_waiting(view);
   std::erase_if(turned_away_, [&](const auto& entry) {
     return view.leader_heard || now - entry.second > k::kTurnedAwayMemory;
   });
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -1,9 +1,9 @@
 // Keeps the leases of a zone's machines alive while their leader can't.
 //
-// A follower that gets reports of machines whose leader it can't hear either
+// A follower that gets heartbeats of machines whose leader it can't hear either
 // records that it is the delegate of its zone, and then renews leases: it starts
 // nothing and stops only tasks of cancelled jobs. The record hangs on a state
-// lease, and reports are answered under it only while that lease certainly
+// lease, and heartbeats are answered under it only while that lease certainly
 // lives.
 //
 // Where the zone is cut off from the state service too, nothing can be
@@ -26,7 +26,7 @@
 class ZoneDelegate {
  public:
   ZoneDelegate(const config::Settings& settings, runtime::EventLoop& event_loop,
-               runtime::CommandQueue& queue, store::Store& store, const store::Mirror& mirror,
+               runtime::CommandQueue& queue, store::StateStore& store, const store::Mirror& mirror,
                const ReadIndex& read_index)
       : settings_(settings),
         loop_(event_loop),
@@ -34,7 +34,7 @@
         mirror_(mirror),
         read_index_(read_index),
         scope_(queue),
-        answered_at_(event_loop.now()) {}
+        replied_at_(event_loop.now()) {}
 
   /// What the node sees of the world around it.
   struct View {
@@ -44,44 +44,44 @@
     /// heard, which does not hear the leader either: the zone is cut off.
     std::string neighbour;
   };
-  /// A report that nobody could answer yet, as read and as it came.
+  /// A heartbeat that nobody could answer yet, as read and as it came.
   struct Waiting {
-    wire::Report report;
+    wire::WorkerHeartbeat heartbeat;
     std::string body;
     net::Responder respond;
     double until = 0;
   };
 
-  /// Answers a report of this zone, now or once that is possible; past `until`
+  /// Answers a heartbeat of this zone, now or once that is possible; past `until`
   /// the worker is sent away.
-  void on_report(Waiting waiting, const View& view);
-  /// Reports that still wait, for whoever can answer them now.
+  void on_heartbeat(Waiting waiting, const View& view);
+  /// Heartbeats that still wait, for whoever can answer them now.
   [[nodiscard]] std::vector<Waiting> take_waiting() { return std::exchange(waiting_, {}); }
   /// Renews the delegation, or ends it when the leader can be heard again.
   void tick(const View& view);
   /// Answers nobody from here on; does nothing where there is no delegation.
   void end(const char* why);
   [[nodiscard]] bool active() const { return state_ != State::idle; }
-  /// When a report was last answered on the own account; when the process
+  /// When a heartbeat was last answered on the own account; when the process
   /// began, at first, for nobody knows what the one before it did.
-  [[nodiscard]] double answered_at() const { return answered_at_; }
+  [[nodiscard]] double replied_at() const { return replied_at_; }
 
  private:
   enum class State : std::uint8_t { idle, starting, active };
 
   void begin();
   void renew();
-  void answer_waiting(const View& view);
+  void reply_to_waiting(const View& view);
   void turn_away(const Waiting& one, const View& view);
   [[nodiscard]] bool delegation_valid() const;
-  [[nodiscard]] bool may_answer_unrecorded(const std::string& host, const View& view) const;
-  void answer(const wire::Report& report, const net::Responder& respond);
+  [[nodiscard]] bool may_reply_unrecorded(const std::string& machine, const View& view) const;
+  void reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
   /// The records place a task of a cancelled job there that it does not show.
-  [[nodiscard]] bool may_start_cancelled(const wire::Report& report) const;
+  [[nodiscard]] bool may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const;
 
   const config::Settings& settings_;
   runtime::EventLoop& loop_;
-  store::Store& store_;
+  store::StateStore& store_;
   const store::Mirror& mirror_;
   const ReadIndex& read_index_;
   runtime::CommandScope scope_;
@@ -92,7 +92,7 @@
   double renewed_ = -1e18;      ///< when the last successful renewal was sent
   double next_renew_ = 0;
   double heard_since_ = -1;
-  double answered_at_;
+  double replied_at_;
   std::vector<Waiting> waiting_;
   std::map<std::string, double> turned_away_;  ///< machines that were, and when
 };
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -269,7 +269,7 @@
 std::size_t HttpServer::connections() const { return shared_->open; }
 
 void HttpServer::check_deadlines() {
-  deadline_check_.expires_after(ms(constants::kDeadlineCheckEvery));
+  deadline_check_.expires_after(ms(constants::kDeadlineCheckInterval));
   deadline_check_.async_wait([this, shared = shared_](asio::error_code error) {
     if (error || shared->closed) return;
     const auto now = Clock::now();
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -35,7 +35,7 @@
   buffer_.erase(0, consumed_);
   consumed_ = 0;
   // One large message must not hold its memory for ever.
-  if (buffer_.empty() && buffer_.capacity() > constants::kMeshWriteBytes) buffer_.shrink_to_fit();
+  if (buffer_.empty() && buffer_.capacity() > constants::kPeerWriteBytes) buffer_.shrink_to_fit();
   buffer_.append(bytes);
 }
 
@@ -43,7 +43,7 @@
   const auto left = std::string_view(buffer_).substr(consumed_);
   if (left.size() < kHeaderBytes) return std::nullopt;
   const std::size_t length = decode_length(left);
-  if (length > constants::kMaxMeshBytes) throw FrameTooLarge("it is too large");
+  if (length > constants::kMaxPeerMessageBytes) throw FrameTooLarge("it is too large");
   if (left.size() < kHeaderBytes + length) return std::nullopt;
   consumed_ += kHeaderBytes + length;
   return left.substr(kHeaderBytes, length);
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -21,18 +21,18 @@
   /// How far its copy of the records is, 0 while it is not whole. What the
   /// records forbid at that point it never does later.
   std::uint64_t revision = 0;
-  /// Seconds since it last answered a report on its own, at most since its
+  /// Seconds since it last answered a heartbeat on its own, at most since its
   /// process began.
-  double answered_ago_s = 0;
+  double replied_ago_s = 0;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(node, term, leader, state_reachable, leader_heard, revision, answered_ago_s);
+    archive(node, term, leader, state_reachable, leader_heard, revision, replied_ago_s);
   }
 };
 
-/// A worker's report that reached a node the worker can't leave for the
+/// A worker's heartbeat that reached a node the worker can't leave for the
 /// leader; the leader's answer goes back the same way.
-struct ForwardedReport {
+struct ForwardedHeartbeat {
   std::string node;
   std::uint64_t id = 0;
   std::string body;
@@ -61,7 +61,7 @@
   }
 };
 
-using Message = std::variant<Heartbeat, ForwardedReport, ForwardedReply, Cancelled>;
+using Message = std::variant<Heartbeat, ForwardedHeartbeat, ForwardedReply, Cancelled>;
 
 [[nodiscard]] std::string encode(const Message& message);
 /// Throws std::exception on bad input.
--- a/src/peer/tcp_transport.cpp
+++ b/src/peer/tcp_transport.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 /// Connection to one peer; connects when there is something to send.
-class TcpMesh::Outgoing : public std::enable_shared_from_this<Outgoing> {
+class TcpTransport::Outgoing : public std::enable_shared_from_this<Outgoing> {
  public:
   Outgoing(asio::io_context& io, asio::ip::tcp::endpoint endpoint)
       : socket_(io), timer_(io), endpoint_(std::move(endpoint)) {}
@@ -29,7 +29,7 @@
     // is the least worth.
     queue_.push_back(std::move(text));
     bytes_ += queue_.back().size();
-    while (bytes_ > constants::kMaxMeshBytes && queue_.size() > 1) {
+    while (bytes_ > constants::kMaxPeerMessageBytes && queue_.size() > 1) {
       bytes_ -= queue_.front().size();
       queue_.pop_front();
     }
@@ -87,7 +87,7 @@
   void take_batch() {
     current_.clear();
     while (!queue_.empty() && (current_.empty() || current_.size() + queue_.front().size() <=
-                                                       constants::kMeshWriteBytes)) {
+                                                       constants::kPeerWriteBytes)) {
       current_ += queue_.front();
       bytes_ -= queue_.front().size();
       queue_.pop_front();
@@ -138,7 +138,7 @@
   bool closed_ = false;
 };
 
-class TcpMesh::Incoming : public std::enable_shared_from_this<Incoming> {
+class TcpTransport::Incoming : public std::enable_shared_from_this<Incoming> {
  public:
   Incoming(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared)
       : socket_(std::move(socket)), shared_(std::move(shared)) {
@@ -184,12 +184,12 @@
 
   asio::ip::tcp::socket socket_;
   std::shared_ptr<Shared> shared_;
-  std::array<char, constants::kMeshReadBytes> chunk_{};
+  std::array<char, constants::kPeerReadBytes> chunk_{};
   FrameReader frames_;
 };
 
-TcpMesh::TcpMesh(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
-                 const std::vector<config::Peer>& peers, Receiver receiver)
+TcpTransport::TcpTransport(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
+                           const std::vector<config::Peer>& peers, Receiver receiver)
     : shared_(std::make_shared<Shared>()), acceptor_(io) {
   shared_->receiver = std::move(receiver);
   // A peer that lost its connection silently opens another one.
@@ -203,13 +203,13 @@
   accept();
 }
 
-TcpMesh::~TcpMesh() {
+TcpTransport::~TcpTransport() {
   shared_->closed = true;
   for (auto& [name, peer] : peers_) peer->close();
   for (auto* connection : std::unordered_set<Incoming*>(shared_->incoming)) connection->close();
 }
 
-void TcpMesh::accept() {
+void TcpTransport::accept() {
   acceptor_.async_accept(
       [this, shared = shared_](asio::error_code error, asio::ip::tcp::socket socket) {
         if (shared->closed || error == asio::error::operation_aborted) return;
@@ -221,16 +221,16 @@
       });
 }
 
-void TcpMesh::broadcast(const Message& message) {
+void TcpTransport::broadcast(const Message& message) {
   const auto text = frame(encode(message));
   for (auto& [name, peer] : peers_) peer->send(text);
 }
 
-void TcpMesh::flush() {
+void TcpTransport::flush() {
   for (auto& [name, peer] : peers_) peer->flush();
 }
 
-void TcpMesh::send(const std::string& node, const Message& message) {
+void TcpTransport::send(const std::string& node, const Message& message) {
   const auto found = peers_.find(node);
   if (found != peers_.end()) found->second->send(frame(encode(message)));
 }
--- a/src/peer/tcp_transport.hpp
+++ b/src/peer/tcp_transport.hpp
@@ -1,4 +1,4 @@
-// Mesh over TCP: each node keeps one connection to every other node and only
+// Transport over TCP: each node keeps one connection to every other node and only
 // writes to it; frames hold one cereal message each.
 #pragma once
 
@@ -13,11 +13,11 @@
 
 namespace elmstall::peer {
 
-class TcpMesh : public Mesh {
+class TcpTransport : public Transport {
  public:
-  TcpMesh(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
-          const std::vector<config::Peer>& peers, Receiver receiver);
-  ~TcpMesh() override;
+  TcpTransport(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
+               const std::vector<config::Peer>& peers, Receiver receiver);
+  ~TcpTransport() override;
 
   void broadcast(const Message& message) override;
   void send(const std::string& node, const Message& message) override;
--- a/src/peer/transport.hpp
+++ b/src/peer/transport.hpp
@@ -8,9 +8,9 @@
 
 namespace elmstall::peer {
 
-class Mesh {
+class Transport {
  public:
-  virtual ~Mesh() = default;
+  virtual ~Transport() = default;
   /// Both only queue the message; `flush` sends what is queued.
   virtual void broadcast(const Message& message) = 0;
   virtual void send(const std::string& node, const Message& message) = 0;
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -8,7 +8,8 @@
 
 namespace elmstall::placement {
 
-std::optional<double> aim_s(const config::Settings& settings, const state::Job& job) {
+std::optional<double> completion_objective_s(const config::Settings& settings,
+                                             const state::Job& job) {
   if (job.spec.due_s) return job.spec.due_s;
   for (const auto& aim : settings.objectives) {
     if (aim.kind == "finished" && aim.job_class == job.spec.job_class && aim.within_s > 0)
@@ -17,89 +18,89 @@
   return std::nullopt;
 }
 
-bool Planner::usable(const state::Host& host, double now, const config::Settings& settings) {
-  return host.synchronized && !host.unresponsive && host.recorded() && !host.releasing &&
-         !host.quarantined && !host.recall_at && !host.has_unknown_jobs &&
-         now - host.last_report < settings.silent_after_s();
+bool Planner::usable(const state::Machine& machine, double now, const config::Settings& settings) {
+  return machine.synchronized && !machine.unresponsive && machine.recorded() &&
+         !machine.terminating && !machine.quarantined && !machine.interruption_at &&
+         !machine.has_unknown_jobs && now - machine.last_heartbeat < settings.silent_after_s();
 }
 
-bool Planner::may_run(const state::Job& job, const state::Host& host) {
-  return state::Model::allowed(job, host) && job.need.fits(host.capacity);
+bool Planner::may_run(const state::Job& job, const state::Machine& machine) {
+  return state::Model::allowed(job, machine) && job.need.fits(machine.capacity);
 }
 
-bool Planner::startable(const state::Task& task, const state::Host& host, double now) const {
+bool Planner::startable(const state::Task& task, const state::Machine& machine, double now) const {
   const auto& job = *task.job;
   return task.phase == state::Phase::pending && task.not_before <= now && job.failed_until <= now &&
-         !job.cancelled && state::Model::allowed(job, host) && job.need.fits(host.room()) &&
+         !job.cancelled && state::Model::allowed(job, machine) && job.need.fits(machine.room()) &&
          state::Model::within_quota(job) && model_.recordable(task);
 }
 
 sched::Eligible Planner::eligible() {
   return [this](sched::TaskId id, const std::string& worker) {
     const auto* job = model_.job_of(id);
-    const auto* host = model_.find_host(worker);
-    return job != nullptr && host != nullptr && may_run(*job, *host);
+    const auto* machine = model_.find_machine(worker);
+    return job != nullptr && machine != nullptr && may_run(*job, *machine);
   };
 }
 
-void Planner::forget(state::Task& task) {
+void Planner::dequeue(state::Task& task) {
   if (!std::exchange(task.listed, false)) return;
   for (auto& [name, group] : groups_) {
     if (group.remove(task.id)) break;
   }
 }
 
-void Planner::update_worker(state::Host& host, double now) {
+void Planner::update_worker(state::Machine& machine, double now) {
   ++steps_;
-  if (!usable(host, now, settings_)) return remove_worker(host);
-  const auto room = host.room();
-  const auto note = [&host](state::HostSet& set, bool belongs) {
+  if (!usable(machine, now, settings_)) return remove_worker(machine);
+  const auto room = machine.room();
+  const auto note = [&machine](state::MachineSet& set, bool belongs) {
     if (belongs) {
-      set.insert(&host);
+      set.insert(&machine);
     } else {
-      set.erase(&host);
+      set.erase(&machine);
     }
   };
-  note(roomy_, model_.least_need().fits(room));
+  note(machines_with_room_, model_.least_need().fits(room));
   const auto& least_of_gangs = model_.least_gang_need();
-  note(roomy_for_gangs_, least_of_gangs && least_of_gangs->fits(room));
+  note(machines_with_room_for_gangs_, least_of_gangs && least_of_gangs->fits(room));
   const auto in_transit = static_cast<std::size_t>(
-      std::count_if(host.tasks.begin(), host.tasks.end(), [](const state::Task* task) {
-        return task->phase == state::Phase::assigned && !task->seen;
+      std::count_if(machine.tasks.begin(), machine.tasks.end(), [](const state::Task* task) {
+        return task->phase == state::Phase::assigned && !task->in_last_heartbeat;
       }));
   // Machines of a group are alike; the slots follow from the task at hand.
-  const double used_share = host.used.share_of(host.capacity);
+  const double used_share = machine.used.share_of(machine.capacity);
   const double per_task =
-      host.tasks.empty() ? 0.5 : used_share / static_cast<double>(host.tasks.size());
+      machine.tasks.empty() ? 0.5 : used_share / static_cast<double>(machine.tasks.size());
   const double slots = per_task > 0 ? std::floor(1.0 / per_task + 1e-6) : 1;
   const bool has_room = room.cpus > 0 && used_share + per_task <= 1 + 1e-6;
-  groups_[group_name(host)].set_worker(host.id, in_transit, slots, has_room);
+  groups_[group_name(machine)].set_worker(machine.id, in_transit, slots, has_room);
 }
 
 void Planner::update_workers(double now) {
   // What changed is looked at in every round; what only time changes, like a
   // machine's silence, once a second.
   if (now >= next_review_) {
-    next_review_ = now + constants::kReviewEvery;
+    next_review_ = now + constants::kReviewInterval;
     model_.refresh_least_need();
-    for (const auto& [id, host] : model_.hosts()) model_.mark_dirty(*host);
+    for (const auto& [id, machine] : model_.machines()) model_.mark_dirty(*machine);
     const auto may = eligible();
     for (auto& [name, group] : groups_) group.settle_inbox(may);
   }
-  for (auto* host : model_.take_dirty()) update_worker(*host, now);
+  for (auto* machine : model_.take_dirty()) update_worker(*machine, now);
 }
 
-void Planner::remove_worker(state::Host& host) {
-  roomy_.erase(&host);
-  roomy_for_gangs_.erase(&host);
-  if (const auto found = groups_.find(group_name(host)); found != groups_.end())
-    found->second.remove_worker(host.id);
+void Planner::remove_worker(state::Machine& machine) {
+  machines_with_room_.erase(&machine);
+  machines_with_room_for_gangs_.erase(&machine);
+  if (const auto found = groups_.find(group_name(machine)); found != groups_.end())
+    found->second.remove_worker(machine.id);
 }
 
 Planner::QueuePosition Planner::queue_position(const state::Job& job, double now) const {
   QueuePosition place{precedence(job), 0, 0,
                       estimates_.run_time(job.spec.job_class, job.spec.expect_s)};
-  const auto aim = aim_s(settings_, job);
+  const auto aim = completion_objective_s(settings_, job);
   place.due = job.submitted + aim.value_or(constants::kNoAim);
   const double waited = now - job.submitted;
   if (!job.begun && waited > constants::kBeginWithin) {
@@ -120,7 +121,7 @@
 
 void Planner::reorder(double now) {
   if (now < next_reorder_) return;
-  next_reorder_ = now + constants::kReorderEvery;
+  next_reorder_ = now + constants::kReorderInterval;
   // All tasks of a job stand alike.
   std::map<std::uint64_t, QueuePosition> known;
   const auto may = eligible();
@@ -213,45 +214,45 @@
 void Planner::settle_planned(double now) {
   const auto planned = model_.planned();
   for (auto* task : planned) {
-    if (task->job->gang()) continue;
-    auto& host = *task->host;
-    if (!usable(host, now, settings_)) {
+    if (task->job->is_gang()) continue;
+    auto& machine = *task->machine;
+    if (!usable(machine, now, settings_)) {
       model_.unplan(*task);
       continue;
     }
-    sched::Amount taken = host.unrecorded_use;
-    for (const auto* other : host.tasks) {
+    sched::Amount taken = machine.unrecorded_use;
+    for (const auto* other : machine.tasks) {
       if (other->phase == state::Phase::assigned) taken += other->job->need;
     }
-    if (!task->job->need.fits(host.capacity - taken)) continue;
+    if (!task->job->need.fits(machine.capacity - taken)) continue;
     model_.unplan(*task);
-    if (state::Model::allowed(*task->job, host) && state::Model::within_quota(*task->job))
-      model_.assign(*task, host, now);
+    if (state::Model::allowed(*task->job, machine) && state::Model::within_quota(*task->job))
+      model_.assign(*task, machine, now);
   }
 }
 
-double Planner::score(const state::Job& job, const state::Host& host) const {
-  const auto* machine_type = model_.machine_type(host.type);
+double Planner::score(const state::Job& job, const state::Machine& machine) const {
+  const auto* machine_type = model_.machine_type(machine.type);
   const double rate = machine_type == nullptr || machine_type->fetch_gb_per_s <= 0
                           ? 1
                           : machine_type->fetch_gb_per_s;
-  double points = host.caches(job.image) ? 0 : -job.spec.image_gb / rate;
-  const auto found = job.per_zone.find(host.zone);
+  double points = machine.caches(job.image) ? 0 : -job.spec.image_gb / rate;
+  const auto found = job.per_zone.find(machine.zone);
   points -= found == job.per_zone.end()
                 ? 0
-                : 4.0 * found->second;                // spread, worth some seconds of fetching
-  points += 2.0 * host.used.share_of(host.capacity);  // fill machines: empty ones can go
+                : 4.0 * found->second;  // spread, worth some seconds of fetching
+  points += 2.0 * machine.used.share_of(machine.capacity);  // fill machines: empty ones can go
   return points;
 }
 
-state::Host* Planner::best_room(const state::Job& job) const {
-  state::Host* best = nullptr;
+state::Machine* Planner::best_room(const state::Job& job) const {
+  state::Machine* best = nullptr;
   double best_score = 0;
-  for (auto* host : roomy_) {
-    if (!job.need.fits(host->room()) || !state::Model::allowed(job, *host)) continue;
-    const double points = score(job, *host);
+  for (auto* machine : machines_with_room_) {
+    if (!job.need.fits(machine->room()) || !state::Model::allowed(job, *machine)) continue;
+    const double points = score(job, *machine);
     if (best != nullptr && points <= best_score) continue;
-    best = host;
+    best = machine;
     best_score = points;
   }
   return best;
@@ -260,11 +261,11 @@
 std::optional<Planner::Candidate> Planner::best_displacing(const state::Job& job,
                                                            double now) const {
   std::optional<Candidate> best;
-  for (const auto& [id, host] : model_.hosts()) {
-    if (!usable(*host, now, settings_) || !may_run(job, *host)) continue;
-    auto chosen = victims(job, *host, job.need, now);
+  for (const auto& [id, machine] : model_.machines()) {
+    if (!usable(*machine, now, settings_) || !may_run(job, *machine)) continue;
+    auto chosen = victims(job, *machine, job.need, now);
     if (!chosen) continue;
-    Candidate candidate{host.get(), score(job, *host), std::move(*chosen)};
+    Candidate candidate{machine.get(), score(job, *machine), std::move(*chosen)};
     for (const auto* task : candidate.victims) candidate.score -= lost_work(*task, now) * 0.2;
     if (!best || candidate.score > best->score) best = std::move(candidate);
   }
@@ -274,7 +275,7 @@
 std::optional<Planner::Candidate> Planner::displace(state::Job& job, double now) {
   // A search walks through all machines: not often for one job, and few in
   // one round.
-  if (now < job.searched_at + constants::kDisplaceEvery ||
+  if (now < job.searched_at + constants::kDisplaceInterval ||
       searches_ >= constants::kDisplaceSearches || !anything_lesser(settings_, model_, job))
     return std::nullopt;
   ++searches_;
@@ -286,17 +287,17 @@
 void Planner::choose_zone(state::Job& job, double now) {
   if (!job.spec.together || !job.per_zone.empty() || job.spec.zone) return;
   std::map<std::string, double> free;
-  for (const auto& [id, host] : model_.hosts()) {
-    if (!usable(*host, now, settings_) || (host->spot && !job.spec.spot) ||
-        !job.need.fits(host->capacity))
+  for (const auto& [id, machine] : model_.machines()) {
+    if (!usable(*machine, now, settings_) || (machine->spot && !job.spec.spot) ||
+        !job.need.fits(machine->capacity))
       continue;
-    sched::Amount room = host->room();
-    for (const auto* task : host->tasks) {
+    sched::Amount room = machine->room();
+    for (const auto* task : machine->tasks) {
       if (may_stop(job, *task)) room += task->job->need;
     }
     while (job.need.fits(room)) {
       room -= job.need;
-      free[host->zone] += 1;
+      free[machine->zone] += 1;
     }
   }
   const auto best = std::max_element(
@@ -312,15 +313,15 @@
       left = true;
       if (task.not_before > now || !model_.recordable(task)) continue;
       if (!state::Model::within_quota(job)) return true;
-      if (auto* host = best_room(job)) {
-        model_.assign(task, *host, now);
+      if (auto* machine = best_room(job)) {
+        model_.assign(task, *machine, now);
         continue;
       }
       const auto place = displace(job, now);
       if (!place) return true;
       for (auto* victim : place->victims)
         stop_task(model_, *victim, true, now, now + constants::kPreemptPause);
-      model_.plan(task, *place->host);
+      model_.plan(task, *place->machine);
     }
   }
   return left;
@@ -338,8 +339,8 @@
     return x != y ? x > y : a->submitted < b->submitted;
   });
   for (auto* job : waiting) {
-    if (job->gang()) {
-      if (!gangs_.advance(*job, roomy_for_gangs_, now)) model_.open().erase(job);
+    if (job->is_gang()) {
+      if (!gangs_.advance(*job, machines_with_room_for_gangs_, now)) model_.open().erase(job);
       continue;
     }
     choose_zone(*job, now);
@@ -347,14 +348,14 @@
   }
 }
 
-bool Planner::start_on(state::Host& host, double now) {
+bool Planner::start_on(state::Machine& machine, double now) {
   const auto may = [&](sched::TaskId id) {
     const auto* task = model_.task(id);
-    return task != nullptr && startable(*task, host, now);
+    return task != nullptr && startable(*task, machine, now);
   };
-  const auto own = group_name(host);
-  auto found = groups_[own].next(host.id, may);
-  // The host's own group has nothing for it: the longest list of the others.
+  const auto own = group_name(machine);
+  auto found = groups_[own].next(machine.id, may);
+  // The machine's own group has nothing for it: the longest list of the others.
   if (!found) {
     std::vector<const sched::Group*> others;
     for (const auto& [name, group] : groups_) {
@@ -368,24 +369,25 @@
     }
   }
   if (!found) return false;
-  take(*model_.task(found->id), host, now);
+  take(*model_.task(found->id), machine, now);
   return true;
 }
 
-void Planner::take(state::Task& task, state::Host& host, double now) {
-  forget(task);
-  model_.assign(task, host, now);
+void Planner::take(state::Task& task, state::Machine& machine, double now) {
+  dequeue(task);
+  model_.assign(task, machine, now);
 }
 
-std::vector<state::Host*> Planner::by_fullness() const {
-  std::vector<state::Host*> hosts(roomy_.begin(), roomy_.end());
+std::vector<state::Machine*> Planner::by_fullness() const {
+  std::vector<state::Machine*> machines(machines_with_room_.begin(), machines_with_room_.end());
   // Spot machines first: ordinary room is what services need. Then the fuller
   // ones, so that others become empty and can go.
-  std::stable_sort(hosts.begin(), hosts.end(), [](const state::Host* a, const state::Host* b) {
-    if (a->spot != b->spot) return a->spot;
-    return a->tasks.size() > b->tasks.size();
-  });
-  return hosts;
+  std::stable_sort(machines.begin(), machines.end(),
+                   [](const state::Machine* a, const state::Machine* b) {
+                     if (a->spot != b->spot) return a->spot;
+                     return a->tasks.size() > b->tasks.size();
+                   });
+  return machines;
 }
 
 void Planner::start_cached(double now) {
@@ -396,10 +398,10 @@
     group.each([&](const sched::Queued& entry) { queue.push_back(entry); });
   }
   if (queue.empty()) return;
-  std::map<std::uint32_t, std::vector<state::Host*>> holders;
-  for (auto* host : by_fullness()) {
+  std::map<std::uint32_t, std::vector<state::Machine*>> holders;
+  for (auto* machine : by_fullness()) {
     ++steps_;
-    for (const auto image : host->images) holders[image].push_back(host);
+    for (const auto image : machine->images) holders[image].push_back(machine);
   }
   std::sort(queue.begin(), queue.end(), [](const auto& a, const auto& b) { return a.before(b); });
   for (const auto& entry : queue) {
@@ -407,14 +409,15 @@
     if (task == nullptr) continue;
     const auto found = holders.find(task->job->image);
     if (found == holders.end()) continue;
-    auto& hosts = found->second;
-    const auto place = std::find_if(hosts.begin(), hosts.end(), [&](const state::Host* host) {
-      return startable(*task, *host, now);
-    });
-    if (place == hosts.end()) {
+    auto& machines = found->second;
+    const auto place = std::find_if(
+        machines.begin(), machines.end(),
+        [&](const state::Machine* machine) { return startable(*task, *machine, now); });
+    if (place == machines.end()) {
       // What has no room for this one hardly has any for the next.
-      std::erase_if(
-          hosts, [&](const state::Host* host) { return !model_.least_need().fits(host->room()); });
+      std::erase_if(machines, [&](const state::Machine* machine) {
+        return !model_.least_need().fits(machine->room());
+      });
       continue;
     }
     take(*task, **place, now);
@@ -426,16 +429,16 @@
                                   [](const auto& entry) { return entry.second.queued() > 0; });
   if (!queued) return;
   Misses misses;
-  for (auto* host : by_fullness()) {
+  for (auto* machine : by_fullness()) {
     ++steps_;
-    auto& missed = misses[{group_name(*host), host->spot}];
-    const auto hopeless = [&](const state::Host& one) {
+    auto& missed = misses[{group_name(*machine), machine->spot}];
+    const auto hopeless = [&](const state::Machine& one) {
       return std::any_of(missed.begin(), missed.end(),
                          [&](const sched::Amount& room) { return one.room().fits(room); });
     };
-    while (!hopeless(*host)) {
-      if (start_on(*host, now)) continue;
-      missed.push_back(host->room());
+    while (!hopeless(*machine)) {
+      if (start_on(*machine, now)) continue;
+      missed.push_back(machine->room());
       break;
     }
   }
@@ -447,7 +450,7 @@
   for (const auto& [name, group] : groups_) {
     group.each([&](const sched::Queued& entry) {
       const auto* job = model_.job_of(entry.id);
-      if (job == nullptr || now < job->searched_at + constants::kDisplaceEvery ||
+      if (job == nullptr || now < job->searched_at + constants::kDisplaceInterval ||
           !anything_lesser(settings_, model_, *job))
         return;
       const auto found = heads.try_emplace(job->serial, entry);
@@ -469,10 +472,10 @@
     if (!state::Model::within_quota(job)) continue;
     const auto place = displace(job, now);
     if (!place) continue;
-    forget(*task);
+    dequeue(*task);
     for (auto* victim : place->victims)
       stop_task(model_, *victim, true, now, now + constants::kPreemptPause);
-    model_.plan(*task, *place->host);
+    model_.plan(*task, *place->machine);
   }
 }
 
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -10,16 +10,16 @@
 
 class Planner {
  public:
-  Planner(const config::Settings& settings, state::Model& model, Estimates& estimates,
+  Planner(const config::Settings& settings, state::Model& model, RunTimeEstimates& estimates,
           GangCoordinator& gangs)
       : settings_(settings), model_(model), estimates_(estimates), gangs_(gangs) {}
 
   void decide(double now);
   /// The task acts as an unrecorded delegate no list any more.
-  void forget(state::Task& task);
+  void dequeue(state::Task& task);
   /// The machine takes no tasks, or is about to be forgotten.
-  void remove_worker(state::Host& host);
-  [[nodiscard]] static bool usable(const state::Host& host, double now,
+  void remove_worker(state::Machine& machine);
+  [[nodiscard]] static bool usable(const state::Machine& machine, double now,
                                    const config::Settings& settings);
   [[nodiscard]] const std::map<std::string, sched::Group>& groups() const { return groups_; }
   /// Moves made by equation (1) so far.
@@ -29,7 +29,7 @@
 
  private:
   struct Candidate {
-    state::Host* host = nullptr;
+    state::Machine* machine = nullptr;
     double score = 0;
     std::vector<state::Task*> victims;
   };
@@ -44,7 +44,7 @@
   /// The largest room for which no startable task was found in this round.
   using Misses = std::map<std::pair<std::string, bool>, std::vector<sched::Amount>>;
 
-  void update_worker(state::Host& host, double now);
+  void update_worker(state::Machine& machine, double now);
   void update_workers(double now);
   /// What of a block or job stands in the lists.
   struct Listed {
@@ -62,38 +62,39 @@
   void place_direct(double now);
   bool place_service(state::Job& job, double now);
   /// Machines with room, in the order in which tasks should go there.
-  [[nodiscard]] std::vector<state::Host*> by_fullness() const;
+  [[nodiscard]] std::vector<state::Machine*> by_fullness() const;
   void start_cached(double now);
   void start_heads(double now);
-  void take(state::Task& task, state::Host& host, double now);
-  bool start_on(state::Host& host, double now);
+  void take(state::Task& task, state::Machine& machine, double now);
+  bool start_on(state::Machine& machine, double now);
   void relieve_guarantees(double now);
 
   [[nodiscard]] static bool direct(const state::Job& job) {
-    return job.service() || job.gang() || job.spec.together;
+    return job.is_service() || job.is_gang() || job.spec.together;
   }
-  [[nodiscard]] bool startable(const state::Task& task, const state::Host& host, double now) const;
-  [[nodiscard]] static bool may_run(const state::Job& job, const state::Host& host);
+  [[nodiscard]] bool startable(const state::Task& task, const state::Machine& machine,
+                               double now) const;
+  [[nodiscard]] static bool may_run(const state::Job& job, const state::Machine& machine);
   /// The best machine with room for the job's next task.
-  [[nodiscard]] state::Host* best_room(const state::Job& job) const;
+  [[nodiscard]] state::Machine* best_room(const state::Job& job) const;
   /// The best one where room can be made by stopping lesser work.
   [[nodiscard]] std::optional<Candidate> best_displacing(const state::Job& job, double now) const;
   /// As above, unless that was tried a moment ago or can't succeed.
   [[nodiscard]] std::optional<Candidate> displace(state::Job& job, double now);
-  [[nodiscard]] double score(const state::Job& job, const state::Host& host) const;
-  [[nodiscard]] static std::string group_name(const state::Host& host) {
-    return host.type + "/" + host.zone;
+  [[nodiscard]] double score(const state::Job& job, const state::Machine& machine) const;
+  [[nodiscard]] static std::string group_name(const state::Machine& machine) {
+    return machine.type + "/" + machine.zone;
   }
   void choose_zone(state::Job& job, double now);
   [[nodiscard]] sched::Eligible eligible();
 
   const config::Settings& settings_;
   state::Model& model_;
-  Estimates& estimates_;
+  RunTimeEstimates& estimates_;
   GangCoordinator& gangs_;
   std::map<std::string, sched::Group> groups_;
-  state::HostSet roomy_;            ///< usable, with room for the smallest task
-  state::HostSet roomy_for_gangs_;  ///< and for the smallest task of a gang
+  state::MachineSet machines_with_room_;            ///< usable, with room for the smallest task
+  state::MachineSet machines_with_room_for_gangs_;  ///< and for the smallest task of a gang
   std::size_t moves_ = 0;
   std::size_t steps_ = 0;
   int searches_ = 0;  ///< for displacements, in this round
@@ -103,6 +104,7 @@
 
 /// Seconds from submission within which the job should be complete, if anybody
 /// says so: its owner, or the users' aims for its class.
-[[nodiscard]] std::optional<double> aim_s(const config::Settings& settings, const state::Job& job);
+[[nodiscard]] std::optional<double> completion_objective_s(const config::Settings& settings,
+                                                           const state::Job& job);
 
 }  // namespace elmstall::placement
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -28,21 +28,22 @@
   const bool kept =
       other.team != nullptr && sched::within_guarantee(*other.team, *other.team_usage);
   const bool owed = guaranteed(job);
-  if (kept != owed) return owed && (!higher || !other.service());
+  if (kept != owed) return owed && (!higher || !other.is_service());
   return lower;
 }
 
 double lost_work(const state::Task& victim, double now) {
   if (victim.running_since == state::kNever) return 0;
   const auto& spec = victim.job->spec;
-  const double lost = spec.checkpoint_every_s > 0 ? spec.save_s : now - victim.running_since;
-  return victim.job->gang() ? lost * spec.tasks : lost;
+  const double lost = spec.checkpoint_every_s > 0 ? spec.checkpoint_s : now - victim.running_since;
+  return victim.job->is_gang() ? lost * spec.tasks : lost;
 }
 
-std::optional<std::vector<state::Task*>> victims(const state::Job& job, const state::Host& host,
+std::optional<std::vector<state::Task*>> victims(const state::Job& job,
+                                                 const state::Machine& machine,
                                                  const sched::Amount& need, double now) {
   std::vector<state::Task*> candidates;
-  for (auto* task : host.tasks) {
+  for (auto* task : machine.tasks) {
     if (may_stop(job, *task)) candidates.push_back(task);
   }
   std::sort(candidates.begin(), candidates.end(), [&](const state::Task* a, const state::Task* b) {
@@ -50,7 +51,7 @@
     const double y = lost_work(*b, now);
     return x != y ? x < y : a->id < b->id;
   });
-  auto room = host.room();
+  auto room = machine.room();
   std::vector<state::Task*> chosen;
   for (auto* task : candidates) {
     if (need.fits(room)) break;
@@ -64,7 +65,7 @@
 bool anything_lesser(const config::Settings& settings, const state::Model& model,
                      const state::Job& job) {
   for (int priority = 0; priority < static_cast<int>(job.spec.priority); ++priority) {
-    if (model.on_hosts(static_cast<wire::Priority>(priority)) > 0) return true;
+    if (model.on_machines(static_cast<wire::Priority>(priority)) > 0) return true;
   }
   if (!guaranteed(job)) return false;
   return std::any_of(settings.teams.begin(), settings.teams.end(), [&](const config::Team& team) {
@@ -73,17 +74,17 @@
 }
 
 void stop_task(state::Model& model, state::Task& task, bool save, double now, double not_before) {
-  if (task.job->gang() && !task.job->cancelled)
+  if (task.job->is_gang() && !task.job->cancelled)
     return stop_gang(model, *task.job, save, now, not_before);
   task.not_before = std::max(task.not_before, not_before);
   if (task.phase == state::Phase::planned) return model.unplan(task);
   if (task.phase != state::Phase::assigned || task.stopping) return;
-  if (!task.offered) return model.release(task);  // it never left us
+  if (!task.run_sent) return model.unassign(task);  // it never left us
   task.stopping = true;
-  model.attention().insert(task.host);
+  model.attention().insert(task.machine);
   const auto& spec = task.job->spec;
   const bool worth = save && spec.checkpoint_every_s > 0 && task.state == TaskState::running;
-  task.wind_down_s = worth ? spec.save_s : 0;
+  task.grace_period_s = worth ? spec.checkpoint_s : 0;
 }
 
 }  // namespace elmstall::placement
--- a/src/placement/preemption.hpp
+++ b/src/placement/preemption.hpp
@@ -19,7 +19,7 @@
 /// The cheapest tasks whose end leaves room for `need` on the machine; none if
 /// there is no such set.
 [[nodiscard]] std::optional<std::vector<state::Task*>> victims(const state::Job& job,
-                                                               const state::Host& host,
+                                                               const state::Machine& machine,
                                                                const sched::Amount& need,
                                                                double now);
 /// Some work runs that the job might displace.
--- a/src/placement/run_time_estimates.hpp
+++ b/src/placement/run_time_estimates.hpp
@@ -10,7 +10,7 @@
 
 namespace elmstall::placement {
 
-class Estimates {
+class RunTimeEstimates {
  public:
   void learn(const std::string& job_class, double expected_s, double actual_s) {
     if (expected_s <= 0 || actual_s <= 0) return;
--- a/src/reconcile/host_expiry.hpp
+++ b/src/reconcile/lease_expiry.hpp
@@ -1,4 +1,4 @@
-// Decides when a silent host's tasks are certainly gone: rule 6 of the safety
+// Decides when a silent machine's tasks are certainly gone: rule 6 of the safety
 // argument in docs/design.md.
 #pragma once
 
@@ -13,20 +13,20 @@
 
 /// What another controller said of itself.
 struct PeerReadState {
-  std::uint64_t revision = 0;          ///< its copy of the records is at least this far
-  double answered_at = state::kNever;  ///< it answered no report on its own after this
+  std::uint64_t revision = 0;         ///< its copy of the records is at least this far
+  double replied_at = state::kNever;  ///< it answered no heartbeat on its own after this
 };
 
-class HostExpiry {
+class LeaseExpiry {
  public:
   using PeerStates = std::function<PeerReadState(const std::string& peer)>;
-  using Expired = std::function<void(state::Host&)>;
+  using Expired = std::function<void(state::Machine&)>;
 
-  /// `started`: when this leadership began. `expired`: called for a host whose
+  /// `started`: when this leadership began. `expired`: called for a machine whose
   /// tasks can run nowhere any more.
-  HostExpiry(const config::Settings& settings, const store::Mirror& mirror, state::Model& model,
-             state::GroupCommit& group_commit, double started, PeerStates read_state,
-             Expired expired)
+  LeaseExpiry(const config::Settings& settings, const store::Mirror& mirror, state::Model& model,
+              state::GroupCommit& group_commit, double started, PeerStates read_state,
+              Expired expired)
       : settings_(settings),
         mirror_(mirror),
         model_(model),
@@ -35,20 +35,20 @@
         read_state_(std::move(read_state)),
         expired_(std::move(expired)) {}
 
-  /// Looks for hosts that are silent, records them as retired, and reports
+  /// Looks for machines that are silent, records them as retired, and reports
   /// those whose leases are certainly over.
   void expire(double now);
   /// To be called when the delegations in the records have changed.
   void update_delegations(double now);
-  /// The host was heard: it is not given up.
-  void revive(state::Host& host);
+  /// The machine was heard: it is not given up.
+  void revive(state::Machine& machine);
   /// Until then a former leader may have kept leases alive.
   [[nodiscard]] double inherited_until() const;
 
  private:
-  void retire(state::Host& host);
+  void retire(state::Machine& machine);
   /// Nobody else may be answering this machine, or did so within a lease.
-  [[nodiscard]] bool excluded(const state::Host& host, double now) const;
+  [[nodiscard]] bool excluded(const state::Machine& machine, double now) const;
 
   const config::Settings& settings_;
   const store::Mirror& mirror_;
--- a/src/sched/gang_placement.cpp
+++ b/src/sched/gang_placement.cpp
@@ -108,10 +108,10 @@
   std::map<std::string, std::size_t> in_zone_;
 };
 
-using Order = std::vector<std::size_t>;
+using WorkerCommand = std::vector<std::size_t>;
 
 /// On machines that have the image, all of it.
-std::optional<Placement> fill_cached(const std::vector<GangSite>& sites, const Order& order,
+std::optional<Placement> fill_cached(const std::vector<GangSite>& sites, const WorkerCommand& order,
                                      const GangRequest& request) {
   Filler filler(sites, request);
   for (const auto position : order) {
@@ -124,8 +124,9 @@
 /// Where a fetch is needed the whole gang waits for it. Tasks then go one by one
 /// to machines without the image where others lose nothing: it comes to many
 /// machines, and the room beside it is left to a gang that needs no fetch.
-std::optional<Placement> fill_fetching(const std::vector<GangSite>& sites, const Order& order,
-                                       const GangRequest& request, bool displace) {
+std::optional<Placement> fill_fetching(const std::vector<GangSite>& sites,
+                                       const WorkerCommand& order, const GangRequest& request,
+                                       bool displace) {
   Filler filler(sites, request);
   for (const auto position : order) {
     const auto& site = sites[position];
@@ -149,7 +150,7 @@
   return placement;
 }
 
-std::optional<Placement> fill(const std::vector<GangSite>& sites, const Order& order,
+std::optional<Placement> fill(const std::vector<GangSite>& sites, const WorkerCommand& order,
                               const GangRequest& request, bool displace) {
   auto cached = fill_cached(sites, order, request);
   return cached ? cached : fill_fetching(sites, order, request, displace);
@@ -176,7 +177,7 @@
   return std::move(best->shares);
 }
 
-std::string roomiest_zone(const std::vector<GangSite>& sites) {
+std::string zone_with_most_room(const std::vector<GangSite>& sites) {
   std::map<std::string, std::size_t> slots;
   for (const auto& site : sites) slots[site.zone] += site.free_slots + site.extra_slots;
   const auto best = std::max_element(
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -45,6 +45,6 @@
                                                                bool displace);
 
 /// The zone with the most room, free or not, for a gang that must stay together.
-[[nodiscard]] std::string roomiest_zone(const std::vector<GangSite>& sites);
+[[nodiscard]] std::string zone_with_most_room(const std::vector<GangSite>& sites);
 
 }  // namespace elmstall::sched
--- a/src/sched/group.hpp
+++ b/src/sched/group.hpp
@@ -60,7 +60,7 @@
   /// Gives inbox tasks to workers that have come meanwhile.
   void settle_inbox(const Eligible& eligible);
   bool remove(TaskId id);
-  /// Orders every list anew after `update` has changed its tasks.
+  /// Commands every list anew after `update` has changed its tasks.
   void reorder(const std::function<void(Queued&)>& update);
 
   [[nodiscard]] double task_time() const;
--- a/src/sched/fleet_plan.cpp
+++ b/src/sched/scaling_plan.cpp
@@ -1,4 +1,4 @@
-#include "sched/fleet_plan.hpp"
+#include "sched/scaling_plan.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::vector<Rental> plan_rentals(const std::vector<Pool>& pools, const Demand& demand) {
+std::vector<ScaleOut> plan_scale_out(const std::vector<Pool>& pools, const Demand& demand) {
   std::vector<int> extra(pools.size(), 0);
   const int ordinary_have = total(pools, false);
   const int spot_have = total(pools, true);
@@ -48,11 +48,11 @@
   // No spot to be had: the work still has to be done.
   distribute(pools, false, missing, extra);
 
-  std::vector<Rental> rentals;
+  std::vector<ScaleOut> scale_outs;
   for (std::size_t i = 0; i < pools.size(); ++i) {
-    if (extra[i] > 0) rentals.push_back({i, extra[i]});
+    if (extra[i] > 0) scale_outs.push_back({i, extra[i]});
   }
-  return rentals;
+  return scale_outs;
 }
 
 Surplus surplus(const std::vector<Pool>& pools, const Demand& demand) {
--- a/src/sched/fleet_plan.hpp
+++ b/src/sched/scaling_plan.hpp
@@ -25,14 +25,14 @@
   double headroom = 0;  ///< ordinary room kept free for starts
 };
 
-struct Rental {
+struct ScaleOut {
   std::size_t pool = 0;
   int count = 0;
 };
 
 /// Machines to rent now. Pools are those of one type.
-[[nodiscard]] std::vector<Rental> plan_rentals(const std::vector<Pool>& pools,
-                                               const Demand& demand);
+[[nodiscard]] std::vector<ScaleOut> plan_scale_out(const std::vector<Pool>& pools,
+                                                   const Demand& demand);
 
 /// Machines that could be returned of ordinary and spot kind.
 struct Surplus {
--- a/src/state/group_commit.cpp
+++ b/src/state/group_commit.cpp
@@ -12,18 +12,18 @@
 using store::Outcome;
 
 GroupCommit::GroupCommit(const config::Settings& settings, runtime::EventLoop& event_loop,
-                         runtime::CommandQueue& queue, store::Store& store,
-                         const store::Mirror& mirror, std::uint64_t term_stamp, Events events)
+                         runtime::CommandQueue& queue, store::StateStore& store,
+                         const store::Mirror& mirror, std::uint64_t term_revision, Events events)
     : settings_(settings),
       loop_(event_loop),
       store_(store),
       mirror_(mirror),
-      term_stamp_(term_stamp),
+      term_revision_(term_revision),
       events_(std::move(events)),
       scope_(queue),
       wake_(event_loop, queue) {
   for (const auto& [number, slot] : mirror.slots()) {
-    slots_[number].stamp = slot.stamp;
+    slots_[number].mod_revision = slot.mod_revision;
     next_number_ = std::max(next_number_, slot.number + 1);
   }
 }
@@ -40,10 +40,10 @@
   return result;
 }
 
-GroupCommit::Record* GroupCommit::adopt(Record::Kind kind, std::string job,
-                                        std::function<store::Packed()> pack, std::uint32_t slot) {
+GroupCommit::Record* GroupCommit::restore(Record::Kind kind, std::string job,
+                                          std::function<store::Packed()> pack, std::uint32_t slot) {
   auto* record = add(kind, std::move(job), std::move(pack));
-  record->revision = slots_[slot].stamp;
+  record->revision = slots_[slot].mod_revision;
   record->slot = slot;
   record->json = record->pack().json;
   slots_[slot].json += record->json;
@@ -78,13 +78,13 @@
   return static_cast<std::size_t>(static_cast<double>(bytes) * scale_);
 }
 
-std::size_t GroupCommit::max_ops() const {
-  return static_cast<std::size_t>(settings_.state_limits().txn_ops);
+std::size_t GroupCommit::max_writes() const {
+  return static_cast<std::size_t>(settings_.state_limits().transaction_writes_max);
 }
 
 std::size_t GroupCommit::max_values() const {
   return std::max<std::size_t>(
-      1, static_cast<std::size_t>(static_cast<double>(max_ops()) / 2 * scale_));
+      1, static_cast<std::size_t>(static_cast<double>(max_writes()) / 2 * scale_));
 }
 
 std::uint32_t GroupCommit::choose_slot(const Pending& pending) const {
@@ -120,13 +120,13 @@
     // and that stands.
     if (job->record.cancelled) final.record.state = wire::JobState::cancelled;
     // One change is kept for the log.
-    if (pending.txn.writes.size() + 3 > max_ops()) break;
+    if (pending.transaction.writes.size() + 3 > max_writes()) break;
     auto value = store::encode(final.record);
-    pending.txn.guards.push_back({store::job_key(id), job->stamp});
-    pending.txn.guards.push_back({store::final_key(id), 0});
+    pending.transaction.preconditions.push_back({store::job_key(id), job->mod_revision});
+    pending.transaction.preconditions.push_back({store::final_key(id), 0});
     pending.json += value.size() * 2 + 200;
-    pending.txn.writes.push_back({store::final_key(id), std::move(value), 0});
-    pending.txn.writes.push_back({store::job_key(id), std::nullopt, 0});
+    pending.transaction.writes.push_back({store::final_key(id), std::move(value), 0});
+    pending.transaction.writes.push_back({store::job_key(id), std::nullopt, 0});
     pending.finals.push_back(id);
   }
   for (const auto& id : over) finished(id);
@@ -141,19 +141,20 @@
              pending.finals.end();
 }
 
-void GroupCommit::guard_absent(Pending& pending, const Record& record) {
+void GroupCommit::require_absent(Pending& pending, const Record& record) {
   if (record.clean()) return;
   for (const auto& key : record.absent) {
-    const bool known = std::any_of(pending.txn.guards.begin(), pending.txn.guards.end(),
+    const bool known = std::any_of(pending.transaction.preconditions.begin(),
+                                   pending.transaction.preconditions.end(),
                                    [&](const auto& one) { return one.key == key; });
-    if (!known) pending.txn.guards.push_back({key, 0});
+    if (!known) pending.transaction.preconditions.push_back({key, 0});
   }
 }
 
 void GroupCommit::put(Value& value, Record& record, store::Packed packed) {
   value.json += packed.json;
   value.entries.push_back({record.serial, record.version, packed.json});
-  (record.kind == Record::Kind::host ? value.hosts : value.blocks)
+  (record.kind == Record::Kind::machine ? value.machines : value.blocks)
       .push_back(std::move(packed.bytes));
 }
 
@@ -162,7 +163,7 @@
   if (old == slots_.end()) return true;
   for (const auto& [serial, record] : old->second.live) {
     if (!live(*record, pending)) continue;
-    guard_absent(pending, *record);
+    require_absent(pending, *record);
     put(value, *record, record->pack());
   }
   // Its entries may have grown since they were written there.
@@ -182,7 +183,7 @@
     // By itself larger than any value may be: it must not hold up the others.
     if (packed.json > limit) continue;
     if (value.json + packed.json > limit) return;
-    guard_absent(pending, record);
+    require_absent(pending, record);
     put(value, record, std::move(packed));
   }
 }
@@ -201,14 +202,15 @@
     if (pending.values.empty() && value.entries.empty() && pending.finals.empty()) return;
     if (!pending.values.empty() && value.entries.empty()) return;
     const auto known = slots_.find(value.slot);
-    pending.txn.guards.push_back(
-        {store::slot_key(value.slot), known == slots_.end() ? 0 : known->second.stamp});
-    pending.txn.writes.push_back({store::slot_key(value.slot),
-                                  store::encode_slot(value.number, value.blocks, value.hosts), 0});
+    pending.transaction.preconditions.push_back(
+        {store::slot_key(value.slot), known == slots_.end() ? 0 : known->second.mod_revision});
+    pending.transaction.writes.push_back(
+        {store::slot_key(value.slot),
+         store::encode_slot(value.number, value.blocks, value.machines), 0});
     pending.json += value.json + 200;
     pending.values.push_back(std::move(value));
-  } while (!all() && pending.txn.writes.size() < max_values() &&
-           pending.json + value_limit() < k::kMaxTxnBytes);
+  } while (!all() && pending.transaction.writes.size() < max_values() &&
+           pending.json + value_limit() < k::kMaxTransactionBytes);
 }
 
 void GroupCommit::flush() {
@@ -219,17 +221,18 @@
   const double now = loop_.now();
   if (now < next_commit_) return wake_.after(next_commit_ - now, [this] { flush(); });
   auto pending = std::make_shared<Pending>();
-  pending->txn.guards.push_back({std::string(store::kTermKey), term_stamp_});
+  pending->transaction.preconditions.push_back({std::string(store::kTermKey), term_revision_});
   add_finals(*pending);
   add_values(*pending);
   if (pending->values.empty()) return;
   busy_ = true;
   pending->sent = now;
-  next_commit_ = now + k::kCommitEvery;
+  next_commit_ = now + k::kCommitInterval;
   // One change that carries what many wait for goes before any single one.
-  store_.commit(pending->txn, scope_.wrap([this, pending](const store::CommitResult& result) {
-    on_result(pending, result);
-  }));
+  store_.commit(pending->transaction,
+                scope_.wrap([this, pending](const store::CommitResult& result) {
+                  on_result(pending, result);
+                }));
 }
 
 // --- what became of it -------------------------------------------------------------
@@ -272,7 +275,7 @@
   // Larger than the state service takes, though the settings allow it. Smaller
   // transactions get through; one that is as small as they come waits.
   spdlog::error("the state service refuses a transaction of {} changes and about {} bytes",
-                pending.txn.writes.size(), pending.json);
+                pending.transaction.writes.size(), pending.json);
   accepted_ = 0;
   if (scale_ > k::kCommitScaleMin) {
     scale_ = std::max(k::kCommitScaleMin, scale_ / 2);
@@ -305,14 +308,15 @@
     if (result.outcome == Outcome::ok &&
         store::decode_slot(result.entry.value).number == value.number) {
       busy_ = false;
-      return succeed(*pending, result.entry.stamp);
+      return succeed(*pending, result.entry.mod_revision);
     }
     // Not applied. Learn the versions that an older copy may have left.
     auto left = std::make_shared<std::size_t>(pending->values.size());
     for (const auto& one : pending->values) {
       ask(one.slot, [this, left, slot = one.slot](const store::GetResult& found) {
         const bool present = found.outcome == Outcome::ok;
-        if (present || slots_.contains(slot)) slots_[slot].stamp = present ? found.entry.stamp : 0;
+        if (present || slots_.contains(slot))
+          slots_[slot].mod_revision = present ? found.entry.mod_revision : 0;
         if (--*left == 0) pause(0.05);
       });
     }
@@ -335,7 +339,7 @@
 }
 
 void GroupCommit::settle(const Value& value, std::uint64_t revision) {
-  slots_[value.slot].stamp = revision;
+  slots_[value.slot].mod_revision = revision;
   for (const auto& entry : value.entries) {
     const auto found = records_.find(entry.serial);
     if (found == records_.end()) continue;
--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -1,6 +1,6 @@
 // Group commit of the leader's records to the ledger log.
 //
-// Blocks and hosts are entries of the log's values ("slots"). A commit writes
+// Blocks and machines are entries of the log's values ("slots"). A commit writes
 // whole new values: of each slot that is overwritten the entries that are
 // still the latest of their kind are carried along, so that the log stays
 // small, nothing has to be deleted, and a commit's cost follows bytes and not
@@ -28,7 +28,7 @@
   /// One entry. `version` counts what is wanted, `written` what is known to be
   /// in the state service.
   struct Record {
-    enum class Kind : std::uint8_t { block, host };
+    enum class Kind : std::uint8_t { block, machine };
     Kind kind = Kind::block;
     std::string job;  ///< of a block: written only while that job's record is there
     std::function<store::Packed()> pack;
@@ -61,14 +61,14 @@
   };
 
   GroupCommit(const config::Settings& settings, runtime::EventLoop& event_loop,
-              runtime::CommandQueue& queue, store::Store& store, const store::Mirror& mirror,
-              std::uint64_t term_stamp, Events events);
+              runtime::CommandQueue& queue, store::StateStore& store, const store::Mirror& mirror,
+              std::uint64_t term_revision, Events events);
 
   /// An entry that is not in the log yet.
   Record* add(Record::Kind kind, std::string job, std::function<store::Packed()> pack);
   /// An entry that the log has in this slot.
-  Record* adopt(Record::Kind kind, std::string job, std::function<store::Packed()> pack,
-                std::uint32_t slot);
+  Record* restore(Record::Kind kind, std::string job, std::function<store::Packed()> pack,
+                  std::uint32_t slot);
   void mark_dirty(Record& record);
   /// Says that the entry is gone and forgets it; the pointer is not to be used
   /// again. `last`: its last packed form.
@@ -80,7 +80,7 @@
 
  private:
   struct Slot {
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
     std::size_t json = 0;                   ///< of what is live in it
     std::map<std::uint64_t, Record*> live;  ///< by serial
   };
@@ -90,7 +90,7 @@
     std::uint64_t number = 0;
     std::size_t json = 0;
     std::vector<std::string> blocks;
-    std::vector<std::string> hosts;
+    std::vector<std::string> machines;
     struct Entry {
       std::uint64_t serial = 0;
       std::uint64_t version = 0;
@@ -99,7 +99,7 @@
     std::vector<Entry> entries;
   };
   struct Pending {
-    wire::Txn txn;
+    wire::Transaction transaction;
     std::vector<Value> values;
     std::vector<std::string> finals;
     std::size_t json = 0;
@@ -108,12 +108,12 @@
 
   /// Bytes that a value may take, changes and values that a transaction may have.
   [[nodiscard]] std::size_t value_limit() const;
-  [[nodiscard]] std::size_t max_ops() const;
+  [[nodiscard]] std::size_t max_writes() const;
   [[nodiscard]] std::size_t max_values() const;
   [[nodiscard]] std::uint32_t choose_slot(const Pending& pending) const;
   void add_finals(Pending& pending);
   [[nodiscard]] bool live(const Record& record, const Pending& pending) const;
-  static void guard_absent(Pending& pending, const Record& record);
+  static void require_absent(Pending& pending, const Record& record);
   /// Puts in what is live in the slot; false if that leaves too little room.
   bool carry(Pending& pending, Value& value);
   void fill(Pending& pending, Value& value, std::map<std::uint64_t, Record*>::iterator& next);
@@ -134,9 +134,9 @@
 
   const config::Settings& settings_;
   runtime::EventLoop& loop_;
-  store::Store& store_;
+  store::StateStore& store_;
   const store::Mirror& mirror_;
-  std::uint64_t term_stamp_;
+  std::uint64_t term_revision_;
   Events events_;
   runtime::CommandScope scope_;
   std::map<std::uint64_t, std::unique_ptr<Record>> records_;  ///< by serial
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -108,7 +108,7 @@
   block.record =
       stored == nullptr
           ? group_commit_.add(GroupCommit::Record::Kind::block, job.id, pack)
-          : group_commit_.adopt(GroupCommit::Record::Kind::block, job.id, pack, stored->slot);
+          : group_commit_.restore(GroupCommit::Record::Kind::block, job.id, pack, stored->slot);
   return block;
 }
 
@@ -116,50 +116,50 @@
   store::BlockRecord record;
   record.done = block.done;
   for (const auto& task : block.tasks) {
-    // An attempt number must never be used twice, so it outlives its host.
+    // An attempt number must never be used twice, so it outlives its machine.
     if (task.phase == Phase::done || task.attempt == 0) continue;
-    record.tasks.push_back(
-        {task.index, task.attempt, task.phase == Phase::assigned ? task.host->id : std::string()});
+    record.tasks.push_back({task.index, task.attempt,
+                            task.phase == Phase::assigned ? task.machine->id : std::string()});
   }
   return record;
 }
 
-Host& Model::host(const std::string& id) {
-  auto& slot = hosts_[id];
+Machine& Model::machine(const std::string& id) {
+  auto& slot = machines_[id];
   if (!slot) {
-    slot = std::make_unique<Host>();
+    slot = std::make_unique<Machine>();
     slot->id = id;
   }
   return *slot;
 }
 
-Host* Model::find_host(const std::string& id) {
-  const auto found = hosts_.find(id);
-  return found == hosts_.end() ? nullptr : found->second.get();
+Machine* Model::find_machine(const std::string& id) {
+  const auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : found->second.get();
 }
 
-void Model::remove_host(const std::string& id) {
-  const auto found = hosts_.find(id);
-  if (found == hosts_.end()) return;
-  released_.insert(id);
+void Model::remove_machine(const std::string& id) {
+  const auto found = machines_.find(id);
+  if (found == machines_.end()) return;
+  terminated_.insert(id);
   clear_unrecorded(*found->second);
   dirty_.erase(found->second.get());
   attention_.erase(found->second.get());
   if (found->second->record != nullptr)
-    group_commit_.discard(*found->second->record, store::pack(store::HostEntry{id, true, {}}));
-  hosts_.erase(found);
+    group_commit_.discard(*found->second->record, store::pack(store::MachineEntry{id, true, {}}));
+  machines_.erase(found);
 }
 
-void Model::mark_dirty(Host& host) {
-  if (std::exchange(host.dirty, true)) return;
-  dirty_.insert(&host);
+void Model::mark_dirty(Machine& machine) {
+  if (std::exchange(machine.dirty, true)) return;
+  dirty_.insert(&machine);
 }
 
-std::vector<Host*> Model::take_dirty() {
-  std::vector<Host*> hosts(dirty_.begin(), dirty_.end());
+std::vector<Machine*> Model::take_dirty() {
+  std::vector<Machine*> machines(dirty_.begin(), dirty_.end());
   dirty_.clear();
-  for (auto* host : hosts) host->dirty = false;
-  return hosts;
+  for (auto* machine : machines) machine->dirty = false;
+  return machines;
 }
 
 void Model::include_gang_need(const Job& job) {
@@ -169,11 +169,11 @@
   }
   least_gang_need_ = job.need;
   // No machine was looked at with so small a need in mind.
-  for (auto& [id, host] : hosts_) mark_dirty(*host);
+  for (auto& [id, machine] : machines_) mark_dirty(*machine);
 }
 
 void Model::include_need(const Job& job) {
-  if (job.gang()) return include_gang_need(job);
+  if (job.is_gang()) return include_gang_need(job);
   auto& least = least_need_;
   const auto take = [](double& smallest, double need) {
     smallest = smallest <= 0 ? need : std::min(smallest, need);
@@ -189,7 +189,7 @@
   std::optional<sched::Amount> least_of_gangs;
   for (const auto& [id, job] : jobs_) {
     if (job->cancelled) continue;
-    auto& smallest = job->gang() ? least_of_gangs : least;
+    auto& smallest = job->is_gang() ? least_of_gangs : least;
     smallest = smallest ? sched::smaller(*smallest, job->need) : job->need;
   }
   least_need_ = least.value_or(sched::Amount{});
@@ -199,9 +199,9 @@
 
 void Model::set_machine_types(std::vector<wire::MachineType> machine_types) {
   machine_types_ = std::move(machine_types);
-  for (auto& [id, host] : hosts_) {
-    if (const auto* known = machine_type(host->type))
-      host->capacity = {known->cpus, known->gpus, known->memory_gb};
+  for (auto& [id, machine] : machines_) {
+    if (const auto* known = machine_type(machine->type))
+      machine->capacity = {known->cpus, known->gpus, known->memory_gb};
   }
 }
 
@@ -211,53 +211,53 @@
   return found == machine_types_.end() ? nullptr : &*found;
 }
 
-void Model::describe(Host& host, const std::string& type, const std::string& zone, bool spot,
+void Model::describe(Machine& machine, const std::string& type, const std::string& zone, bool spot,
                      const std::string& addr) const {
   // What stands there counts for the zone that the machine had: it never moves.
-  if (host.tasks.empty() || host.zone.empty()) host.zone = zone;
-  host.type = type;
-  host.spot = spot;
-  if (!addr.empty()) host.addr = addr;
+  if (machine.tasks.empty() || machine.zone.empty()) machine.zone = zone;
+  machine.type = type;
+  machine.spot = spot;
+  if (!addr.empty()) machine.addr = addr;
   if (const auto* known = machine_type(type))
-    host.capacity = {known->cpus, known->gpus, known->memory_gb};
+    machine.capacity = {known->cpus, known->gpus, known->memory_gb};
 }
 
-void Model::attach(Task& task, Host& host) {
-  task.host = &host;
-  host.tasks.insert(&task);
-  host.used += task.job->need;
-  host.idle_since = kNever;
+void Model::attach(Task& task, Machine& machine) {
+  task.machine = &machine;
+  machine.tasks.insert(&task);
+  machine.used += task.job->need;
+  machine.idle_since = kNever;
   usage_[task.job->spec.team] += task.job->need;
-  ++task.job->per_zone[host.zone];
-  ++task.job->on_hosts;
-  ++on_hosts_[static_cast<std::size_t>(task.job->spec.priority)];
-  mark_dirty(host);
+  ++task.job->per_zone[machine.zone];
+  ++task.job->on_machines;
+  ++on_machines_[static_cast<std::size_t>(task.job->spec.priority)];
+  mark_dirty(machine);
 }
 
 void Model::detach(Task& task) {
-  auto& host = *task.host;
-  host.tasks.erase(&task);
-  host.used -= task.job->need;
-  if (host.tasks.empty()) host.used = {};
+  auto& machine = *task.machine;
+  machine.tasks.erase(&task);
+  machine.used -= task.job->need;
+  if (machine.tasks.empty()) machine.used = {};
   usage_[task.job->spec.team] -= task.job->need;
-  auto& in_zone = task.job->per_zone[host.zone];
-  if (--in_zone == 0) task.job->per_zone.erase(host.zone);
-  --task.job->on_hosts;
-  --on_hosts_[static_cast<std::size_t>(task.job->spec.priority)];
+  auto& in_zone = task.job->per_zone[machine.zone];
+  if (--in_zone == 0) task.job->per_zone.erase(machine.zone);
+  --task.job->on_machines;
+  --on_machines_[static_cast<std::size_t>(task.job->spec.priority)];
   open_.insert(task.job);
   finalizable_.insert(task.job);
-  mark_dirty(host);
-  task.host = nullptr;
-  task.offered = task.seen = task.stopping = false;
-  task.wind_down_s = 0;
+  mark_dirty(machine);
+  task.machine = nullptr;
+  task.run_sent = task.in_last_heartbeat = task.stopping = false;
+  task.grace_period_s = 0;
   task.stop_sent = kNever;
   task.running_since = kNever;
 }
 
 void Model::mark_dirty(Task& task) { group_commit_.mark_dirty(*task.block->record); }
 
-void Model::plan(Task& task, Host& host) {
-  attach(task, host);
+void Model::plan(Task& task, Machine& machine) {
+  attach(task, machine);
   task.phase = Phase::planned;
   planned_.insert(&task);
 }
@@ -268,44 +268,44 @@
   task.phase = Phase::pending;
 }
 
-void Model::assign(Task& task, Host& host, double now) {
-  assign(task, host, task.attempt + 1, now);
+void Model::assign(Task& task, Machine& machine, double now) {
+  assign(task, machine, task.attempt + 1, now);
 }
 
-void Model::assign(Task& task, Host& host, std::uint64_t attempt, double now) {
+void Model::assign(Task& task, Machine& machine, std::uint64_t attempt, double now) {
   if (task.phase == Phase::planned) unplan(task);
-  attach(task, host);
+  attach(task, machine);
   task.phase = Phase::assigned;
   task.state = wire::TaskState::fetching;
   task.since = now;
-  attention_.insert(&host);
+  attention_.insert(&machine);
   task.attempt = attempt;
   mark_dirty(task);
-  task.needs = task.block->record->version;
+  task.required_version = task.block->record->version;
   task.job->begun = true;
   const auto image = task.job->image;
-  std::erase(host.images, image);
-  host.images.push_back(image);
-  if (host.images.size() > kImagesRemembered) host.images.pop_front();
+  std::erase(machine.images, image);
+  machine.images.push_back(image);
+  if (machine.images.size() > kImagesRemembered) machine.images.pop_front();
 }
 
-void Model::adopt(Task& task, Host& host, std::uint64_t attempt, double now) {
-  attach(task, host);
+void Model::restore(Task& task, Machine& machine, std::uint64_t attempt, double now) {
+  attach(task, machine);
   task.phase = Phase::assigned;
   task.attempt = attempt;
   task.since = now;
-  task.offered = true;  // by the former leader, as far as we know
+  task.run_sent = true;  // by the former leader, as far as we know
   task.job->begun = true;
 }
 
-void Model::release(Task& task) {
+void Model::unassign(Task& task) {
   detach(task);
   task.phase = Phase::pending;
   mark_dirty(task);
 }
 
 void Model::complete(Task& task) {
-  if (task.host != nullptr) detach(task);
+  if (task.machine != nullptr) detach(task);
   task.phase = Phase::done;
   auto& block = *task.block;
   block.done[task.index - block.first] = true;
@@ -319,17 +319,17 @@
   }
 }
 
-void Model::add_unrecorded(Host& host, const Job& job) {
-  host.unrecorded_use += job.need;
+void Model::add_unrecorded(Machine& machine, const Job& job) {
+  machine.unrecorded_use += job.need;
   auto& usage = usage_[job.spec.team];
   usage += job.need;
-  host.unrecorded_team_use.emplace_back(&usage, job.need);
+  machine.unrecorded_team_use.emplace_back(&usage, job.need);
 }
 
-void Model::clear_unrecorded(Host& host) {
-  for (const auto& [usage, need] : host.unrecorded_team_use) *usage -= need;
-  host.unrecorded_team_use.clear();
-  host.unrecorded_use = {};
+void Model::clear_unrecorded(Machine& machine) {
+  for (const auto& [usage, need] : machine.unrecorded_team_use) *usage -= need;
+  machine.unrecorded_team_use.clear();
+  machine.unrecorded_use = {};
 }
 
 const sched::Amount& Model::usage(const std::string& team) const {
@@ -338,12 +338,12 @@
   return found == usage_.end() ? none : found->second;
 }
 
-bool Model::allowed_kind(const Job& job, const Host& host) {
+bool Model::allowed_kind(const Job& job, const Machine& machine) {
   const auto& spec = job.spec;
-  if (host.spot && !spec.spot) return false;
-  if (spec.zone && *spec.zone != host.zone) return false;
+  if (machine.spot && !spec.spot) return false;
+  if (spec.zone && *spec.zone != machine.zone) return false;
   return spec.types.empty() ||
-         std::find(spec.types.begin(), spec.types.end(), host.type) != spec.types.end();
+         std::find(spec.types.begin(), spec.types.end(), machine.type) != spec.types.end();
 }
 
 bool Model::recordable(const Task& task) const {
@@ -355,18 +355,18 @@
   return static_cast<std::uint32_t>(started) < max_started_tasks_;
 }
 
-bool Model::allowed(const Job& job, const Host& host) {
-  if (!allowed_kind(job, host)) return false;
+bool Model::allowed(const Job& job, const Machine& machine) {
+  if (!allowed_kind(job, machine)) return false;
   const auto& spec = job.spec;
   if (spec.together) {
     for (const auto& [zone, count] : job.per_zone) {
-      if (zone != host.zone) return false;
+      if (zone != machine.zone) return false;
     }
-    if (job.per_zone.empty() && !job.zone_choice.empty() && job.zone_choice != host.zone)
+    if (job.per_zone.empty() && !job.zone_choice.empty() && job.zone_choice != machine.zone)
       return false;
   }
   if (spec.spread) {
-    const auto found = job.per_zone.find(host.zone);
+    const auto found = job.per_zone.find(machine.zone);
     const std::size_t there = found == job.per_zone.end() ? 0 : found->second;
     if (there + 1 > sched::spread_limit(spec.tasks)) return false;
   }
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -23,15 +23,15 @@
 
 inline constexpr double kNever = -std::numeric_limits<double>::infinity();
 
-struct Host;
+struct Machine;
 struct Job;
 struct Block;
 
-/// Where a task stands. From `assigned` on it may be on its host.
+/// Where a task stands. From `assigned` on it may be on its machine.
 enum class Phase : std::uint8_t {
   pending,   ///< on no machine
-  planned,   ///< a host is kept for it, nothing is recorded yet
-  assigned,  ///< host and attempt are recorded or about to be
+  planned,   ///< a machine is kept for it, nothing is recorded yet
+  assigned,  ///< machine and attempt are recorded or about to be
   done,
 };
 
@@ -42,18 +42,18 @@
   sched::TaskId id = 0;
   Phase phase = Phase::pending;
   std::uint64_t attempt = 0;
-  Host* host = nullptr;
+  Machine* machine = nullptr;
   /// Version of the block record that has to be written before `run` is sent.
-  std::uint64_t needs = 0;
-  /// `run` may have reached the host, from this leader or a former one.
-  bool offered = false;
-  /// Present in a report of this leader's term.
-  bool seen = false;
+  std::uint64_t required_version = 0;
+  /// `run` may have reached the machine, from this leader or a former one.
+  bool run_sent = false;
+  /// Present in a heartbeat of this leader's term.
+  bool in_last_heartbeat = false;
   wire::TaskState state = wire::TaskState::fetching;
   double since = kNever;  ///< when it was assigned
   double running_since = kNever;
   bool stopping = false;
-  double wind_down_s = 0;
+  double grace_period_s = 0;
   double stop_sent = kNever;  ///< when it was last told so with time to save
   double not_before = kNever;
   int failures = 0;
@@ -90,17 +90,17 @@
   std::uint32_t next_block = 0;  ///< first that is not in memory yet
   std::uint32_t block_count = 0;
   std::uint32_t finished_tasks = 0;
-  std::uint32_t on_hosts = 0;   ///< tasks that are or may be on machines
-  bool begun = false;           ///< one of its tasks was assigned once
-  double searched_at = kNever;  ///< when room was last looked for by stopping others
+  std::uint32_t on_machines = 0;  ///< tasks that are or may be on machines
+  bool begun = false;             ///< one of its tasks was assigned once
+  double searched_at = kNever;    ///< when room was last looked for by stopping others
   std::map<std::string, std::uint32_t> per_zone;
   std::set<std::string> failed_on;
   std::string zone_choice;  ///< for `together`
-  Gang gang_progress;       ///< of a gang
+  Gang gang;                ///< of a gang
   double failed_until = kNever;
   int failures = 0;
-  [[nodiscard]] bool service() const { return spec.kind == wire::JobKind::service; }
-  [[nodiscard]] bool gang() const { return spec.kind == wire::JobKind::gang; }
+  [[nodiscard]] bool is_service() const { return spec.kind == wire::JobKind::service; }
+  [[nodiscard]] bool is_gang() const { return spec.kind == wire::JobKind::gang; }
   [[nodiscard]] bool all_done() const { return finished_tasks == spec.tasks; }
 };
 
@@ -110,43 +110,44 @@
 };
 using JobSet = std::set<Job*, JobOrder>;
 
-/// An exited task as the last report has it, until it is cleared.
+/// An exited task as the last heartbeat has it, until it is cleared.
 struct Exited {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
 };
 
-struct Host {
+struct Machine {
   std::string id;
   std::string addr;
   std::string type;
   std::string zone;
   bool spot = false;
   sched::Amount capacity;
-  std::uint64_t session = 0;
-  std::uint64_t tick = 0;
-  /// A report that carried the token of its latest fence was received: what it
+  std::uint64_t epoch = 0;
+  std::uint64_t sequence = 0;
+  /// A heartbeat that carried the token of its latest fence was received: what it
   /// lists is exact, what it does not list is not there.
   bool synchronized = false;
-  /// Was so once in this term: its session is known, and a later one ends all
+  /// Was so once in this term: its epoch is known, and a later one ends all
   /// that was ordered in this.
-  bool session_known = false;
-  /// Raised whenever orders may be under way that nobody can tell of; makes
+  bool epoch_known = false;
+  /// Raised whenever commands may be under way that nobody can tell of; makes
   /// them void as soon as the machine has seen it.
   std::uint32_t fence = 0;
-  bool exchanging = false;       ///< direct orders are in flight
-  double exchanged_at = kNever;  ///< when the last answer to some came
-  bool answered_orders = false;  ///< the last answer carried orders that the next report will show
-  double direct_after = kNever;  ///< no direct orders before
+  bool rpc_in_flight = false;        ///< direct commands are in flight
+  double rpc_completed_at = kNever;  ///< when the last answer to some came
+  bool reply_carried_commands =
+      false;  ///< the last answer carried commands that the next heartbeat will show
+  double rpc_backoff_until = kNever;  ///< no direct commands before
   /// Since when it has shown no effect of what it was told.
   double unacknowledged_since = kNever;
   bool unresponsive = false;
-  bool heard = false;  ///< any report in this term
-  double last_report =
+  bool heard = false;  ///< any heartbeat in this term
+  double last_heartbeat =
       kNever;  ///< of its own accord: a machine that can't reach us shows nothing else
-  double last_contact = kNever;  ///< that, or a reply to direct orders
-  double last_answer = kNever;   ///< when a report was last answered with 200
+  double last_contact = kNever;  ///< that, or a reply to direct commands
+  double last_reply = kNever;    ///< when a heartbeat was last answered with 200
   /// Until then a former leader may have kept its lease alive.
   double inherited_until = kNever;
   /// A zone delegate may be answering it.
@@ -156,24 +157,24 @@
   bool retired = false;
   /// When that was first seen to be written.
   double retired_at = kNever;
-  std::optional<double> recall_at;
+  std::optional<double> interruption_at;
   TaskSet tasks;
   sched::Amount used;            ///< by `tasks`, planned ones included
   sched::Amount unrecorded_use;  ///< by reported tasks that are not there by our will
   /// The same for each team's use of them.
   std::vector<std::pair<sched::Amount*, sched::Amount>> unrecorded_team_use;
-  bool has_unknown_jobs = false;  ///< reports tasks unknown to us
+  bool has_unknown_jobs = false;  ///< it shows tasks unknown to us
   std::vector<Exited> exited;
   std::vector<Exited> unrecorded_tasks;  ///< running tasks that are not there by our will
   std::deque<std::uint32_t> images;      ///< believed to be cached, latest last
   bool dirty = false;                    ///< the planner has to look at it again
   std::set<std::string> failed_jobs;
   bool quarantined = false;
-  bool releasing = false;
+  bool terminating = false;
   bool listed = false;  ///< in the last whole machine list
-  bool listed_failed = false;
+  bool reported_failed = false;
   double idle_since = kNever;
-  double rented_at = kNever;
+  double provisioned_at = kNever;
   GroupCommit::Record* record = nullptr;
   [[nodiscard]] bool recorded() const { return record != nullptr && record->revision != 0; }
   [[nodiscard]] sched::Amount room() const { return capacity - used - unrecorded_use; }
@@ -183,14 +184,14 @@
   /// Seconds since anybody heard of it. The end of a zone delegate's time counts:
   /// the machine needs a moment to find its leader again.
   [[nodiscard]] double quiet(double now) const {
-    return delegated ? 0 : now - std::max(last_report, delegated_at);
+    return delegated ? 0 : now - std::max(last_heartbeat, delegated_at);
   }
 };
 
-struct HostOrder {
-  bool operator()(const Host* a, const Host* b) const { return a->id < b->id; }
+struct MachineOrder {
+  bool operator()(const Machine* a, const Machine* b) const { return a->id < b->id; }
 };
-using HostSet = std::set<Host*, HostOrder>;
+using MachineSet = std::set<Machine*, MachineOrder>;
 
 /// Jobs, machines and what they take, with every change of a task's place in
 /// one spot, so that usage, zones and records always agree with it.
@@ -212,36 +213,36 @@
   [[nodiscard]] Task* task(Job& job, std::uint32_t index);
   Block& load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored);
 
-  Host& host(const std::string& id);
-  [[nodiscard]] Host* find_host(const std::string& id);
-  void remove_host(const std::string& id);
+  Machine& machine(const std::string& id);
+  [[nodiscard]] Machine* find_machine(const std::string& id);
+  void remove_machine(const std::string& id);
   /// Deleted in this term: what still arrives from it is late.
-  [[nodiscard]] bool released(const std::string& id) const { return released_.contains(id); }
+  [[nodiscard]] bool terminated(const std::string& id) const { return terminated_.contains(id); }
   /// Capacity and name of the type, once both are known.
   void set_machine_types(std::vector<wire::MachineType> machine_types);
   [[nodiscard]] const wire::MachineType* machine_type(const std::string& type) const;
-  void describe(Host& host, const std::string& type, const std::string& zone, bool spot,
+  void describe(Machine& machine, const std::string& type, const std::string& zone, bool spot,
                 const std::string& addr) const;
 
-  void plan(Task& task, Host& host);
+  void plan(Task& task, Machine& machine);
   void unplan(Task& task);
-  /// Records host and a new attempt; `run` may be sent once that is written.
-  void assign(Task& task, Host& host, double now);
+  /// Records machine and a new attempt; `run` may be sent once that is written.
+  void assign(Task& task, Machine& machine, double now);
   /// The same with an attempt that the gang's other tasks share.
-  void assign(Task& task, Host& host, std::uint64_t attempt, double now);
+  void assign(Task& task, Machine& machine, std::uint64_t attempt, double now);
   /// The task is certainly on no machine any more.
-  void release(Task& task);
+  void unassign(Task& task);
   void complete(Task& task);
   /// A reported task of the job that is not there by our will: it takes room
   /// and counts for its team all the same.
-  void add_unrecorded(Host& host, const Job& job);
-  static void clear_unrecorded(Host& host);
+  void add_unrecorded(Machine& machine, const Job& job);
+  static void clear_unrecorded(Machine& machine);
   /// Takes over an assignment found in the records.
-  void adopt(Task& task, Host& host, std::uint64_t attempt, double now);
+  void restore(Task& task, Machine& machine, std::uint64_t attempt, double now);
 
   [[nodiscard]] const sched::Amount& usage(const std::string& team) const;
   [[nodiscard]] std::map<std::string, std::unique_ptr<Job>>& jobs() { return jobs_; }
-  [[nodiscard]] std::map<std::string, std::unique_ptr<Host>>& hosts() { return hosts_; }
+  [[nodiscard]] std::map<std::string, std::unique_ptr<Machine>>& machines() { return machines_; }
   [[nodiscard]] const std::vector<wire::MachineType>& machine_types() const {
     return machine_types_;
   }
@@ -251,12 +252,12 @@
   [[nodiscard]] JobSet& open() { return open_; }
   /// Jobs of which a task has ended or gone.
   [[nodiscard]] JobSet& finalizable() { return finalizable_; }
-  /// Machines that may have orders to be given.
-  [[nodiscard]] HostSet& attention() { return attention_; }
+  /// Machines that may have commands to be given.
+  [[nodiscard]] MachineSet& attention() { return attention_; }
   [[nodiscard]] const TaskSet& planned() const { return planned_; }
   /// Machines whose room, tasks or state have changed, in order.
-  [[nodiscard]] std::vector<Host*> take_dirty();
-  void mark_dirty(Host& host);
+  [[nodiscard]] std::vector<Machine*> take_dirty();
+  void mark_dirty(Machine& machine);
   /// Least that any task takes, in each dimension: a machine with less room
   /// than this has none.
   [[nodiscard]] const sched::Amount& least_need() const { return least_need_; }
@@ -267,20 +268,20 @@
   }
   void refresh_least_need();
   /// Tasks of this priority that are or may be on machines.
-  [[nodiscard]] std::size_t on_hosts(wire::Priority priority) const {
-    return on_hosts_[static_cast<std::size_t>(priority)];
+  [[nodiscard]] std::size_t on_machines(wire::Priority priority) const {
+    return on_machines_[static_cast<std::size_t>(priority)];
   }
 
   /// Whether the job may run on this machine's type, kind and zone at all.
-  [[nodiscard]] static bool allowed_kind(const Job& job, const Host& host);
+  [[nodiscard]] static bool allowed_kind(const Job& job, const Machine& machine);
   /// Whether the record of the task's block has room for one more that is started.
   [[nodiscard]] bool recordable(const Task& task) const;
   /// Rules of placement, given everything that may be on machines now.
-  [[nodiscard]] static bool allowed(const Job& job, const Host& host);
+  [[nodiscard]] static bool allowed(const Job& job, const Machine& machine);
   [[nodiscard]] static bool within_quota(const Job& job);
 
  private:
-  void attach(Task& task, Host& host);
+  void attach(Task& task, Machine& machine);
   void detach(Task& task);
   void mark_dirty(Task& task);
   void include_need(const Job& job);
@@ -298,14 +299,14 @@
   JobSet open_;
   JobSet finalizable_;
   TaskSet planned_;
-  HostSet dirty_;
-  HostSet attention_;
+  MachineSet dirty_;
+  MachineSet attention_;
   sched::Amount least_need_;
   std::optional<sched::Amount> least_gang_need_;
-  std::array<std::size_t, 4> on_hosts_{};  ///< by priority
-  std::map<std::string, std::unique_ptr<Host>> hosts_;
+  std::array<std::size_t, 4> on_machines_{};  ///< by priority
+  std::map<std::string, std::unique_ptr<Machine>> machines_;
   std::map<std::string, sched::Amount> usage_;
-  std::set<std::string> released_;
+  std::set<std::string> terminated_;
 };
 
 }  // namespace elmstall::state
