--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -10,13 +10,13 @@
   listed_ = false;
   first_page_ = true;
   revision_ = listed_revision_ = 0;
-  term_ = term_stamp_ = 0;
+  term_ = term_revision_ = 0;
   lead_.reset();
   types_.reset();
   jobs_.clear();
   cancelled_.clear();
   blocks_.clear();
-  hosts_.clear();
+  machines_.clear();
   slots_.clear();
   delegations_.clear();
   earlier_layout_ = false;
@@ -29,7 +29,7 @@
   if (first_page_) revision_ = page.revision;
   first_page_ = false;
   listed_revision_ = std::max(listed_revision_, page.revision);
-  for (const auto& entry : page.entries) put(parse_key(entry.key), entry.value, entry.stamp);
+  for (const auto& entry : page.entries) put(parse_key(entry.key), entry.value, entry.mod_revision);
   listed_ = !page.truncated;
 }
 
@@ -39,9 +39,9 @@
   for (const auto& change : changes.log) {
     auto key = parse_key(change.key);
     // A page that was read later may hold a newer value than this change.
-    if (change.stamp < stamp_of(key)) continue;
+    if (change.mod_revision < mod_revision_of(key)) continue;
     if (change.value) {
-      put(key, *change.value, change.stamp);
+      put(key, *change.value, change.mod_revision);
     } else {
       erase(key);
     }
@@ -58,21 +58,21 @@
   std::erase_if(blocks_, [this](const auto& entry) { return !jobs_.contains(entry.first); });
 }
 
-std::uint64_t Mirror::stamp_of(const Key& key) const {
+std::uint64_t Mirror::mod_revision_of(const Key& key) const {
   switch (key.kind) {
     case Key::Kind::term:
-      return term_stamp_;
+      return term_revision_;
     case Key::Kind::lead:
-      return lead_stamp();
+      return lead_revision();
     case Key::Kind::types:
-      return types_ ? types_->stamp : 0;
+      return types_ ? types_->mod_revision : 0;
     case Key::Kind::job: {
       const auto* found = job(key.id);
-      return found == nullptr ? 0 : found->stamp;
+      return found == nullptr ? 0 : found->mod_revision;
     }
     case Key::Kind::slot: {
       const auto found = slots_.find(key.number);
-      return found == slots_.end() ? 0 : found->second.stamp;
+      return found == slots_.end() ? 0 : found->second.mod_revision;
     }
     case Key::Kind::delegation: {
       const auto found = delegations_.find(key.id);
@@ -83,62 +83,62 @@
   }
 }
 
-void Mirror::put(const Key& key, const std::string& packed, std::uint64_t stamp) {
+void Mirror::put(const Key& key, const std::string& packed, std::uint64_t mod_revision) {
   try {
-    decode_and_put(key, packed, stamp);
-  } catch (const wire::Malformed& error) {
+    decode_and_put(key, packed, mod_revision);
+  } catch (const wire::DecodeError& error) {
     // A record that can't be read must not end the process, which would read
     // it again after its restart.
     spdlog::error("a record of the state service is skipped: {}", error.what());
   }
 }
 
-void Mirror::put_slot(std::uint32_t slot, const SlotRecord& value, std::uint64_t stamp) {
-  slots_[slot] = {stamp, value.number};
+void Mirror::put_slot(std::uint32_t slot, const SlotRecord& value, std::uint64_t mod_revision) {
+  slots_[slot] = {mod_revision, value.number};
   const bool whole = loaded();
   for (const auto& entry : value.blocks) {
     if (whole && !jobs_.contains(entry.job)) continue;
     auto& block = blocks_[entry.job][entry.number];
     if (block.number <= value.number) block = {value.number, slot, entry.record};
   }
-  for (const auto& entry : value.hosts) {
+  for (const auto& entry : value.machines) {
     if (entry.removed) {
       // Only while it is the latest entry: late copies of old values may still
-      // name the host, whose end the leader then finds out anew.
-      const auto found = hosts_.find(entry.id);
-      if (found != hosts_.end() && found->second.number <= value.number) hosts_.erase(found);
+      // name the machine, whose end the leader then finds out anew.
+      const auto found = machines_.find(entry.id);
+      if (found != machines_.end() && found->second.number <= value.number) machines_.erase(found);
       continue;
     }
-    auto& host = hosts_[entry.id];
-    if (host.number <= value.number) host = {value.number, slot, entry.record};
+    auto& machine = machines_[entry.id];
+    if (machine.number <= value.number) machine = {value.number, slot, entry.record};
   }
 }
 
-void Mirror::decode_and_put(const Key& key, const std::string& packed, std::uint64_t stamp) {
+void Mirror::decode_and_put(const Key& key, const std::string& packed, std::uint64_t mod_revision) {
   switch (key.kind) {
     case Key::Kind::term:
       term_ = decode_term(packed).term;
-      term_stamp_ = stamp;
+      term_revision_ = mod_revision;
       break;
     case Key::Kind::lead:
       lead_ = decode_lead(packed);
-      lead_stamp_ = stamp;
+      lead_revision_ = mod_revision;
       break;
     case Key::Kind::types:
-      types_ = Value{packed, stamp};
+      types_ = Value{packed, mod_revision};
       break;
     case Key::Kind::job:
-      jobs_[key.id] = {decode_job(packed), stamp};
+      jobs_[key.id] = {decode_job(packed), mod_revision};
       if (jobs_[key.id].record.cancelled) cancelled_.insert(key.id);
       break;
     case Key::Kind::slot:
-      put_slot(key.number, decode_slot(packed), stamp);
+      put_slot(key.number, decode_slot(packed), mod_revision);
       break;
     case Key::Kind::earlier:
       earlier_layout_ = true;
       break;
     case Key::Kind::delegation:
-      delegations_[key.id] = {decode_delegation(packed).zone, stamp};
+      delegations_[key.id] = {decode_delegation(packed).zone, mod_revision};
       break;
     case Key::Kind::final:
       remember_final(key.id, decode_final(packed));
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kJobs = "elm/l/job/";
 constexpr std::string_view kSlots = "elm/l/log/";
 constexpr std::string_view kEarlierBlocks = "elm/l/block/";
-constexpr std::string_view kEarlierHosts = "elm/l/host/";
+constexpr std::string_view kEarlierMachines = "elm/l/host/";
 constexpr std::string_view kDelegations = "elm/l/care/";
 constexpr std::string_view kFinals = "elm/f/";
 
@@ -35,7 +35,7 @@
   std::vector<bool> bits(size);
   for (std::size_t i = 0; i < size; ++i) {
     const std::size_t at = i / 4;
-    if (at >= text.size()) throw wire::Malformed("done bits are too short");
+    if (at >= text.size()) throw wire::DecodeError("done bits are too short");
     const char c = text[at];
     const unsigned digit =
         c >= 'a' ? static_cast<unsigned>(c - 'a') + 10 : static_cast<unsigned>(c - '0');
@@ -65,7 +65,7 @@
     const auto [stop, error] = std::from_chars(key.data() + kSlots.size(), end, parsed.number);
     return error == std::errc() && stop == end ? parsed : Key{};
   }
-  if (key.starts_with(kEarlierBlocks) || key.starts_with(kEarlierHosts))
+  if (key.starts_with(kEarlierBlocks) || key.starts_with(kEarlierMachines))
     return {Key::Kind::earlier, {}, 0};
   return {};
 }
@@ -75,7 +75,7 @@
 }
 std::size_t BlockRecord::assigned_count() const {
   return static_cast<std::size_t>(std::count_if(
-      tasks.begin(), tasks.end(), [](const auto& task) { return !task.host.empty(); }));
+      tasks.begin(), tasks.end(), [](const auto& task) { return !task.machine.empty(); }));
 }
 
 std::string encode(const TermRecord& record) {
@@ -117,29 +117,29 @@
   packer.list(entry.record.tasks.size());
   std::size_t json = 2 * kJsonList + json_text(entry.job) + 2 * kJsonCount + json_text(bits);
   for (const auto& task : entry.record.tasks) {
-    packer.list(3).integer(task.index).integer(task.attempt).text(task.host);
-    json += kJsonList + 2 * kJsonCount + json_text(task.host);
+    packer.list(3).integer(task.index).integer(task.attempt).text(task.machine);
+    json += kJsonList + 2 * kJsonCount + json_text(task.machine);
   }
   return {packer.take(), json};
 }
 
-Packed pack(const HostEntry& entry) {
+Packed pack(const MachineEntry& entry) {
   wire::Packer packer;
   if (entry.removed) return {packer.list(1).text(entry.id).take(), kJsonList + json_text(entry.id)};
-  const auto& host = entry.record;
-  packer.list(5).text(entry.id).text(host.addr).text(host.type).text(host.zone);
-  packer.integer((host.spot ? 1U : 0U) | (host.retired ? 2U : 0U));
-  return {packer.take(), kJsonList + json_text(entry.id) + json_text(host.addr) +
-                             json_text(host.type) + json_text(host.zone) + kJsonCount};
+  const auto& machine = entry.record;
+  packer.list(5).text(entry.id).text(machine.addr).text(machine.type).text(machine.zone);
+  packer.integer((machine.spot ? 1U : 0U) | (machine.retired ? 2U : 0U));
+  return {packer.take(), kJsonList + json_text(entry.id) + json_text(machine.addr) +
+                             json_text(machine.type) + json_text(machine.zone) + kJsonCount};
 }
 
 std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
-                        const std::vector<std::string>& hosts) {
+                        const std::vector<std::string>& machines) {
   wire::Packer packer;
   packer.map(3).key("n").integer(number).key("b").list(blocks.size());
   for (const auto& block : blocks) packer.raw(block);
-  packer.key("h").list(hosts.size());
-  for (const auto& host : hosts) packer.raw(host);
+  packer.key("h").list(machines.size());
+  for (const auto& machine : machines) packer.raw(machine);
   return packer.take();
 }
 
@@ -175,17 +175,17 @@
 
 BlockEntry decode_block(const wire::Object& object) {
   const auto [part, end] = wire::elements(&object, "block");
-  if (end - part != 5) throw wire::Malformed("a block has five parts");
+  if (end - part != 5) throw wire::DecodeError("a block has five parts");
   BlockEntry entry;
   entry.job = wire::as_text(part[0], "job");
   entry.number = static_cast<std::uint32_t>(wire::as_integer(part[1], "number"));
   const auto size = wire::as_integer(part[2], "size");
-  if (size > constants::kMaxTasks) throw wire::Malformed("a block is too large");
+  if (size > constants::kMaxTasks) throw wire::DecodeError("a block is too large");
   entry.record.done = from_hex(wire::as_text(part[3], "done"), size);
   const auto [first, last] = wire::elements(&part[4], "tasks");
   for (const auto* item = first; item != last; ++item) {
     const auto [field, stop] = wire::elements(item, "task");
-    if (stop - field != 3) throw wire::Malformed("a task record has three parts");
+    if (stop - field != 3) throw wire::DecodeError("a task record has three parts");
     entry.record.tasks.push_back({static_cast<std::uint32_t>(wire::as_integer(field[0], "index")),
                                   wire::as_integer(field[1], "attempt"),
                                   wire::as_text(field[2], "host")});
@@ -193,10 +193,10 @@
   return entry;
 }
 
-HostEntry decode_host(const wire::Object& object) {
+MachineEntry decode_machine(const wire::Object& object) {
   const auto [part, end] = wire::elements(&object, "host");
   if (end - part == 1) return {wire::as_text(part[0], "host"), true, {}};
-  if (end - part != 5) throw wire::Malformed("a host has five parts");
+  if (end - part != 5) throw wire::DecodeError("a host has five parts");
   const auto flags = wire::as_integer(part[4], "flags");
   return {wire::as_text(part[0], "host"),
           false,
@@ -211,11 +211,12 @@
   const auto fields = document.fields();
   SlotRecord slot;
   slot.number = fields.integer("n");
-  const auto [block, blocks_end] = wire::elements(fields.find("b"), "b");
-  for (const auto* item = block; item != blocks_end; ++item)
+  const auto [first_block, blocks_end] = wire::elements(fields.find("b"), "b");
+  for (const auto* item = first_block; item != blocks_end; ++item)
     slot.blocks.push_back(decode_block(*item));
-  const auto [host, hosts_end] = wire::elements(fields.find("h"), "h");
-  for (const auto* item = host; item != hosts_end; ++item) slot.hosts.push_back(decode_host(*item));
+  const auto [first_machine, machines_end] = wire::elements(fields.find("h"), "h");
+  for (const auto* item = first_machine; item != machines_end; ++item)
+    slot.machines.push_back(decode_machine(*item));
   return slot;
 }
 
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -66,7 +66,7 @@
 struct TaskRecord {
   std::uint32_t index = 0;  ///< within the job
   std::uint64_t attempt = 0;
-  std::string host;  ///< empty: on no machine
+  std::string machine;  ///< empty: on no machine
 };
 /// A run of tasks of one job.
 struct BlockRecord {
@@ -75,7 +75,7 @@
   [[nodiscard]] std::size_t done_count() const;
   [[nodiscard]] std::size_t assigned_count() const;
 };
-struct HostRecord {
+struct MachineRecord {
   std::string addr;
   std::string type;
   std::string zone;
@@ -86,7 +86,7 @@
 struct DelegationRecord {
   std::string zone;
 };
-/// What one value of the ledger log says of a block or a host: its whole state
+/// What one value of the ledger log says of a block or a machine: its whole state
 /// when the value was written. Of several values that speak of the same thing
 /// the one with the highest number holds.
 struct BlockEntry {
@@ -94,15 +94,15 @@
   std::uint32_t number = 0;
   BlockRecord record;
 };
-struct HostEntry {
+struct MachineEntry {
   std::string id;
   bool removed = false;
-  HostRecord record;
+  MachineRecord record;
 };
 struct SlotRecord {
   std::uint64_t number = 0;
   std::vector<BlockEntry> blocks;
-  std::vector<HostEntry> hosts;
+  std::vector<MachineEntry> machines;
 };
 /// An entry packed by itself, to be put into a value with others.
 struct Packed {
@@ -119,9 +119,9 @@
 [[nodiscard]] std::string encode(const LeadRecord& record);
 [[nodiscard]] std::string encode(const JobRecord& record);
 [[nodiscard]] Packed pack(const BlockEntry& entry);
-[[nodiscard]] Packed pack(const HostEntry& entry);
+[[nodiscard]] Packed pack(const MachineEntry& entry);
 [[nodiscard]] std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
-                                      const std::vector<std::string>& hosts);
+                                      const std::vector<std::string>& machines);
 [[nodiscard]] std::string encode(const DelegationRecord& record);
 [[nodiscard]] std::string encode(const FinalRecord& record);
 
--- a/src/store/state_store.hpp
+++ b/src/store/state_store.hpp
@@ -43,15 +43,15 @@
   std::uint64_t lease = 0;
 };
 
-class Store {
+class StateStore {
  public:
-  virtual ~Store() = default;
+  virtual ~StateStore() = default;
   virtual void get(const std::string& key, std::function<void(GetResult)> done) = 0;
   virtual void list(const std::string& prefix, const std::string& since,
                     std::function<void(ListResult)> done) = 0;
   virtual void watch(const std::string& prefix, std::uint64_t since, double hold_s,
                      std::function<void(WatchResult)> done) = 0;
-  virtual void commit(wire::Txn txn, std::function<void(CommitResult)> done) = 0;
+  virtual void commit(wire::Transaction transaction, std::function<void(CommitResult)> done) = 0;
   virtual void grant(double life_s, std::function<void(GrantResult)> done) = 0;
   virtual void renew(std::uint64_t lease, std::function<void(Outcome)> done) = 0;
 };
--- a/src/store/state_store_client.cpp
+++ b/src/store/state_store_client.cpp
@@ -18,7 +18,7 @@
   try {
     const auto document = wire::Document::parse(reply.body);
     fill(result, document);
-  } catch (const wire::Malformed&) {
+  } catch (const wire::DecodeError&) {
     result.outcome = Outcome::unknown;
   }
   return result;
@@ -26,12 +26,12 @@
 
 }  // namespace
 
-void StateClient::Bucket::refill(double elapsed_s) {
+void StateStoreClient::Bucket::refill(double elapsed_s) {
   level = std::min(rate, level + elapsed_s * rate);
 }
 
-StateClient::StateClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint,
-                         RateShare share)
+StateStoreClient::StateStoreClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint,
+                                   RateShare share)
     : client_(io, endpoint, 8),
       watch_client_(io, endpoint, 2),
       timer_(io),
@@ -39,19 +39,19 @@
       writes_{share.writes_per_s, share.writes_per_s},
       refilled_(Clock::now()) {}
 
-bool StateClient::affordable(const Job& job) const {
+bool StateStoreClient::affordable(const Job& job) const {
   // A transaction larger than a second's worth may only ask for a full bucket.
   return requests_.level >= 1 && writes_.level >= std::min(job.writes, writes_.rate);
 }
 
-void StateClient::submit(Job job) {
+void StateStoreClient::submit(Job job) {
   job.deadline =
       Clock::now() + std::chrono::milliseconds(static_cast<long>(constants::kStateTimeout * 1000));
   queue_.push_back(std::move(job));
   pump();
 }
 
-void StateClient::pump() {
+void StateStoreClient::pump() {
   const auto now = Clock::now();
   const double elapsed = std::chrono::duration<double>(now - refilled_).count();
   refilled_ = now;
@@ -83,7 +83,7 @@
   });
 }
 
-Outcome StateClient::outcome_of(const net::Reply& reply) {
+Outcome StateStoreClient::outcome_of(const net::Reply& reply) {
   switch (reply.status) {
     case 200:
       return Outcome::ok;
@@ -105,7 +105,7 @@
   }
 }
 
-void StateClient::get(const std::string& key, std::function<void(GetResult)> done) {
+void StateStoreClient::get(const std::string& key, std::function<void(GetResult)> done) {
   auto send = [this, key, done] {
     client_.request(
         "GET", "/kv/" + key, {}, constants::kStateTimeout, [done](const net::Reply& reply) {
@@ -122,8 +122,8 @@
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, {}, 0}); }});
 }
 
-void StateClient::list(const std::string& prefix, const std::string& since,
-                       std::function<void(ListResult)> done) {
+void StateStoreClient::list(const std::string& prefix, const std::string& since,
+                            std::function<void(ListResult)> done) {
   std::string path = "/kv?under=" + prefix + "&most=" + std::to_string(constants::kStatePage);
   if (!since.empty()) path += "&since=" + since;
   auto send = [this, path, done] {
@@ -137,8 +137,8 @@
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, {}}); }});
 }
 
-void StateClient::watch(const std::string& prefix, std::uint64_t since, double hold_s,
-                        std::function<void(WatchResult)> done) {
+void StateStoreClient::watch(const std::string& prefix, std::uint64_t since, double hold_s,
+                             std::function<void(WatchResult)> done) {
   const std::string path = "/follow?under=" + prefix + "&since=" + std::to_string(since) +
                            "&hold_ms=" + std::to_string(static_cast<long>(hold_s * 1000));
   auto send = [this, path, hold_s, done] {
@@ -153,9 +153,10 @@
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, {}}); }});
 }
 
-void StateClient::commit(wire::Txn txn, std::function<void(CommitResult)> done) {
-  const auto writes = static_cast<double>(txn.writes.size());
-  auto send = [this, body = wire::encode_txn(txn), done] {
+void StateStoreClient::commit(wire::Transaction transaction,
+                              std::function<void(CommitResult)> done) {
+  const auto writes = static_cast<double>(transaction.writes.size());
+  auto send = [this, body = wire::encode_transaction(transaction), done] {
     client_.request(
         "POST", "/commit", body, constants::kStateTimeout, [done](const net::Reply& reply) {
           auto outcome = outcome_of(reply);
@@ -174,7 +175,7 @@
   submit({writes, {}, std::move(send), [done] { done({Outcome::unavailable, 0, {}}); }});
 }
 
-void StateClient::grant(double life_s, std::function<void(GrantResult)> done) {
+void StateStoreClient::grant(double life_s, std::function<void(GrantResult)> done) {
   wire::Packer body;
   body.map(1).key("life_ms").integer(static_cast<std::uint64_t>(life_s * 1000));
   auto send = [this, text = body.take(), done] {
@@ -189,7 +190,7 @@
   submit({0, {}, std::move(send), [done] { done({Outcome::unavailable, 0}); }});
 }
 
-void StateClient::renew(std::uint64_t lease, std::function<void(Outcome)> done) {
+void StateStoreClient::renew(std::uint64_t lease, std::function<void(Outcome)> done) {
   auto send = [this, lease, done] {
     client_.request("POST", "/grants/" + std::to_string(lease) + "/renew", {},
                     constants::kStateTimeout,
--- a/src/store/state_store_client.hpp
+++ b/src/store/state_store_client.hpp
@@ -15,16 +15,16 @@
   double writes_per_s = 1;
 };
 
-class StateClient : public Store {
+class StateStoreClient : public StateStore {
  public:
-  StateClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, RateShare share);
+  StateStoreClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, RateShare share);
 
   void get(const std::string& key, std::function<void(GetResult)> done) override;
   void list(const std::string& prefix, const std::string& since,
             std::function<void(ListResult)> done) override;
   void watch(const std::string& prefix, std::uint64_t since, double hold_s,
              std::function<void(WatchResult)> done) override;
-  void commit(wire::Txn txn, std::function<void(CommitResult)> done) override;
+  void commit(wire::Transaction transaction, std::function<void(CommitResult)> done) override;
   void grant(double life_s, std::function<void(GrantResult)> done) override;
   void renew(std::uint64_t lease, std::function<void(Outcome)> done) override;
 
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -7,21 +7,21 @@
 namespace elmstall::wire {
 namespace {
 
-constexpr Names<CloudHost::State, 3> kHostStates{{{"booting", CloudHost::State::booting},
-                                                  {"running", CloudHost::State::running},
-                                                  {"failed", CloudHost::State::failed}}};
+constexpr Names<CloudMachine::State, 3> kMachineStates{{{"booting", CloudMachine::State::booting},
+                                                        {"running", CloudMachine::State::running},
+                                                        {"failed", CloudMachine::State::failed}}};
 
-CloudHost decode_cloud_host(const Object& object) {
+CloudMachine decode_cloud_machine(const Object& object) {
   const Fields fields(object);
-  CloudHost host;
-  host.id = fields.text("uid");
-  host.addr = fields.maybe_text("addr").value_or("");
-  host.type = fields.text("build");
-  host.zone = fields.text("yard");
-  host.spot = fields.flag_or("loaners", false);
-  host.state = pick(kHostStates, fields.text("status"), "status");
-  host.age_s = fields.maybe_number("held_s").value_or(0);
-  return host;
+  CloudMachine machine;
+  machine.id = fields.text("uid");
+  machine.addr = fields.maybe_text("addr").value_or("");
+  machine.type = fields.text("build");
+  machine.zone = fields.text("yard");
+  machine.spot = fields.flag_or("loaners", false);
+  machine.state = pick(kMachineStates, fields.text("status"), "status");
+  machine.age_s = fields.maybe_number("held_s").value_or(0);
+  return machine;
 }
 
 }  // namespace
@@ -76,26 +76,26 @@
   page.truncated = fields.flag_or("truncated", false);
   const auto [first, last] = elements(&fields.require("hosts"), "hosts");
   for (const auto* item = first; item != last; ++item)
-    page.hosts.push_back(decode_cloud_host(*item));
+    page.machines.push_back(decode_cloud_machine(*item));
   return page;
 }
 
-std::string encode_rent(std::string_view name, std::string_view type, std::string_view zone,
-                        bool spot, int count) {
+std::string encode_provision_request(std::string_view name, std::string_view type,
+                                     std::string_view zone, bool spot, int count) {
   Packer packer;
   packer.map(5).key("hire").text(name).key("build").text(type).key("yard").text(zone);
   packer.key("loaners").flag(spot).key("count").integer(static_cast<std::uint64_t>(count));
   return packer.take();
 }
 
-std::string encode_host_names(const std::vector<std::string>& hosts) {
+std::string encode_machine_names(const std::vector<std::string>& machines) {
   Packer packer;
-  packer.map(1).key("hosts").list(hosts.size());
-  for (const auto& host : hosts) packer.text(host);
+  packer.map(1).key("hosts").list(machines.size());
+  for (const auto& machine : machines) packer.text(machine);
   return packer.take();
 }
 
-std::vector<std::string> decode_host_names(const Object& object) {
+std::vector<std::string> decode_machine_names(const Object& object) {
   std::vector<std::string> names;
   const Fields fields(object);
   const auto [first, last] = elements(&fields.require("hosts"), "hosts");
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -24,12 +24,12 @@
   double ready_s = 0;
   std::vector<std::string> zones;
 };
-/// Throws Malformed.
+/// Throws DecodeError.
 [[nodiscard]] std::vector<MachineType> decode_machine_types(const Object& object);
 [[nodiscard]] std::string encode_machine_types(const std::vector<MachineType>& machine_types);
 
 /// A machine as the cloud lists it.
-struct CloudHost {
+struct CloudMachine {
   enum class State : std::uint8_t { booting, running, failed };
   std::string id;
   std::string addr;
@@ -41,16 +41,16 @@
 };
 /// One page of the machine list.
 struct CloudPage {
-  std::vector<CloudHost> hosts;
+  std::vector<CloudMachine> machines;
   bool truncated = false;
 };
-/// Throws Malformed.
+/// Throws DecodeError.
 [[nodiscard]] CloudPage decode_cloud_page(const Object& object);
 /// A rental request under a name that is never used again.
-[[nodiscard]] std::string encode_rent(std::string_view name, std::string_view type,
-                                      std::string_view zone, bool spot, int count);
+[[nodiscard]] std::string encode_provision_request(std::string_view name, std::string_view type,
+                                                   std::string_view zone, bool spot, int count);
 /// Names of machines, to be deleted or just rented.
-[[nodiscard]] std::string encode_host_names(const std::vector<std::string>& hosts);
-[[nodiscard]] std::vector<std::string> decode_host_names(const Object& object);
+[[nodiscard]] std::string encode_machine_names(const std::vector<std::string>& machines);
+[[nodiscard]] std::vector<std::string> decode_machine_names(const Object& object);
 
 }  // namespace elmstall::wire
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -13,17 +13,17 @@
   switch (object.type) {
     case msgpack::type::BIN:
     case msgpack::type::EXT:
-      throw Malformed("binary data is not allowed");
+      throw DecodeError("binary data is not allowed");
     case msgpack::type::FLOAT32:
     case msgpack::type::FLOAT64:
-      if (!std::isfinite(object.via.f64)) throw Malformed("a number is not finite");
+      if (!std::isfinite(object.via.f64)) throw DecodeError("a number is not finite");
       break;
     case msgpack::type::ARRAY:
       for (const auto& item : object.via.array) check(item);
       break;
     case msgpack::type::MAP:
       for (const auto& pair : object.via.map) {
-        if (pair.key.type != msgpack::type::STR) throw Malformed("a map key is not text");
+        if (pair.key.type != msgpack::type::STR) throw DecodeError("a map key is not text");
         check(pair.val);
       }
       break;
@@ -39,7 +39,7 @@
 }  // namespace
 
 Fields::Fields(const Object& object) : object_(object) {
-  if (object.type != msgpack::type::MAP) throw Malformed("not a map");
+  if (object.type != msgpack::type::MAP) throw DecodeError("not a map");
 }
 
 const Object* Fields::find(std::string_view key) const {
@@ -51,7 +51,7 @@
 
 const Object& Fields::require(std::string_view key) const {
   const Object* value = find(key);
-  if (value == nullptr) throw Malformed(field_error(key, "is missing"));
+  if (value == nullptr) throw DecodeError(field_error(key, "is missing"));
   return *value;
 }
 
@@ -80,7 +80,7 @@
 
 bool Fields::flag(std::string_view key) const {
   const Object& value = require(key);
-  if (value.type != msgpack::type::BOOLEAN) throw Malformed(field_error(key, "is not a boolean"));
+  if (value.type != msgpack::type::BOOLEAN) throw DecodeError(field_error(key, "is not a boolean"));
   return value.via.boolean;
 }
 
@@ -90,18 +90,18 @@
 
 std::pair<const Object*, const Object*> elements(const Object* object, std::string_view what) {
   if (object == nullptr) return {nullptr, nullptr};
-  if (object->type != msgpack::type::ARRAY) throw Malformed(field_error(what, "is not a list"));
+  if (object->type != msgpack::type::ARRAY) throw DecodeError(field_error(what, "is not a list"));
   return {object->via.array.ptr, object->via.array.ptr + object->via.array.size};
 }
 
 std::string as_text(const Object& object, std::string_view what) {
-  if (object.type != msgpack::type::STR) throw Malformed(field_error(what, "is not text"));
+  if (object.type != msgpack::type::STR) throw DecodeError(field_error(what, "is not text"));
   return std::string(view(object));
 }
 
 std::uint64_t as_integer(const Object& object, std::string_view what) {
   if (object.type != msgpack::type::POSITIVE_INTEGER)
-    throw Malformed(field_error(what, "is not a count"));
+    throw DecodeError(field_error(what, "is not a count"));
   return object.via.u64;
 }
 
@@ -115,7 +115,7 @@
     case msgpack::type::FLOAT64:
       return object.via.f64;
     default:
-      throw Malformed(field_error(what, "is not a number"));
+      throw DecodeError(field_error(what, "is not a number"));
   }
 }
 
@@ -128,11 +128,11 @@
     // forged length must not make us allocate for it.
     const msgpack::unpack_limit limit(size, size, size, size, size, constants::kMaxDepth);
     msgpack::unpack(document.handle_, bytes.data(), size, offset, nullptr, nullptr, limit);
-    if (offset != size) throw Malformed("trailing bytes");
-  } catch (const Malformed&) {
+    if (offset != size) throw DecodeError("trailing bytes");
+  } catch (const DecodeError&) {
     throw;
   } catch (const std::exception&) {
-    throw Malformed("not MessagePack");
+    throw DecodeError("not MessagePack");
   }
   check(document.root());
   return document;
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -12,7 +12,7 @@
 namespace elmstall::wire {
 
 /// Input that breaks the protocol. The text names what is wrong.
-class Malformed : public std::runtime_error {
+class DecodeError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -49,7 +49,7 @@
 /// One whole message, checked in full before anything is read from it.
 class Document {
  public:
-  /// Throws Malformed on trailing bytes, binary data, deep nesting, keys that
+  /// Throws DecodeError on trailing bytes, binary data, deep nesting, keys that
   /// are not text and numbers that are not finite.
   static Document parse(std::string_view bytes);
   [[nodiscard]] const Object& root() const { return handle_.get(); }
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -31,7 +31,7 @@
 
 std::string decode_job_id(const Object& object) {
   auto id = Fields(object).text("uid");
-  if (!valid_job_id(id)) throw Malformed("field 'uid' is not a job id");
+  if (!valid_job_id(id)) throw DecodeError("field 'uid' is not a job id");
   return id;
 }
 
@@ -46,7 +46,8 @@
   job.kind = pick(kKinds, fields.text("shape"), "shape");
   job.priority = pick(kPriorities, fields.text("rank"), "rank");
   const auto tasks = fields.integer("shards");
-  if (tasks == 0 || tasks > constants::kMaxTasks) throw Malformed("field 'shards' is out of range");
+  if (tasks == 0 || tasks > constants::kMaxTasks)
+    throw DecodeError("field 'shards' is out of range");
   job.tasks = static_cast<std::uint32_t>(tasks);
   job.cpus = amount(fields, "cores");
   job.gpus = amount(fields, "cards");
@@ -59,11 +60,11 @@
   job.spread = fields.flag("scatter");
   job.spot = fields.flag("loaners");
   job.image = fields.text("bundle");
-  if (job.image.size() > 200) throw Malformed("field 'bundle' is too long");
+  if (job.image.size() > 200) throw DecodeError("field 'bundle' is too long");
   job.image_gb = amount(fields, "pull_gb");
   job.expect_s = amount(fields, "expect_s");
   job.checkpoint_every_s = amount(fields, "mark_every_s");
-  job.save_s = amount(fields, "mark_s");
+  job.checkpoint_s = amount(fields, "mark_s");
   if (fields.find("due_s") != nullptr) job.due_s = amount(fields, "due_s");
   return job;
 }
@@ -99,7 +100,7 @@
   packer.key("pull_gb").number(job.image_gb);
   packer.key("expect_s").number(job.expect_s);
   packer.key("mark_every_s").number(job.checkpoint_every_s);
-  packer.key("mark_s").number(job.save_s);
+  packer.key("mark_s").number(job.checkpoint_s);
   packer.key("due_s");
   if (job.due_s) {
     packer.number(*job.due_s);
--- a/src/wire/jobs.hpp
+++ b/src/wire/jobs.hpp
@@ -36,16 +36,16 @@
   double image_gb = 0;
   double expect_s = 0;
   double checkpoint_every_s = 0;
-  double save_s = 0;
+  double checkpoint_s = 0;
   std::optional<double> due_s;
 };
 
 /// True for ids of the form that users choose them in.
 [[nodiscard]] bool valid_job_id(std::string_view id);
 /// The id alone, of a submission that may be malformed otherwise. Throws
-/// Malformed.
+/// DecodeError.
 [[nodiscard]] std::string decode_job_id(const Object& object);
-/// A submission. Throws Malformed.
+/// A submission. Throws DecodeError.
 [[nodiscard]] JobSpec decode_job(const Object& object);
 /// A submission as it is stored and sent; `decode_job` reads it.
 void pack_job(Packer& packer, const JobSpec& job);
@@ -61,7 +61,7 @@
 [[nodiscard]] std::string_view to_text(JobState state);
 /// The answer to a user; `with_counts`: with the numbers of tasks.
 [[nodiscard]] std::string encode_status(const JobStatus& status, bool with_counts);
-/// Reads such an answer. Throws Malformed.
+/// Reads such an answer. Throws DecodeError.
 [[nodiscard]] JobStatus decode_status(const Object& object);
 
 }  // namespace elmstall::wire
--- a/src/wire/names.cpp
+++ b/src/wire/names.cpp
@@ -4,7 +4,7 @@
 
 double amount(const Fields& fields, std::string_view key) {
   const double value = fields.number(key);
-  if (value < 0) throw Malformed("field '" + std::string(key) + "' is negative");
+  if (value < 0) throw DecodeError("field '" + std::string(key) + "' is negative");
   return value;
 }
 
@@ -14,7 +14,7 @@
 
 void check_text(const std::string& text, std::string_view field) {
   if (text.empty() || text.size() > 200)
-    throw Malformed("field '" + std::string(field) + "' is empty or too long");
+    throw DecodeError("field '" + std::string(field) + "' is empty or too long");
 }
 
 }  // namespace elmstall::wire
--- a/src/wire/names.hpp
+++ b/src/wire/names.hpp
@@ -14,18 +14,18 @@
 template <typename Enum, std::size_t N>
 using Names = std::array<std::pair<std::string_view, Enum>, N>;
 
-/// The value that the text names. Throws Malformed.
+/// The value that the text names. Throws DecodeError.
 template <typename Enum, std::size_t N>
 Enum pick(const Names<Enum, N>& names, std::string_view text, std::string_view field) {
   for (const auto& [name, value] : names) {
     if (name == text) return value;
   }
-  throw Malformed("field '" + std::string(field) +
-                  "' has no such value: " + std::string(text.substr(0, 40)));
+  throw DecodeError("field '" + std::string(field) +
+                    "' has no such value: " + std::string(text.substr(0, 40)));
 }
 
 /// As above, for what workers say: a word that is new to us must not cost the
-/// whole report, which would let the worker's lease run out.
+/// whole heartbeat, which would let the worker's lease run out.
 template <typename Enum, std::size_t N>
 Enum pick_or(const Names<Enum, N>& names, std::string_view text, Enum fallback) {
   for (const auto& [name, value] : names) {
@@ -43,11 +43,11 @@
   return {};
 }
 
-/// A number that is not negative. Throws Malformed.
+/// A number that is not negative. Throws DecodeError.
 [[nodiscard]] double amount(const Fields& fields, std::string_view key);
 /// The same, 0 when the field is missing.
 [[nodiscard]] double amount_or_zero(const Fields& fields, std::string_view key);
-/// Throws Malformed when the text is empty or too long for an id.
+/// Throws DecodeError when the text is empty or too long for an id.
 void check_text(const std::string& text, std::string_view field);
 
 }  // namespace elmstall::wire
--- a/src/wire/state.cpp
+++ b/src/wire/state.cpp
@@ -28,7 +28,7 @@
   for (const auto* item = first; item != last; ++item) {
     const Fields one(*item);
     Change change;
-    change.stamp = one.integer("stamp");
+    change.mod_revision = one.integer("stamp");
     if (auto key = one.maybe_text("set")) {
       change.key = std::move(*key);
       change.value = pack_object(one.require("value"));
@@ -40,13 +40,13 @@
   return changes;
 }
 
-std::string encode_txn(const Txn& txn) {
+std::string encode_transaction(const Transaction& transaction) {
   Packer packer;
-  packer.map(2).key("guards").list(txn.guards.size());
-  for (const auto& guard : txn.guards)
-    packer.map(2).key("key").text(guard.key).key("stamp").integer(guard.stamp);
-  packer.key("writes").list(txn.writes.size());
-  for (const auto& write : txn.writes) {
+  packer.map(2).key("guards").list(transaction.preconditions.size());
+  for (const auto& precondition : transaction.preconditions)
+    packer.map(2).key("key").text(precondition.key).key("stamp").integer(precondition.mod_revision);
+  packer.key("writes").list(transaction.writes.size());
+  for (const auto& write : transaction.writes) {
     if (!write.value) {
       packer.map(1).key("delete").text(write.key);
       continue;
--- a/src/wire/state.hpp
+++ b/src/wire/state.hpp
@@ -15,7 +15,7 @@
 struct Entry {
   std::string key;
   std::string value;  ///< packed
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
 };
 /// One page of keys below a prefix.
 struct Listing {
@@ -27,18 +27,18 @@
 struct Change {
   std::string key;
   std::optional<std::string> value;  ///< packed; nothing: deleted
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
 };
-/// What a watch reports.
+/// What a watch returns.
 struct Changes {
   std::uint64_t revision = 0;
   std::vector<Change> log;
 };
 /// A condition of a transaction: the key has this version, 0 if it must not
 /// exist.
-struct Guard {
+struct Precondition {
   std::string key;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
 };
 /// A change that a transaction makes.
 struct Write {
@@ -47,14 +47,14 @@
   std::uint64_t lease = 0;           ///< 0: not attached to a lease
 };
 /// Applied whole or not at all.
-struct Txn {
-  std::vector<Guard> guards;
+struct Transaction {
+  std::vector<Precondition> preconditions;
   std::vector<Write> writes;
 };
-/// These throw Malformed.
+/// These throw DecodeError.
 [[nodiscard]] Entry decode_entry(const Object& object);
 [[nodiscard]] Listing decode_listing(const Object& object);
 [[nodiscard]] Changes decode_changes(const Object& object);
-[[nodiscard]] std::string encode_txn(const Txn& txn);
+[[nodiscard]] std::string encode_transaction(const Transaction& transaction);
 
 }  // namespace elmstall::wire
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -12,7 +12,7 @@
 constexpr Names<TaskState, 5> kTaskStates{{{"fetching", TaskState::fetching},
                                            {"gathering", TaskState::gathering},
                                            {"running", TaskState::running},
-                                           {"flushing", TaskState::saving},
+                                           {"flushing", TaskState::checkpointing},
                                            {"ended", TaskState::ended}}};
 constexpr Names<EndCause, 8> kCauses{{{"done", EndCause::done},
                                       {"halted", EndCause::stopped},
@@ -24,31 +24,31 @@
                                       {"incomplete", EndCause::incomplete}}};
 constexpr Names<Verb, 3> kVerbs{{{"run", Verb::run}, {"kill", Verb::stop}, {"clear", Verb::clear}}};
 
-void pack_orders(Packer& packer, const std::vector<Order>& orders) {
-  packer.key("orders").list(orders.size());
-  for (const auto& order : orders) {
-    const bool stop = order.verb == Verb::stop;
+void pack_commands(Packer& packer, const std::vector<WorkerCommand>& commands) {
+  packer.key("orders").list(commands.size());
+  for (const auto& command : commands) {
+    const bool stop = command.verb == Verb::stop;
     packer.map(stop ? 4 : 3);
-    packer.key("verb").text(name_of(kVerbs, order.verb));
-    packer.key("shard").text(task_name(order.job, order.index));
-    packer.key("try").integer(order.attempt);
-    if (stop) packer.key("wind_down_s").number(order.wind_down_s);
+    packer.key("verb").text(name_of(kVerbs, command.verb));
+    packer.key("shard").text(task_name(command.job, command.index));
+    packer.key("try").integer(command.attempt);
+    if (stop) packer.key("wind_down_s").number(command.grace_period_s);
   }
 }
 
 std::pair<std::string, std::uint32_t> split_task_name(const std::string& name) {
   const auto slash = name.rfind('/');
-  if (slash == std::string::npos) throw Malformed("a task name has no number");
+  if (slash == std::string::npos) throw DecodeError("a task name has no number");
   std::uint32_t index = 0;
   const char* end = name.data() + name.size();
   const auto [stop, error] = std::from_chars(name.data() + slash + 1, end, index);
-  if (error != std::errc() || stop != end) throw Malformed("a task name has no number");
+  if (error != std::errc() || stop != end) throw DecodeError("a task name has no number");
   return {name.substr(0, slash), index};
 }
 
-TaskReport decode_task(const Object& object) {
+TaskStatus decode_task(const Object& object) {
   const Fields fields(object);
-  TaskReport task;
+  TaskStatus task;
   std::tie(task.job, task.index) = split_task_name(fields.text("shard"));
   task.attempt = fields.integer("try");
   task.state = pick_or(kTaskStates, fields.text("status"), TaskState::other);
@@ -61,34 +61,34 @@
 
 }  // namespace
 
-std::string encode_report(const Report& report) {
+std::string encode_heartbeat(const WorkerHeartbeat& heartbeat) {
   Packer packer;
   packer.map(10)
       .key("host")
-      .text(report.host)
+      .text(heartbeat.machine)
       .key("addr")
-      .text(report.addr)
+      .text(heartbeat.addr)
       .key("build")
-      .text(report.type);
+      .text(heartbeat.type);
   packer.key("yard")
-      .text(report.zone)
+      .text(heartbeat.zone)
       .key("loaners")
-      .flag(report.spot)
+      .flag(heartbeat.spot)
       .key("shift")
-      .integer(report.session);
+      .integer(heartbeat.epoch);
   packer.key("recall_s");
-  if (report.recall_s) {
-    packer.number(*report.recall_s);
+  if (heartbeat.interruption_in_s) {
+    packer.number(*heartbeat.interruption_in_s);
   } else {
     packer.null();
   }
   packer.key("tick")
-      .integer(report.tick)
+      .integer(heartbeat.sequence)
       .key("baton")
-      .integer(report.token)
+      .integer(heartbeat.token)
       .key("shards")
-      .list(report.tasks.size());
-  for (const auto& task : report.tasks) {
+      .list(heartbeat.tasks.size());
+  for (const auto& task : heartbeat.tasks) {
     const bool ended = task.state == TaskState::ended;
     packer.map(ended ? 5 : 3)
         .key("shard")
@@ -101,53 +101,55 @@
   return packer.take();
 }
 
-Report decode_report(const Object& object) {
+WorkerHeartbeat decode_heartbeat(const Object& object) {
   const Fields fields(object);
-  Report report;
-  report.host = fields.text("host");
-  check_text(report.host, "host");
-  report.addr = fields.maybe_text("addr").value_or("");
-  report.type = fields.text("build");
-  report.zone = fields.text("yard");
-  report.spot = fields.flag_or("loaners", false);
-  report.session = fields.integer("shift");
-  report.tick = fields.integer("tick");
-  report.token = fields.integer_or("baton", 0);
-  report.recall_s = fields.maybe_number("recall_s");
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = fields.text("host");
+  check_text(heartbeat.machine, "host");
+  heartbeat.addr = fields.maybe_text("addr").value_or("");
+  heartbeat.type = fields.text("build");
+  heartbeat.zone = fields.text("yard");
+  heartbeat.spot = fields.flag_or("loaners", false);
+  heartbeat.epoch = fields.integer("shift");
+  heartbeat.sequence = fields.integer("tick");
+  heartbeat.token = fields.integer_or("baton", 0);
+  heartbeat.interruption_in_s = fields.maybe_number("recall_s");
   const auto [first, last] = elements(fields.find("shards"), "shards");
-  for (const auto* item = first; item != last; ++item) report.tasks.push_back(decode_task(*item));
-  return report;
+  for (const auto* item = first; item != last; ++item)
+    heartbeat.tasks.push_back(decode_task(*item));
+  return heartbeat;
 }
 
-std::string encode_orders(std::uint64_t token, const std::vector<Order>& orders) {
+std::string encode_heartbeat_reply(std::uint64_t token,
+                                   const std::vector<WorkerCommand>& commands) {
   Packer packer;
   packer.map(2).key("baton").integer(token);
-  pack_orders(packer, orders);
+  pack_commands(packer, commands);
   return packer.take();
 }
 
-std::string encode_direct_orders(std::uint64_t token, std::uint64_t session,
-                                 const std::vector<Order>& orders) {
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t epoch,
+                                   const std::vector<WorkerCommand>& commands) {
   Packer packer;
-  packer.map(3).key("baton").integer(token).key("shift").integer(session);
-  pack_orders(packer, orders);
+  packer.map(3).key("baton").integer(token).key("shift").integer(epoch);
+  pack_commands(packer, commands);
   return packer.take();
 }
 
-Orders decode_orders(const Object& object) {
+CommandEnvelope decode_commands(const Object& object) {
   const Fields fields(object);
-  Orders result;
+  CommandEnvelope result;
   result.token = fields.integer_or("baton", 0);
-  result.session = fields.integer_or("shift", 0);
+  result.epoch = fields.integer_or("shift", 0);
   const auto [first, last] = elements(fields.find("orders"), "orders");
   for (const auto* item = first; item != last; ++item) {
     const Fields one(*item);
-    Order order;
-    order.verb = pick(kVerbs, one.text("verb"), "verb");
-    std::tie(order.job, order.index) = split_task_name(one.text("shard"));
-    order.attempt = one.integer("try");
-    order.wind_down_s = one.maybe_number("wind_down_s").value_or(0);
-    result.orders.push_back(std::move(order));
+    WorkerCommand command;
+    command.verb = pick(kVerbs, one.text("verb"), "verb");
+    std::tie(command.job, command.index) = split_task_name(one.text("shard"));
+    command.attempt = one.integer("try");
+    command.grace_period_s = one.maybe_number("wind_down_s").value_or(0);
+    result.commands.push_back(std::move(command));
   }
   return result;
 }
--- a/src/wire/workers.hpp
+++ b/src/wire/workers.hpp
@@ -1,4 +1,4 @@
-// Workers' interface: reports and commands.
+// Workers' interface: heartbeats and commands.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 /// `gathering`: waits for the other tasks of its gang. `other`: a state that
 /// this program does not know.
-enum class TaskState : std::uint8_t { fetching, gathering, running, saving, ended, other };
+enum class TaskState : std::uint8_t { fetching, gathering, running, checkpointing, ended, other };
 /// `mates_gone`: another task of the gang is gone. `incomplete`: the gang was
 /// not complete in time.
 enum class EndCause : std::uint8_t {
@@ -30,7 +30,7 @@
 };
 
 /// One task as a worker reports it.
-struct TaskReport {
+struct TaskStatus {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
@@ -40,45 +40,46 @@
 };
 
 /// What a worker reports of itself and its tasks.
-struct Report {
-  std::string host;
+struct WorkerHeartbeat {
+  std::string machine;
   std::string addr;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
-  std::uint64_t tick = 0;
+  std::uint64_t epoch = 0;
+  std::uint64_t sequence = 0;
   std::uint64_t token = 0;
-  std::optional<double> recall_s;
-  std::vector<TaskReport> tasks;
+  std::optional<double> interruption_in_s;
+  std::vector<TaskStatus> tasks;
 };
-/// Throws Malformed.
-[[nodiscard]] Report decode_report(const Object& object);
-[[nodiscard]] std::string encode_report(const Report& report);
+/// Throws DecodeError.
+[[nodiscard]] WorkerHeartbeat decode_heartbeat(const Object& object);
+[[nodiscard]] std::string encode_heartbeat(const WorkerHeartbeat& heartbeat);
 
-/// `stop` ends a task, `clear` removes an exited one from the reports.
+/// `stop` ends a task, `clear` removes an exited one from the heartbeats.
 enum class Verb : std::uint8_t { run, stop, clear };
 /// One command to a worker.
-struct Order {
+struct WorkerCommand {
   Verb verb = Verb::run;
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  double wind_down_s = 0;
+  double grace_period_s = 0;
 };
-/// The answer to a report.
-[[nodiscard]] std::string encode_orders(std::uint64_t token, const std::vector<Order>& orders);
-/// A command sent straight to a worker; void unless its session is this one.
-[[nodiscard]] std::string encode_direct_orders(std::uint64_t token, std::uint64_t session,
-                                               const std::vector<Order>& orders);
-/// What a worker reads from the answer to its report.
-struct Orders {
+/// The answer to a heartbeat.
+[[nodiscard]] std::string encode_heartbeat_reply(std::uint64_t token,
+                                                 const std::vector<WorkerCommand>& commands);
+/// A command sent straight to a worker; void unless its epoch is this one.
+[[nodiscard]] std::string encode_direct_commands(std::uint64_t token, std::uint64_t epoch,
+                                                 const std::vector<WorkerCommand>& commands);
+/// What a worker reads from the answer to its heartbeat.
+struct CommandEnvelope {
   std::uint64_t token = 0;
-  std::uint64_t session = 0;  ///< of direct orders
-  std::vector<Order> orders;
+  std::uint64_t epoch = 0;  ///< of direct commands
+  std::vector<WorkerCommand> commands;
 };
-/// Throws Malformed.
-[[nodiscard]] Orders decode_orders(const Object& object);
+/// Throws DecodeError.
+[[nodiscard]] CommandEnvelope decode_commands(const Object& object);
 /// Sends a worker to another controller; empty: to whichever it tries next.
 [[nodiscard]] std::string encode_redirect(std::string_view node);
 
--- a/tests/cancellation_faults_test.cpp
+++ b/tests/cancellation_faults_test.cpp
@@ -26,7 +26,7 @@
   ASSERT_EQ(placed(world, "job-1"), 8U);
   const auto lead = leader_index(world);
   const double at = world.loop.now();
-  if (!hears) world.cut_mesh(lead, true);
+  if (!hears) world.cut_peer_links(lead, true);
   refuse_state(world, lead, true);
   world.run_until(at + confirm_after);
   ASSERT_TRUE(world.cancel_at((lead + 1) % world.node_count(), "job-1")) << confirm_after;
@@ -42,7 +42,7 @@
   world.run_until(at + 75);
   world.state_down(false);
   refuse_state(world, lead, false);
-  world.cut_mesh(lead, false);
+  world.cut_peer_links(lead, false);
   world.run_until(at + 130);
   EXPECT_EQ(told(world, "job-1"), JobState::cancelled) << confirm_after;
   EXPECT_EQ(placed(world, "job-2"), 4U) << confirm_after;
@@ -71,7 +71,7 @@
     extreme_clocks(world);
     const auto lead = leader_index(world);
     world.run_until(50 + 0.02 * step);
-    world.cut_mesh(lead, true);
+    world.cut_peer_links(lead, true);
     refuse_state(world, lead, true);
     world.run_until(world.loop.now() + 0.001);
     ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-1", 0.02));
@@ -123,33 +123,35 @@
   }
 }
 
-/// Layer 2: while direct orders hang, one exchange after the other, no answer
+/// Layer 2: while direct commands hang, one command RPC after the other, no answer
 /// renews a lease without ending the cancelled tasks that it would keep alive.
-TEST(StaleLeader, AnAnswerBesideOrdersThatHangEndsCancelledTasks) {
+TEST(StaleLeader, AnAnswerBesideCommandsThatHangEndsCancelledTasks) {
   World world(1400);
   world.submit(array(1, 4, 3000));
   world.run_until(45);
-  world.no_direct = true;  // each exchange takes its 2 s and fails
+  world.no_direct = true;  // each command RPC takes its 2 s and fails
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   auto& leader = *world.leader()->leader();
-  auto* host = leader.model().find_host(worker->id());
+  auto* machine = leader.model().find_machine(worker->id());
   ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1", 0.05));
-  for (int i = 0; i < 40 && !host->exchanging; ++i) world.run_until(world.loop.now() + 0.01);
-  ASSERT_TRUE(host->exchanging) << "orders are under way";
-  auto report = report_of(*worker, host->session, host->tick + 100, leader.token() + host->fence);
-  show_tasks(report, *host, wire::TaskState::running, wire::EndCause::none);
-  ASSERT_FALSE(report.tasks.empty());
-  for (const int older : {0, 1}) {  // as news, and crossing the reply to an exchange
-    report.tick -= static_cast<std::uint64_t>(older);
-    host->exchanged_at = world.loop.now();
-    const auto answer = world.answer_of(leader_index(world),
-                                        {"POST", "/v1/report", wire::encode_report(report)}, 0.05);
+  for (int i = 0; i < 40 && !machine->rpc_in_flight; ++i) world.run_until(world.loop.now() + 0.01);
+  ASSERT_TRUE(machine->rpc_in_flight) << "orders are under way";
+  auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
+                                leader.token() + machine->fence);
+  show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
+  ASSERT_FALSE(heartbeat.tasks.empty());
+  for (const int older : {0, 1}) {  // as news, and crossing the reply to a command RPC
+    heartbeat.sequence -= static_cast<std::uint64_t>(older);
+    machine->rpc_completed_at = world.loop.now();
+    const auto answer = world.answer_of(
+        leader_index(world), {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)}, 0.05);
     ASSERT_TRUE(answer);
     ASSERT_EQ(answer->status, 200);
-    const auto orders = wire::decode_orders(wire::Document::parse(answer->body).root()).orders;
-    EXPECT_EQ(orders.size(), report.tasks.size()) << older;
-    for (const auto& order : orders) EXPECT_EQ(order.verb, wire::Verb::stop) << older;
+    const auto commands =
+        wire::decode_commands(wire::Document::parse(answer->body).root()).commands;
+    EXPECT_EQ(commands.size(), heartbeat.tasks.size()) << older;
+    for (const auto& command : commands) EXPECT_EQ(command.verb, wire::Verb::stop) << older;
   }
   world.no_direct = false;
   world.run_until(world.loop.now() + 30);
@@ -164,7 +166,7 @@
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 8));
   world.run_until(15);
-  world.no_direct = true;  // orders go with answers to reports
+  world.no_direct = true;  // commands go with answers to heartbeats
   world.submit(array(2, 8, 3000));
   while (placed(world, "job-2") == 0 && world.loop.now() < 60)
     world.run_until(world.loop.now() + 0.05);
@@ -174,18 +176,19 @@
   world.run_until(world.loop.now() + 3);                  // recorded, and the direct way has failed
   const auto lead = leader_index(world);
   refuse_state(world, lead, true);
-  world.cut_mesh(lead, true);
-  const auto* host = world.leader()->leader()->model().find_host(worker->id());
+  world.cut_peer_links(lead, true);
+  const auto* machine = world.leader()->leader()->model().find_machine(worker->id());
   const auto starts_told = [&] {
-    auto report = report_of(*worker, host->session, host->tick + 100,
-                            host->fence + world.node(lead)->leader()->token());
+    auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
+                                  machine->fence + world.node(lead)->leader()->token());
     const auto answer =
-        world.answer_of(lead, {"POST", "/v1/report", wire::encode_report(report)}, 0.05);
+        world.answer_of(lead, {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)}, 0.05);
     if (!answer || answer->status != 200) return -1;
-    const auto orders = wire::decode_orders(wire::Document::parse(answer->body).root()).orders;
-    return static_cast<int>(std::count_if(orders.begin(), orders.end(), [](const auto& order) {
-      return order.verb == wire::Verb::run;
-    }));
+    const auto commands =
+        wire::decode_commands(wire::Document::parse(answer->body).root()).commands;
+    return static_cast<int>(
+        std::count_if(commands.begin(), commands.end(),
+                      [](const auto& command) { return command.verb == wire::Verb::run; }));
   };
   EXPECT_GT(starts_told(), 0) << "just proved";
   ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-2"));
@@ -209,7 +212,7 @@
     world.run_until(t);
     auto* job =
         world.leader() == nullptr ? nullptr : world.leader()->leader()->model().job("job-2");
-    if (down || job == nullptr || job->on_hosts == 0) continue;
+    if (down || job == nullptr || job->on_machines == 0) continue;
     // Recorded and not sent yet: the machines hear nothing for 6 s.
     for (auto& [id, worker] : world.workers) worker->answers_dropped = true;
     world.state_down(true);
@@ -226,19 +229,19 @@
 
 // --- held up on the way --------------------------------------------------------------
 
-/// Orders are carried out seconds later, and the machine then goes on.
-TEST(DelayedOrders, AreVoidOrOverInTime) {
+/// Commands are carried out seconds later, and the machine then goes on.
+TEST(DelayedCommands, AreVoidOrOverInTime) {
   for (int hold = 1; hold < 60; hold += 5) {
     World world(1500 + static_cast<unsigned>(hold));
     world.submit(array(1, 8, 20));
     world.run_until(20);
-    world.hold_orders = hold;
+    world.hold_commands = hold;
     world.submit(array(2, 8, 3000));
     world.submit(array(3, 8, 10));
     world.run_until(24 + hold % 7);
     world.cancel("job-2");
     world.run_until(35);
-    world.hold_orders = 0;
+    world.hold_commands = 0;
     for (auto& [id, worker] : world.workers) {
       if (world.random() < 0.5) worker->hang(hold % 9);
     }
@@ -251,27 +254,27 @@
 
 /// A `run` is held on its way while a zone delegate keeps the machine's lease: when
 /// it arrives the job was cancelled longer than `cancel_s` ago.
-TEST(DelayedOrders, AZoneDelegateKeepsNoLeaseUnderWhichACancelledTaskMayStart) {
+TEST(DelayedCommands, AZoneDelegateKeepsNoLeaseUnderWhichACancelledTaskMayStart) {
   World world(1560);
   world.cloud.capacity = 20;
   world.submit(array_in("south", 1, 3, 3000));  // leaves room on a machine
   world.run_until(45);
   lead_from_north(world);
   ASSERT_EQ(placed(world, "job-1"), 3U);
-  world.hold_orders = 70;
+  world.hold_commands = 70;
   auto held = array_in("south", 2, 1, 3000);
   held.image_gb = 0;  // runs as soon as it is told to
   world.submit(held);
   for (int i = 0; i < 200 && placed(world, "job-2") == 0; ++i)
     world.run_until(world.loop.now() + 0.02);
-  world.run_until(world.loop.now() + 0.4);  // the exchange is under way
+  world.run_until(world.loop.now() + 0.4);  // the command RPC is under way
   world.part_zones(true);
   world.run_until(world.loop.now() + 8);
   ASSERT_FALSE(world.node(1)->mirror().delegations().empty()) << "in care";
   world.cancel("job-2");
   world.run_until(world.loop.now() + 70);
   world.part_zones(false);
-  world.hold_orders = 0;
+  world.hold_commands = 0;
   world.run_until(world.loop.now() + 60);
   EXPECT_EQ(told(world, "job-2"), JobState::cancelled);
   expect_rules(world);
@@ -345,7 +348,7 @@
   EXPECT_GT(cancelled, 0U) << "the moments lie on both sides";
 }
 
-/// Rule 4: what a report says is recorded before the worker is told to forget
+/// Rule 4: what a heartbeat says is recorded before the worker is told to forget
 /// it, also while the state service is away.
 TEST(JobCompletion, IsRecordedBeforeItIsCleared) {
   World world(3050);
@@ -355,20 +358,21 @@
   ASSERT_NE(worker, nullptr);
   const auto lead = leader_index(world);
   auto& leader = *world.leader()->leader();
-  auto* host = leader.model().find_host(worker->id());
-  const auto* task = *host->tasks.begin();
+  auto* machine = leader.model().find_machine(worker->id());
+  const auto* task = *machine->tasks.begin();
   worker->cut = true;  // we speak for it
   world.run_until(world.loop.now() + 5);
-  auto report = report_of(*worker, host->session, host->tick, leader.token() + host->fence);
-  report.tasks.push_back(
+  auto heartbeat =
+      heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
+  heartbeat.tasks.push_back(
       {"job-1", task->index, task->attempt, wire::TaskState::ended, wire::EndCause::done, false});
   const auto cleared = [&] {
-    ++report.tick;
+    ++heartbeat.sequence;
     const auto answer =
-        world.answer_of(lead, {"POST", "/v1/report", wire::encode_report(report)}, 0.05);
+        world.answer_of(lead, {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)}, 0.05);
     if (!answer || answer->status != 200) return -1;
     return static_cast<int>(
-        wire::decode_orders(wire::Document::parse(answer->body).root()).orders.size());
+        wire::decode_commands(wire::Document::parse(answer->body).root()).commands.size());
   };
   world.rules.completed("job-1", 0);
   world.state_down(true);
--- a/tests/chaos_test.cpp
+++ b/tests/chaos_test.cpp
@@ -60,7 +60,7 @@
   }
   world.run_until(480);
   for (const auto& id : world.rules.accepted_jobs()) {
-    EXPECT_GT(world.answered_at(id), 400) << id << " was not answered for";
+    EXPECT_GT(world.replied_at(id), 400) << id << " was not answered for";
     // A gang may ask for more machines at once than there are.
     const bool gang = world.spec(id)->kind == wire::JobKind::gang;
     // `queued` only says that no task runs at the moment.
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -53,25 +53,25 @@
   EXPECT_EQ(store::encode(job), from_hex(kStored));
 }
 
-TEST(StoredRecords, ALogValueKeepsBlocksAndHosts) {
+TEST(StoredRecords, ALogValueKeepsBlocksAndMachines) {
   constexpr std::string_view kStored =
       "83a16e09a1629195aa6a6f622d3030303431320103a13192932102ab686f73742d303030323331932201a0a1"
       "689295ab686f73742d303030323331af31302e312e302e3233323a39303030a26738a1610391ab686f73742d"
       "303030303037";
   const auto slot = store::decode_slot(from_hex(kStored));
   ASSERT_EQ(slot.blocks.size(), 1U);
-  ASSERT_EQ(slot.hosts.size(), 2U);
+  ASSERT_EQ(slot.machines.size(), 2U);
   EXPECT_EQ(slot.blocks[0].record.done, (std::vector<bool>{true, false, false}));
-  EXPECT_EQ(slot.blocks[0].record.tasks[0].host, "host-000231");
-  EXPECT_TRUE(slot.hosts[0].record.retired);
-  EXPECT_TRUE(slot.hosts[1].removed);
-  EXPECT_EQ(
-      store::encode_slot(slot.number, {store::pack(slot.blocks[0]).bytes},
-                         {store::pack(slot.hosts[0]).bytes, store::pack(slot.hosts[1]).bytes}),
-      from_hex(kStored));
+  EXPECT_EQ(slot.blocks[0].record.tasks[0].machine, "host-000231");
+  EXPECT_TRUE(slot.machines[0].record.retired);
+  EXPECT_TRUE(slot.machines[1].removed);
+  EXPECT_EQ(store::encode_slot(
+                slot.number, {store::pack(slot.blocks[0]).bytes},
+                {store::pack(slot.machines[0]).bytes, store::pack(slot.machines[1]).bytes}),
+            from_hex(kStored));
 }
 
-TEST(MeshMessages, OfEarlierBuildsAreReadAndWrittenAlike) {
+TEST(PeerMessages, OfEarlierBuildsAreReadAndWrittenAlike) {
   for (const std::string_view sent :
        {std::string_view("010000000006000000000000006e6f64652d31290000000000000006000000000000006e6"
                          "f64652d32010000"
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -1,4 +1,4 @@
-// Whole controllers over loopback: real HTTP, mesh and clients against the
+// Whole controllers over loopback: real HTTP, peer network and clients against the
 // stand-ins of state service, cloud and workers.
 #include <gtest/gtest.h>
 
@@ -17,27 +17,28 @@
 
   EndToEnd() : world_(5, 0), state_(io_, world_.state), cloud_(io_, world_) {
     // Short, so that real seconds suffice.
-    world_.settings.report_s = 0.3;
+    world_.settings.heartbeat_interval_s = 0.3;
     world_.settings.list_lag_s = 0.2;
     world_.machine_types.front().ready_s = 1;
     world_.outside_nodes = kNodes;
     std::vector<std::string> api;
-    std::vector<std::string> mesh;
+    std::vector<std::string> transport;
     for (std::size_t i = 0; i < kNodes; ++i) {
       api.push_back(free_address());
-      mesh.push_back(free_address());
+      transport.push_back(free_address());
     }
     for (std::size_t i = 0; i < kNodes; ++i) {
       auto settings = world_.settings;
       settings.node = "node-" + std::to_string(i);
       settings.zone = settings.zones[i % 2];
       settings.api_addr = api[i];
-      settings.mesh_addr = mesh[i];
+      settings.peer_addr = transport[i];
       settings.state_endpoint = "127.0.0.1:" + std::to_string(state_.port());
       settings.cloud_endpoint = "127.0.0.1:" + std::to_string(cloud_.port());
       for (std::size_t j = 0; j < kNodes; ++j) {
         if (j != i)
-          settings.peers.push_back({"node-" + std::to_string(j), settings.zones[j % 2], mesh[j]});
+          settings.peers.push_back(
+              {"node-" + std::to_string(j), settings.zones[j % 2], transport[j]});
       }
       settings_.push_back(settings);
       clients_.push_back(
@@ -63,8 +64,8 @@
   void step() {
     const auto now = std::chrono::steady_clock::now();
     world_.loop.run_until(std::chrono::duration<double>(now - started_).count());
-    tick_.expires_after(std::chrono::milliseconds(5));
-    tick_.async_wait([this](asio::error_code error) {
+    sequence_.expires_after(std::chrono::milliseconds(5));
+    sequence_.async_wait([this](asio::error_code error) {
       if (!error) step();
     });
   }
@@ -111,7 +112,7 @@
 
   asio::io_context io_;
   std::chrono::steady_clock::time_point started_ = std::chrono::steady_clock::now();
-  asio::steady_timer tick_{io_};
+  asio::steady_timer sequence_{io_};
   World world_;
   StateFront state_;
   CloudFront cloud_;
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -20,7 +20,8 @@
   if (job == nullptr) return 0;
   std::size_t count = 0;
   for (auto& [number, block] : job->blocks) {
-    for (auto& task : block->tasks) count += task.seen && task.state == wire::TaskState::running;
+    for (auto& task : block->tasks)
+      count += task.in_last_heartbeat && task.state == wire::TaskState::running;
   }
   return count;
 }
@@ -205,7 +206,7 @@
   expect_rules_and_starts(world);
 }
 
-/// Safety rule 5: without the state service reports are answered only for as
+/// Safety rule 5: without the state service heartbeats are answered only for as
 /// long as an unheard cancellation can still be honoured.
 TEST(Authority, EndsInTimeDuringALongOutage) {
   World world(11);
@@ -242,7 +243,7 @@
   ASSERT_NE(world.leader(), nullptr);
   auto& model = world.leader()->leader()->model();
   EXPECT_DOUBLE_EQ(model.usage("red").gpus, 8);
-  EXPECT_EQ(model.job("job-2")->on_hosts, 0U);
+  EXPECT_EQ(model.job("job-2")->on_machines, 0U);
   world.run_until(120);
   expect_rules_and_starts(world);
 }
@@ -264,7 +265,7 @@
 }
 
 /// Safety rule 9: a rental without an answer is repeated under its name.
-TEST(Rental, WithoutAnAnswerIsNotMadeTwice) {
+TEST(ScaleOut, WithoutAnAnswerIsNotMadeTwice) {
   World world(23);
   world.cloud.lose_answers = 3;
   auto job = array(1, 4, 60);
@@ -293,9 +294,9 @@
   expect_rules_and_starts(world);
 }
 
-/// Safety rules 3 and 6: late reports from former sessions, which a new leader
+/// Safety rules 3 and 6: late heartbeats from former epochs, which a new leader
 /// gets before it is in touch with the machine, prove nothing.
-TEST(LateReports, OfFormerSessionsDoNotFreeTasks) {
+TEST(LateHeartbeats, OfFormerEpochsDoNotFreeTasks) {
   World world(20, 1);
   world.submit(service(1, 2));
   world.run_until(40);
@@ -304,16 +305,16 @@
   for (auto& [id, worker] : world.workers) worker->cut = true;
   world.run_until(43);
   ASSERT_NE(world.leader(), nullptr);
-  for (const std::uint64_t session : {1, 2}) {
+  for (const std::uint64_t epoch : {1, 2}) {
     for (auto& [id, worker] : world.workers) {
-      const wire::Report late{
-          id, "", worker->type(), worker->zone(), worker->spot(), session, 1, 0, std::nullopt, {}};
-      world.send_to_node(0, {"POST", "/v1/report", wire::encode_report(late)},
+      const wire::WorkerHeartbeat late{
+          id, "", worker->type(), worker->zone(), worker->spot(), epoch, 1, 0, std::nullopt, {}};
+      world.send_to_node(0, {"POST", "/v1/report", wire::encode_heartbeat(late)},
                          [](const net::Response&) {});
     }
     world.run_until(world.loop.now() + 1);
   }
-  EXPECT_EQ(world.leader()->leader()->model().job("job-1")->on_hosts, 2U);
+  EXPECT_EQ(world.leader()->leader()->model().job("job-1")->on_machines, 2U);
   for (auto& [id, worker] : world.workers) worker->cut = false;
   world.run_until(60);
   EXPECT_EQ(running(world, "job-1"), 2U);
--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -62,9 +62,10 @@
   for (int i = 0; i < 55; ++i) job.types.push_back("m12");
   world.expect(job);
   world.rules.told_accepted(world.loop.now(), job.id);
-  wire::Txn txn;
-  txn.writes = {{store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(txn).outcome, store::Outcome::ok);
+  wire::Transaction transaction;
+  transaction.writes = {
+      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
+  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
   world.run_until(40);
   ASSERT_EQ(placed(world, "job-1"), 2U);
   world.lower_state_limits();
@@ -99,9 +100,10 @@
   world.run_until(5);
   auto job = array(1, 2);
   for (int i = 0; i < 80; ++i) job.types.push_back("m12");
-  wire::Txn txn;
-  txn.writes = {{store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(txn).outcome, store::Outcome::ok);
+  wire::Transaction transaction;
+  transaction.writes = {
+      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
+  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
   world.run_until(8);
   wire::Packer packer;
   wire::pack_job(packer, job);
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -1,5 +1,5 @@
 // The faults that came with the grown deployments, one at a time, and the
-// orders that go straight to the workers.
+// commands that go straight to the workers.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,13 +9,13 @@
 
 using wire::JobState;
 
-// --- direct orders (safety rules 2 and 4) -------------------------------------------
+// --- direct commands (safety rules 2 and 4) -------------------------------------------
 
-/// Reports are 10 s apart on large sites: a start must not wait for one.
-TEST(DirectOrders, StartsDoNotWaitForAReport) {
+/// Heartbeats are 10 s apart on large sites: a start must not wait for one.
+TEST(CommandRpc, StartsDoNotWaitForAHeartbeat) {
   World world(31);
-  world.settings.report_s = 6;     // of the workers
-  world.submit(array(1, 1, 400));  // leaves room on its machine
+  world.settings.heartbeat_interval_s = 6;  // of the workers
+  world.submit(array(1, 1, 400));           // leaves room on its machine
   world.run_until(60);
   ASSERT_EQ(placed(world, "job-1"), 1U);
   auto second = array(2, 1, 400);
@@ -27,9 +27,9 @@
   expect_rules(world);
 }
 
-/// An exchange without an answer may be carried out much later: until the
+/// A command RPC without an answer may be carried out much later: until the
 /// machine has shown a higher token its task is given to nobody else.
-TEST(DirectOrders, ALostExchangeIsFenced) {
+TEST(CommandRpc, ALostCommandRpcIsFenced) {
   for (unsigned seed = 1; seed <= 30; ++seed) {
     World world(400 + seed);
     world.submit(array(1, 4, 15));
@@ -49,7 +49,7 @@
   }
 }
 
-TEST(DirectOrders, WithoutTheDirectWayOrdersRideOnReports) {
+TEST(CommandRpc, WithoutTheDirectWayCommandsRideOnHeartbeats) {
   World world(32);
   world.no_direct = true;
   world.submit(array(1, 6, 5));
@@ -62,7 +62,7 @@
 
 /// A direct order that arrives after the attempt was cleared must not revive
 /// it, nor one after the cancellation.
-TEST(DirectOrders, LateCopiesReviveNothing) {
+TEST(CommandRpc, LateCopiesReviveNothing) {
   World world(33);
   world.cloud.capacity = 1;
   world.submit(array(1, 1, 5));
@@ -70,18 +70,18 @@
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   auto& model = world.leader()->leader()->model();
-  auto* host = model.find_host(worker->id());
-  ASSERT_NE(host, nullptr);
-  const auto token = world.leader()->leader()->token() + host->fence;
-  const auto session = host->session;
-  const auto* task = *host->tasks.begin();
-  const wire::Order order{wire::Verb::run, "job-1", task->index, task->attempt, 0};
-  // The next exchange is carried out, but nobody hears of it.
+  auto* machine = model.find_machine(worker->id());
+  ASSERT_NE(machine, nullptr);
+  const auto token = world.leader()->leader()->token() + machine->fence;
+  const auto epoch = machine->epoch;
+  const auto* task = *machine->tasks.begin();
+  const wire::WorkerCommand order{wire::Verb::run, "job-1", task->index, task->attempt, 0};
+  // The next command RPC is carried out, but nobody hears of it.
   world.lose_replies = true;
   world.submit(array(2, 1, 5));
   world.run_until(26);
   world.lose_replies = false;
-  EXPECT_GT(world.leader()->leader()->token() + host->fence, token) << "the fence was raised";
+  EXPECT_GT(world.leader()->leader()->token() + machine->fence, token) << "the fence was raised";
   world.run_until(50);
   for (const char* id : {"job-1", "job-2"}) world.poll(id);
   world.run_until(52);
@@ -89,8 +89,8 @@
   ASSERT_EQ(world.last_told("job-2"), JobState::done);
   const auto starts = world.rules.starts();
   EXPECT_EQ(starts, 2U);
-  EXPECT_EQ(worker->direct(token, session, {order}).outcome,
-            clients::OrdersResult::Outcome::refused);
+  EXPECT_EQ(worker->direct(token, epoch, {order}).outcome,
+            clients::CommandResult::Outcome::refused);
   world.run_until(60);
   EXPECT_EQ(world.rules.starts(), starts);
   expect_rules(world);
@@ -107,20 +107,20 @@
   worker->answers_dropped = true;
   world.run_until(67);  // its lease is over, and the next one too
   auto& model = world.leader()->leader()->model();
-  auto* host = model.find_host(worker->id());
-  ASSERT_NE(host, nullptr);
-  EXPECT_TRUE(host->unresponsive);
-  EXPECT_TRUE(host->tasks.empty());
+  auto* machine = model.find_machine(worker->id());
+  ASSERT_NE(machine, nullptr);
+  EXPECT_TRUE(machine->unresponsive);
+  EXPECT_TRUE(machine->tasks.empty());
   EXPECT_EQ(placed(world, "job-1"), 4U) << "elsewhere";
   world.submit(array(2, 8, 300));
   world.run_until(75);
-  EXPECT_TRUE(host->tasks.empty()) << "no new work for an unresponsive machine";
+  EXPECT_TRUE(machine->tasks.empty()) << "no new work for an unresponsive machine";
   worker->answers_dropped = false;
   world.run_until(84);
-  EXPECT_FALSE(host->unresponsive);
+  EXPECT_FALSE(machine->unresponsive);
   world.submit(array(3, 12, 300));
   world.run_until(95);
-  EXPECT_FALSE(host->tasks.empty()) << "used again";
+  EXPECT_FALSE(machine->tasks.empty()) << "used again";
   expect_rules(world);
 }
 
@@ -139,10 +139,10 @@
   expect_rules(world);
 }
 
-// --- late copies of reports ------------------------------------------------------------
+// --- late copies of heartbeats ------------------------------------------------------------
 
-/// Across sessions, takeovers and a machine's return: they change nothing.
-TEST(LateCopies, OfReportsChangeNothing) {
+/// Across epochs, takeovers and a machine's return: they change nothing.
+TEST(LateCopies, OfHeartbeatsChangeNothing) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     World world(500 + seed);
     world.submit(array(1, 12, 25));
@@ -175,7 +175,7 @@
   ASSERT_EQ(placed(world, "job-1"), 5U);
   ASSERT_EQ(placed(world, "job-2"), 4U);
   lead_from_north(world);
-  world.cut_mesh(1, true);  // the only controller of the south
+  world.cut_peer_links(1, true);  // the only controller of the south
   world.run_until(60);
   ASSERT_FALSE(world.leader()->mirror().delegations().empty()) << "the south is in care";
   world.cloud.down = true;  // no help from there
@@ -185,9 +185,9 @@
   world.submit(array_in("north", 3, 1, 20));  // ends when the dead machine's lease of 10 s is over
   world.run_until(95);
   ASSERT_FALSE(world.leader()->mirror().delegations().empty());
-  auto* host = world.leader()->leader()->model().find_host(dead->id());
-  ASSERT_NE(host, nullptr);
-  EXPECT_TRUE(host->tasks.empty()) << "given up";
+  auto* machine = world.leader()->leader()->model().find_machine(dead->id());
+  ASSERT_NE(machine, nullptr);
+  EXPECT_TRUE(machine->tasks.empty()) << "given up";
   world.poll("job-3");
   world.run_until(97);
   EXPECT_EQ(world.last_told("job-3"), JobState::done) << "others went on";
@@ -235,13 +235,13 @@
   lead_from_north(world);
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
-  const auto report = report_of(*worker, 1, 1, world.leader()->leader()->token());
+  const auto heartbeat = heartbeat_of(*worker, 1, 1, world.leader()->leader()->token());
   worker->cut = true;  // we speak for it
   world.cut_zone("south", true);
   world.run_until(world.loop.now() + 5);
   const auto ask = [&](double patience) {
     const auto answer =
-        world.answer_of(1, {"POST", "/v1/report", wire::encode_report(report)}, patience);
+        world.answer_of(1, {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)}, patience);
     return answer ? answer->status : 0;
   };
   EXPECT_EQ(ask(4), 503);
@@ -285,13 +285,13 @@
   ASSERT_NE(dead, nullptr);
   dead->die();
   world.run_until(world.loop.now() + 13.5);  // its lease is 10 s, a heartbeat 0.8 s
-  EXPECT_TRUE(world.leader()->leader()->model().find_host(dead->id())->tasks.empty());
+  EXPECT_TRUE(world.leader()->leader()->model().find_machine(dead->id())->tasks.empty());
   expect_rules(world);
 }
 
 // --- machines that hang, controllers that stand still ----------------------------------------
 
-/// With orders held for them, for less and for more than their lease.
+/// With commands held for them, for less and for more than their lease.
 TEST(HungMachine, GoesOnAndRunsNothingTwice) {
   for (int length = 2; length < 32; length += 2) {
     World world(800 + static_cast<unsigned>(length));
@@ -328,7 +328,7 @@
       const auto lead = leader_index(world);
       const auto node = role == 0 ? lead : 1;
       if (role == 1) {  // delegated of the south
-        world.cut_mesh(1, true);
+        world.cut_peer_links(1, true);
         world.run_until(32);
       }
       world.submit(array(3, 6, 10));
@@ -337,7 +337,7 @@
       world.run_until(world.loop.now() + 1);
       world.cancel("job-2");
       world.run_until(world.loop.now() + length);
-      world.cut_mesh(1, false);
+      world.cut_peer_links(1, false);
       world.run_until(200);
       for (const char* id : {"job-1", "job-2", "job-3"}) world.poll(id);
       world.run_until(203);
@@ -386,7 +386,7 @@
     const auto lead = leader_index(world);
     const auto apart = leader ? lead : (lead + 1) % 3;
     world.store(apart).road.refused = true;
-    world.cut_mesh(apart, true);
+    world.cut_peer_links(apart, true);
     world.cancel("job-1");
     world.run_until(90);
     EXPECT_NE(world.leader(), nullptr);
@@ -397,7 +397,7 @@
     world.submit(array(2, 2, 5));
     world.run_until(140);
     world.store(apart).road.refused = false;
-    world.cut_mesh(apart, false);
+    world.cut_peer_links(apart, false);
     for (int i = 0; i < 10; ++i) {
       world.poll("job-2");
       world.run_until(142 + i * 2);
@@ -537,22 +537,24 @@
   EXPECT_LT(world.store(0).gets - before, 11 * 0.3 * 120 / 3 + 5);
 }
 
-/// A report with hundreds of tasks that nobody knows gets an answer of bounded
+/// A heartbeat with hundreds of tasks that nobody knows gets an answer of bounded
 /// size, and the machine no work while it holds them.
 TEST(BadInput, HundredsOfUnknownTasksAreAnsweredWithinBounds) {
   World world(42);
   world.run_until(5);
-  wire::Report report{"host-999999", "", "m12", "north", false, 1, 1, 0, std::nullopt, {}};
+  wire::WorkerHeartbeat heartbeat{"host-999999", "", "m12", "north", false, 1, 1, 0,
+                                  std::nullopt,  {}};
   for (std::uint32_t i = 0; i < 900; ++i)
-    report.tasks.push_back({"job-77", i, 1, wire::TaskState::running, wire::EndCause::none, false});
-  const auto answer =
-      world.answer_of(leader_index(world), {"POST", "/v1/report", wire::encode_report(report)}, 1);
+    heartbeat.tasks.push_back(
+        {"job-77", i, 1, wire::TaskState::running, wire::EndCause::none, false});
+  const auto answer = world.answer_of(leader_index(world),
+                                      {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)}, 1);
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->status, 200);
   EXPECT_LT(answer->body.size(), 64U * 1024);
-  EXPECT_EQ(wire::decode_orders(wire::Document::parse(answer->body).root()).orders.size(),
-            constants::kMaxOrders);
-  EXPECT_TRUE(world.leader()->leader()->model().find_host("host-999999")->has_unknown_jobs);
+  EXPECT_EQ(wire::decode_commands(wire::Document::parse(answer->body).root()).commands.size(),
+            constants::kMaxCommands);
+  EXPECT_TRUE(world.leader()->leader()->model().find_machine("host-999999")->has_unknown_jobs);
 }
 
 // --- fleet ---------------------------------------------------------------------------------
@@ -599,7 +601,7 @@
 // --- what a decision costs ---------------------------------------------------------------
 
 /// What decisions cost follows what happens, not batches times machines: on a
-/// busy fleet of whatever size a machine is looked at when it reports and once
+/// busy fleet of whatever size a machine is looked at when its heartbeat comes and once
 /// a second, hardly more.
 TEST(Planner, DecisionsLookAtWhatChangedNotAtTheFleet) {
   for (const int machines : {10, 80, 600}) {
@@ -617,7 +619,7 @@
   }
 }
 
-/// What an unchanged report costs, in bytes on the way and in machines looked
+/// What an unchanged heartbeat costs, in bytes on the way and in machines looked
 /// at, does not depend on the size of the fleet.
 TEST(Reports, CostTheSameInASmallFleetAndInALargeOne) {
   std::map<int, std::size_t> bytes;
@@ -630,17 +632,18 @@
     auto& leader = *world.leader()->leader();
     auto* worker = worker_of(world, "job-1");
     ASSERT_NE(worker, nullptr);
-    const auto* host = leader.model().find_host(worker->id());
+    const auto* machine = leader.model().find_machine(worker->id());
     for (auto& [id, one] : world.workers)
       one->cut = true;  // we speak for one, the others are still
     world.run_until(world.loop.now() + 0.3);
-    auto report = report_of(*worker, host->session, host->tick, leader.token() + host->fence);
-    show_tasks(report, *host, wire::TaskState::running, wire::EndCause::none);
+    auto heartbeat =
+        heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
+    show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
     const auto before = leader.planner().steps();
     constexpr int kReports = 18;  // in less than a second, each with a decision of its own
     for (int i = 0; i < kReports; ++i) {
-      ++report.tick;
-      leader.on_report(report, [&](const net::Response& response) {
+      ++heartbeat.sequence;
+      leader.on_heartbeat(heartbeat, [&](const net::Response& response) {
         EXPECT_EQ(response.status, 200);
         bytes[machines] = response.body.size();
       });
@@ -656,8 +659,8 @@
   EXPECT_LT(bytes[600], 64U);
 }
 
-/// Forwarded reports and their answers share writes, whatever the size of the
-/// fleet: a packet costs a small controller more than the report in it.
+/// Forwarded heartbeats and their answers share writes, whatever the size of the
+/// fleet: a packet costs a small controller more than the heartbeat in it.
 TEST(Reports, ForwardedTogetherWithOthers) {
   std::map<int, double> flushes;
   for (const int machines : {60, 240}) {
@@ -666,12 +669,12 @@
     world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 5000));
     world.run_until(80);
     ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
-    const auto messages = world.mesh_messages;
-    const auto writes = world.mesh_flushes;
+    const auto messages = world.peer_messages;
+    const auto writes = world.peer_flushes;
     constexpr double kSeconds = 20;
     world.run_until(world.loop.now() + kSeconds);
-    const auto sent = static_cast<double>(world.mesh_messages - messages);
-    flushes[machines] = static_cast<double>(world.mesh_flushes - writes);
+    const auto sent = static_cast<double>(world.peer_messages - messages);
+    flushes[machines] = static_cast<double>(world.peer_flushes - writes);
     EXPECT_GT(sent, machines * kSeconds / 1.5) << "most reports are forwarded, each is answered";
     // Of each node: one every 50 ms, and its heartbeats.
     const auto nodes = static_cast<double>(world.node_count());
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -52,7 +52,7 @@
   world_.run_until(world_.loop.now() + 40);
   auto& model = world_.leader()->leader()->model();
   std::size_t synchronized = 0;
-  for (const auto& [id, host] : model.hosts()) synchronized += host->synchronized ? 1 : 0;
+  for (const auto& [id, machine] : model.machines()) synchronized += machine->synchronized ? 1 : 0;
   EXPECT_EQ(synchronized, kMachines);
   EXPECT_EQ(world_.rules.starts(), starts);
   // All controllers end, and the whole fleet reports at once.
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -15,7 +15,7 @@
   job.job_class = "joint";
   job.spot = false;
   job.checkpoint_every_s = 5;
-  job.save_s = 2;
+  job.checkpoint_s = 2;
   return job;
 }
 
@@ -26,7 +26,7 @@
 
 state::Gang::State state_of(World& world, const std::string& id) {
   const auto* job = job_at_leader(world, id);
-  return job == nullptr ? state::Gang::State::done : job->gang_progress.state;
+  return job == nullptr ? state::Gang::State::done : job->gang.state;
 }
 
 /// Until the gang is in this state; false if that took too long.
@@ -75,13 +75,13 @@
   for (double t = 1; t < 60 && world.gangs.begun() == 0; t += 0.01) {
     world.run_until(t);
     auto* job = job_at_leader(world, "job-1");
-    if (job == nullptr || job->gang_progress.state != state::Gang::State::starting) continue;
+    if (job == nullptr || job->gang.state != state::Gang::State::starting) continue;
     bool offered = false;
     bool unwritten = false;
     for (const auto& [number, block] : job->blocks) {
       for (const auto& task : block->tasks) {
-        offered = offered || task.offered;
-        unwritten = unwritten || block->record->written < task.needs;
+        offered = offered || task.run_sent;
+        unwritten = unwritten || block->record->written < task.required_version;
       }
     }
     seen_some = seen_some || unwritten;
@@ -114,16 +114,16 @@
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::starting));
   // The last machine of the four that never gets its image.
   auto& job = *job_at_leader(world, "job-1");
-  auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].host->id).get();
+  auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].machine->id).get();
   last->hang(100);
   for (double end = world.loop.now() + 10;
        world.loop.now() < end && gathering(world, "job-1") == 0;)
     world.run_until(world.loop.now() + 0.02);
   ASSERT_GT(gathering(world, "job-1"), 0U);
-  const auto attempt = job.gang_progress.attempt;
+  const auto attempt = job.gang.attempt;
   last->die();
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  EXPECT_EQ(job_at_leader(world, "job-1")->gang_progress.attempt, attempt);
+  EXPECT_EQ(job_at_leader(world, "job-1")->gang.attempt, attempt);
   EXPECT_EQ(world.gangs.failed(), 0U);
   expect_rules(world);
 }
@@ -135,13 +135,13 @@
   world.submit(gang(1, 4));
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::starting));
   auto& job = *job_at_leader(world, "job-1");
-  const auto attempt = job.gang_progress.attempt;
-  auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].host->id).get();
+  const auto attempt = job.gang.attempt;
+  auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].machine->id).get();
   last->hang(100);
   world.run_until(world.loop.now() + 5);
   last->die();
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running, 120));
-  EXPECT_GT(job_at_leader(world, "job-1")->gang_progress.attempt, attempt);
+  EXPECT_GT(job_at_leader(world, "job-1")->gang.attempt, attempt);
   expect_rules(world);
 }
 
@@ -204,7 +204,7 @@
 TEST(Gang, ASpotNoticeBeginsTheStopForAll) {
   World world(808);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
-  worker_of(world, "job-1")->recall_at = world.loop.now() + 20;
+  worker_of(world, "job-1")->interruption_at = world.loop.now() + 20;
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping));
   world.run_until(world.loop.now() + 6);
   EXPECT_EQ(world.gangs.saved(), 1U);
@@ -214,7 +214,7 @@
 TEST(Gang, ANoticeTooShortToSaveIsAPlainLoss) {
   World world(809);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
-  worker_of(world, "job-1")->recall_at = world.loop.now() + 2;
+  worker_of(world, "job-1")->interruption_at = world.loop.now() + 2;
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::ending));
   world.run_until(world.loop.now() + 5);
   EXPECT_EQ(world.gangs.saved(), 0U);
@@ -234,14 +234,14 @@
   urgent.spread = false;
   // The first command that reaches a machine is the last of this leader.
   bool stopping = false;
-  world.on_orders = [&] {
+  world.on_commands = [&] {
     if (stopping || state_of(world, "job-1") != state::Gang::State::stopping) return;
     stopping = true;
     world.loop.after(0.0005, [&world] { world.crash(leader_index(world), 8); });
   };
   world.submit(urgent);
   world.run_until(world.loop.now() + 60);
-  world.on_orders = {};
+  world.on_commands = {};
   EXPECT_TRUE(stopping);
   EXPECT_EQ(world.rules.present("job-2"), 1U);
   expect_rules(world);
@@ -269,8 +269,8 @@
   world.run_until(world.loop.now() + 7);
   auto& leader = *world.leader()->leader();
   const auto& task = job_at_leader(world, "job-1")->blocks.begin()->second->tasks[0];
-  (void)world.workers.at(task.host->id)
-      ->direct(leader.token() + task.host->fence, task.host->session,
+  (void)world.workers.at(task.machine->id)
+      ->direct(leader.token() + task.machine->fence, task.machine->epoch,
                {{wire::Verb::stop, "job-1", 0, task.attempt, 2}});
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping, 5));
   world.run_until(world.loop.now() + 4);
@@ -279,7 +279,7 @@
   expect_rules(world);
 }
 
-/// The next leader must know which attempt it is, or it orders nothing for it.
+/// The next leader must know which attempt it is, or it commands nothing for it.
 TEST(Gang, ATakeoverInItsSecondAttemptGoesOnWithThat) {
   World world(814);
   world.submit(gang(1, 4, 200));
@@ -290,7 +290,7 @@
   ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running, 120));
   world.crash(leader_index(world), 8);
   world.run_until(world.loop.now() + 15);
-  EXPECT_EQ(job_at_leader(world, "job-1")->gang_progress.attempt, 2U);
+  EXPECT_EQ(job_at_leader(world, "job-1")->gang.attempt, 2U);
   EXPECT_EQ(state_of(world, "job-1"), state::Gang::State::running);
   EXPECT_EQ(world.gangs.failed(), 1U) << "the loss, not the takeover";
   expect_rules(world);
@@ -304,11 +304,11 @@
   large.gpus = 0;
   large.memory_gb = 5;
   bool crashed = false;
-  world.state.on_commit = [&](const wire::Txn&) {
+  world.state.on_commit = [&](const wire::Transaction&) {
     auto* node = world.leader();
     if (crashed || node == nullptr) return;
     auto* job = node->leader()->model().job("job-1");
-    if (job == nullptr || job->gang_progress.state != state::Gang::State::starting) return;
+    if (job == nullptr || job->gang.state != state::Gang::State::starting) return;
     crashed = true;
     world.loop.after(0, [&world] { world.crash(leader_index(world), 5); });
   };
--- a/tests/group_commit_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -28,13 +28,13 @@
         queue_(event_loop_, [] {}),
         scope_(queue_) {
     settings_.state.value_kb = 1;
-    settings_.state.txn_ops = 8;
-    wire::Txn txn;
-    txn.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{1}), 0}};
-    state_.commit(txn);
+    settings_.state.transaction_writes_max = 8;
+    wire::Transaction transaction;
+    transaction.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{1}), 0}};
+    state_.commit(transaction);
     refresh();
     group_commit_ = std::make_unique<GroupCommit>(
-        settings_, event_loop_, queue_, store_, mirror_, mirror_.term_stamp(),
+        settings_, event_loop_, queue_, store_, mirror_, mirror_.term_revision(),
         GroupCommit::Events{[this](const std::string& job) { finished_.insert(job); },
                             [this] { deposed_ = true; }, [](double) {}});
   }
@@ -49,9 +49,9 @@
     record.spec.id = id;
     record.spec.job_class = record.spec.team = "x";
     record.spec.image = "i";
-    wire::Txn txn;
-    txn.writes = {{store::job_key(id), store::encode(record), 0}};
-    state_.commit(txn);
+    wire::Transaction transaction;
+    transaction.writes = {{store::job_key(id), store::encode(record), 0}};
+    state_.commit(transaction);
     refresh();
     auto& block = blocks_[id];
     block.entry = {id, 0, {{false, false}, {{0, 0, "host-1"}}}};
@@ -153,7 +153,7 @@
 /// Until a job's last word is written its blocks stay in the log: a leader
 /// that found none would hand out its attempt numbers again.
 TEST_F(GroupCommitTest, BlocksOutliveTheirSlotUntilTheFinalState) {
-  settings_.state.txn_ops = 4;  // one last word at a time
+  settings_.state.transaction_writes_max = 4;  // one last word at a time
   for (int i = 0; i < 40; ++i) change(add_block(i));
   run(10);
   // Far more last words than one transaction takes, while every commit
@@ -212,9 +212,9 @@
 
 TEST_F(GroupCommitTest, AFormerLeadersTransactionFails) {
   change(add_block(1));
-  wire::Txn txn;
-  txn.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{2}), 0}};
-  state_.commit(txn);
+  wire::Transaction transaction;
+  transaction.writes = {{std::string(store::kTermKey), store::encode(store::TermRecord{2}), 0}};
+  state_.commit(transaction);
   run(1);
   EXPECT_TRUE(deposed_);
   EXPECT_EQ(stored_attempt("job-1"), 0U);
--- a/tests/leadership_faults_test.cpp
+++ b/tests/leadership_faults_test.cpp
@@ -67,8 +67,8 @@
   World world(1890);
   world.run_until(5);
   std::set<std::string> held;
-  world.state.on_commit = [&](const wire::Txn& txn) {
-    for (const auto& write : txn.writes) {
+  world.state.on_commit = [&](const wire::Transaction& transaction) {
+    for (const auto& write : transaction.writes) {
       if (write.key != store::kLeadKey || !write.value) continue;
       const auto node = store::decode_lead(*write.value).node;
       if (!held.insert(node).second) continue;
@@ -123,7 +123,7 @@
     const auto apart = leader_index(world);
     const auto starts = world.rules.starts();
     refuse_state(world, apart, true);
-    world.cut_mesh(apart, true);
+    world.cut_peer_links(apart, true);
     world.run_until(56 + 0.3 * seed);
     ASSERT_TRUE(world.cancel_at((apart + 1) % 3, "job-2"));
     world.run_until(100);
@@ -131,7 +131,7 @@
     EXPECT_EQ(world.rules.present("job-1"), 8U);
     EXPECT_EQ(world.rules.starts(), starts) << seed << ": no lease ran out at the former leader's";
     refuse_state(world, apart, false);
-    world.cut_mesh(apart, false);
+    world.cut_peer_links(apart, false);
     world.run_until(120);
     EXPECT_EQ(told(world, "job-2"), JobState::cancelled);
     ASSERT_TRUE(world.rules.broken().empty()) << seed << ": " << world.rules.broken().front();
@@ -154,11 +154,11 @@
     world.cut_zone("south", true);
     world.node(1)->on_message(peer::Heartbeat{"node-0", term, "node-0", true, true, 0, 1e9});
     world.run_until(world.loop.now() + 5);
-    auto report = report_of(*worker, 1, 1, term << constants::kTokenFenceBits);
+    auto heartbeat = heartbeat_of(*worker, 1, 1, term << constants::kTokenFenceBits);
     const auto ask = [&](double patience) {
-      ++report.tick;
+      ++heartbeat.sequence;
       const auto answer =
-          world.answer_of(1, {"POST", "/v1/report", wire::encode_report(report)}, patience);
+          world.answer_of(1, {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)}, patience);
       return answer ? answer->status : 0;
     };
     EXPECT_NE(ask(4), 200);
--- a/tests/machine_faults_test.cpp
+++ b/tests/machine_faults_test.cpp
@@ -38,40 +38,40 @@
   std::size_t done = 0;
   for (int job = 1; job <= number; ++job) {
     const auto id = "job-" + std::to_string(job);
-    EXPECT_GT(world.answered_at(id), over + 85) << id;
+    EXPECT_GT(world.replied_at(id), over + 85) << id;
     done += world.last_told(id) == JobState::done;
   }
   EXPECT_GT(done * 2, static_cast<std::size_t>(number));
   expect_rules(world);
 }
 
-// --- machines whose reports do not arrive --------------------------------------------
+// --- machines whose heartbeats do not arrive --------------------------------------------
 
 /// They reach no controller, while direct commands reach them: a reply to those
-/// once counted as a report, and what was started there died with its lease.
-TEST(LostReports, NothingIsStartedOnAMachineThatCanNotReport) {
+/// once counted as a heartbeat, and what was started there died with its lease.
+TEST(LostHeartbeats, NothingIsStartedOnAMachineThatCanNotHeartbeat) {
   World world(1700);
   world.cloud.capacity = 2;
   world.submit(array(1, 3, 3000));  // leaves room on one machine
   world.run_until(45);
   ASSERT_EQ(placed(world, "job-1"), 3U);
-  auto& hosts = world.leader()->leader()->model().hosts();
-  const auto found = std::find_if(hosts.begin(), hosts.end(), [](const auto& entry) {
+  auto& machines = world.leader()->leader()->model().machines();
+  const auto found = std::find_if(machines.begin(), machines.end(), [](const auto& entry) {
     return entry.second->tasks.size() == 1;
   });
-  ASSERT_NE(found, hosts.end());
-  const auto* host = found->second.get();
-  auto* worker = world.workers.at(host->id).get();
-  worker->reports_dropped = true;
+  ASSERT_NE(found, machines.end());
+  const auto* machine = found->second.get();
+  auto* worker = world.workers.at(machine->id).get();
+  worker->heartbeats_dropped = true;
   world.cloud.down = true;  // it stays for now
   const double at = world.loop.now();
-  // Each is started, called off and thus asked about by direct orders.
+  // Each is started, called off and thus asked about by direct commands.
   for (int i = 2; i < 10; ++i) {
     auto job = array(i, 1, 3000);
     job.image_gb = 0;
     world.submit(job);
     world.run_until(at + 2 * i - 2.5);
-    const bool there = std::any_of(host->tasks.begin(), host->tasks.end(),
+    const bool there = std::any_of(machine->tasks.begin(), machine->tasks.end(),
                                    [&](const auto* task) { return task->job->id == job.id; });
     EXPECT_FALSE(there && world.loop.now() > at + 11) << "silent since " << world.loop.now() - at;
     world.cancel(job.id);
@@ -84,25 +84,25 @@
   expect_rules(world);
 }
 
-/// Commands go out to them all the same, and many that lose their reports at once are a cut.
-TEST(LostReports, CancelledTasksEndThereAndManyAreKept) {
+/// Commands go out to them all the same, and many that lose their heartbeats at once are a cut.
+TEST(LostHeartbeats, CancelledTasksEndThereAndManyAreKept) {
   World world(1710);
   world.cloud.capacity = 8;
   world.submit(array(1, 8, 3000));
   world.run_until(45);
-  std::vector<FakeWorker*> reports_dropped;
+  std::vector<FakeWorker*> heartbeats_dropped;
   for (auto& [id, worker] : world.workers) {
-    worker->reports_dropped = true;
-    if (!worker->dead()) reports_dropped.push_back(worker.get());
+    worker->heartbeats_dropped = true;
+    if (!worker->dead()) heartbeats_dropped.push_back(worker.get());
   }
   world.run_until(47);
   ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1"));
   world.run_until(50);
   EXPECT_EQ(world.rules.present("job-1"), 0U);
   world.run_until(70);
-  for (auto* worker : reports_dropped) {
+  for (auto* worker : heartbeats_dropped) {
     EXPECT_FALSE(worker->dead()) << "all at once are not given up";
-    worker->reports_dropped = false;
+    worker->heartbeats_dropped = false;
   }
   world.submit(array(2, 8, 10));
   world.run_until(140);
@@ -112,7 +112,7 @@
 
 // --- bound to a zone -----------------------------------------------------------------
 
-/// Services and arrays that may not run anywhere lose machines, with orders lost
+/// Services and arrays that may not run anywhere lose machines, with commands lost
 /// on the way: what may still be there counts until it is certainly gone.
 TEST(ZoneBoundWork, LosesMachinesAndIsPlacedByItsRulesAgain) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
@@ -155,32 +155,33 @@
   }
 }
 
-/// A machine does not move: a report that names another zone once took its tasks
+/// A machine does not move: a heartbeat that names another zone once took its tasks
 /// out of the count of a zone in which they had never been counted.
-TEST(ZoneBoundWork, AReportThatNamesAnotherZoneChangesNoCount) {
+TEST(ZoneBoundWork, AHeartbeatThatNamesAnotherZoneChangesNoCount) {
   World world(2150);
   world.submit(service(1, 4));
   world.run_until(60);
   ASSERT_EQ(placed(world, "job-1"), 4U);
   auto* worker = worker_of(world, "job-1");
   auto& leader = *world.leader()->leader();
-  auto* host = leader.model().find_host(worker->id());
+  auto* machine = leader.model().find_machine(worker->id());
   const auto* job = leader.model().job("job-1");
   worker->cut = true;  // we speak for it
-  auto report = report_of(*worker, host->session, host->tick + 100, leader.token() + host->fence);
-  report.zone = worker->zone() == "north" ? "south" : "north";
-  show_tasks(report, *host, wire::TaskState::ended, wire::EndCause::error);
+  auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
+                                leader.token() + machine->fence);
+  heartbeat.zone = worker->zone() == "north" ? "south" : "north";
+  show_tasks(heartbeat, *machine, wire::TaskState::ended, wire::EndCause::error);
   // Straight to the leader: its node would send the worker to the other zone.
   int status = 0;
-  leader.on_report(report, [&](const net::Response& response) { status = response.status; });
+  leader.on_heartbeat(heartbeat, [&](const net::Response& response) { status = response.status; });
   ASSERT_EQ(status, 200);
   std::size_t counted = 0;
   for (const auto& [zone, count] : job->per_zone) {
     ASSERT_LE(count, 4U) << zone;
     counted += count;
   }
-  EXPECT_EQ(counted, job->on_hosts);
-  EXPECT_EQ(host->zone, worker->zone());
+  EXPECT_EQ(counted, job->on_machines);
+  EXPECT_EQ(machine->zone, worker->zone());
 }
 
 // --- a team at its limit -------------------------------------------------------------
@@ -227,21 +228,22 @@
   world.run_until(45);
   ASSERT_EQ(placed(world, "job-1"), 6U);
   auto& leader = *world.leader()->leader();
-  wire::Report report{"host-999999",  "",           "m12", "north", true, 1, 1,
-                      leader.token(), std::nullopt, {}};
+  wire::WorkerHeartbeat heartbeat{"host-999999",  "",           "m12", "north", true, 1, 1,
+                                  leader.token(), std::nullopt, {}};
   for (std::uint32_t i = 0; i < 2; ++i)
-    report.tasks.push_back({"job-1", i, 77, wire::TaskState::running, wire::EndCause::none, false});
+    heartbeat.tasks.push_back(
+        {"job-1", i, 77, wire::TaskState::running, wire::EndCause::none, false});
   const auto send = [&] {
-    return world.answer_of(leader_index(world), {"POST", "/v1/report", wire::encode_report(report)},
-                           0.2);
+    return world.answer_of(leader_index(world),
+                           {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)}, 0.2);
   };
   ASSERT_TRUE(send());
   EXPECT_DOUBLE_EQ(leader.model().usage("red").gpus, 8);
-  ++report.tick;
+  ++heartbeat.sequence;
   ASSERT_TRUE(send());
   EXPECT_DOUBLE_EQ(leader.model().usage("red").gpus, 8) << "counted once";
-  ++report.tick;
-  report.tasks.clear();
+  ++heartbeat.sequence;
+  heartbeat.tasks.clear();
   ASSERT_TRUE(send());
   EXPECT_DOUBLE_EQ(leader.model().usage("red").gpus, 6);
 }
@@ -260,10 +262,10 @@
   record.done.assign(8, false);
   for (std::uint32_t i = 0; i < 8; ++i) record.tasks.push_back({i, 1, "host-gone"});
   std::vector<std::string> blocks{store::pack(store::BlockEntry{"job-1", 0, record}).bytes};
-  wire::Txn txn;
-  txn.writes = {{store::slot_key(0), store::encode_slot(1'000, blocks, {}), 0}};
+  wire::Transaction transaction;
+  transaction.writes = {{store::slot_key(0), store::encode_slot(1'000, blocks, {}), 0}};
   for (std::size_t i = 0; i < 3; ++i) world.crash(i, 0.3);
-  ASSERT_EQ(world.state.commit(txn).outcome, store::Outcome::ok);
+  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
   world.run_until(12);
   world.cloud.capacity = 12;
   world.run_until(70);
@@ -275,12 +277,12 @@
   expect_rules(world);
 }
 
-// --- reports that are held back ------------------------------------------------------
+// --- heartbeats that are held back ------------------------------------------------------
 
 /// Until a new leader has acted, or from seconds to well over a lease: the first
-/// word that a leader hears of a machine may be one of an earlier session, or of
+/// word that a leader hears of a machine may be one of an earlier epoch, or of
 /// an earlier attempt.
-TEST(DelayedReports, SayNothingOfTheTasksThatCameAfter) {
+TEST(DelayedHeartbeats, SayNothingOfTheTasksThatCameAfter) {
   for (int held = 2; held < 40; held += 4) {
     World world(2600 + static_cast<unsigned>(held));
     world.cloud.capacity = 10;
@@ -292,7 +294,7 @@
       worker->copy_after = held;
     }
     world.run_until(30);
-    // Some lose their lease, and their tasks start in a later session.
+    // Some lose their lease, and their tasks start in a later epoch.
     for (auto& [id, worker] : world.workers) worker->cut = world.random() < 0.4;
     world.run_until(43);
     for (auto& [id, worker] : world.workers) worker->cut = false;
@@ -343,10 +345,10 @@
   const auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   for (auto& [id, one] : world.workers) one->cut = true;  // we speak for them
-  auto report = report_of(*worker, 1, 1000, world.leader()->leader()->token());
+  auto heartbeat = heartbeat_of(*worker, 1, 1000, world.leader()->leader()->token());
   const auto send = [&] {
-    ++report.tick;
-    world.send_to_node(1, {"POST", "/v1/report", wire::encode_report(report)},
+    ++heartbeat.sequence;
+    world.send_to_node(1, {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)},
                        [](const net::Response&) {});
   };
   world.part_zones(true);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -130,7 +130,7 @@
   };
   run();
   ASSERT_EQ(server_.connections(), 2U);
-  const double latest = constants::kRequestReadTimeout + 2 * constants::kDeadlineCheckEvery;
+  const double latest = constants::kRequestReadTimeout + 2 * constants::kDeadlineCheckInterval;
   while (server_.connections() == 2 && waited() < latest) run();
   EXPECT_EQ(server_.connections(), 1U) << "only the idle one is left";
   EXPECT_GE(waited(), constants::kRequestReadTimeout);
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Where in the first fault the second begins.
-enum class Moment { drawn, commit, election, orders };
+enum class Moment { drawn, commit, election, commands };
 
 /// Calls `fn` once, a few milliseconds after the next such step.
 void at_moment(World& world, Moment moment, double within, std::function<void()> fn) {
@@ -24,19 +24,19 @@
     case Moment::drawn:
       break;
     case Moment::commit:
-      world.state.on_commit = [soon](const wire::Txn& txn) {
-        if (!txn.writes.empty()) soon();
+      world.state.on_commit = [soon](const wire::Transaction& transaction) {
+        if (!transaction.writes.empty()) soon();
       };
       break;
     case Moment::election:
-      world.state.on_commit = [soon](const wire::Txn& txn) {
-        for (const auto& write : txn.writes) {
+      world.state.on_commit = [soon](const wire::Transaction& transaction) {
+        for (const auto& write : transaction.writes) {
           if (write.key == store::kLeadKey) soon();
         }
       };
       break;
-    case Moment::orders:
-      world.on_orders = soon;
+    case Moment::commands:
+      world.on_commands = soon;
       break;
   }
   // The step may not come.
@@ -86,7 +86,7 @@
   }
   // The last fault is over by then, but for the longest outage.
   expect_nothing_left(world, jobs, 245, story);
-  // Not forbidden, and not wanted: seen in the test's report.
+  // Not forbidden, and not wanted: seen in the test's heartbeat.
   RecordProperty("late_starts", static_cast<int>(world.rules.late_starts()));
 }
 
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -11,14 +11,14 @@
 
 /// Whatever comes in on a controller's port, on however many connections:
 /// rubbish ends its own connection, and those that know the way are heard.
-TEST(Mesh, BadMessagesEndTheirConnectionOnly) {
+TEST(Transport, BadMessagesEndTheirConnectionOnly) {
   asio::io_context io;
   asio::ip::tcp::acceptor probe(io, {asio::ip::make_address("127.0.0.1"), 0});
   const auto here = probe.local_endpoint();
   probe.close();
   std::vector<Message> heard;
-  TcpMesh mesh(io, here, {{"other", "", "127.0.0.1:1"}},
-               [&](Message message) { heard.push_back(std::move(message)); });
+  TcpTransport transport(io, here, {{"other", "", "127.0.0.1:1"}},
+                         [&](Message message) { heard.push_back(std::move(message)); });
   const auto run = [&] {
     io.run_for(std::chrono::milliseconds(30));
     io.restart();
@@ -54,7 +54,7 @@
 }
 
 /// However the bytes are cut up on the way, and many messages at once.
-TEST(Mesh, MessagesArriveWholeAndInOrder) {
+TEST(Transport, MessagesArriveWholeAndInOrder) {
   asio::io_context io;
   const auto free_port = [&io] {
     asio::ip::tcp::acceptor probe(io, {asio::ip::make_address("127.0.0.1"), 0});
@@ -64,14 +64,14 @@
   const auto there = free_port();
   std::vector<std::uint64_t> heard;
   std::size_t longest = 0;
-  TcpMesh receiver(io, here, {{"sender", "", "127.0.0.1:" + std::to_string(there.port())}},
-                   [&](Message message) {
-                     const auto& reply = std::get<ForwardedReply>(message);
-                     heard.push_back(reply.id);
-                     longest = std::max(longest, reply.body.size());
-                   });
-  TcpMesh sender(io, there, {{"receiver", "", "127.0.0.1:" + std::to_string(here.port())}},
-                 [](const Message&) {});
+  TcpTransport receiver(io, here, {{"sender", "", "127.0.0.1:" + std::to_string(there.port())}},
+                        [&](Message message) {
+                          const auto& reply = std::get<ForwardedReply>(message);
+                          heard.push_back(reply.id);
+                          longest = std::max(longest, reply.body.size());
+                        });
+  TcpTransport sender(io, there, {{"receiver", "", "127.0.0.1:" + std::to_string(here.port())}},
+                      [](const Message&) {});
   for (std::uint64_t id = 0; id < 300; ++id)
     sender.send("receiver", ForwardedReply{id, 200, std::string(id % 7 == 0 ? 3000 : 20, 'x')});
   sender.flush();
--- a/tests/production/adapter.cpp
+++ b/tests/production/adapter.cpp
@@ -20,13 +20,13 @@
     settings.teams.push_back({one.name, one.cpus, one.cpus_max, one.gpus, one.gpus_max});
   for (const auto& one : given.objectives)
     settings.objectives.push_back({one.kind, one.job_class, one.within_s, one.share});
-  settings.report_s = given.report_s;
+  settings.report_s = given.heartbeat_interval_s;
   settings.lease_s = given.lease_s;
   settings.cancel_s = given.cancel_s;
   settings.state_rps = given.state.rps;
   settings.state_write_rps = given.state.write_rps;
   settings.state_value_kb = given.state.value_kb;
-  settings.txn_ops = given.state.txn_ops;
+  settings.txn_ops = given.state.transaction_writes_max;
   settings.cloud_rps = given.cloud_rps;
   settings.list_lag_s = given.list_lag_s;
   settings.cores = given.cores;
@@ -44,11 +44,12 @@
   };
 }
 
-void connect_reads(production::Ports& to, store::Store& store) {
+void connect_reads(production::Ports& to, store::StateStore& store) {
   to.get = [&store](const std::string& key, production::GetDone done) {
     store.get(key, [done = std::move(done)](const store::GetResult& result) {
       const auto& entry = result.entry;
-      done(number_of(result.outcome), {entry.key, entry.value, entry.stamp}, result.revision);
+      done(number_of(result.outcome), {entry.key, entry.value, entry.mod_revision},
+           result.revision);
     });
   };
   to.list = [&store](const std::string& prefix, const std::string& since,
@@ -56,7 +57,7 @@
     store.list(prefix, since, [done = std::move(done)](const store::ListResult& result) {
       std::vector<production::Entry> entries;
       for (const auto& one : result.listing.entries)
-        entries.push_back({one.key, one.value, one.stamp});
+        entries.push_back({one.key, one.value, one.mod_revision});
       done(number_of(result.outcome), std::move(entries), result.listing.truncated,
            result.listing.revision);
     });
@@ -65,21 +66,24 @@
                       production::WatchDone done) {
     store.watch(prefix, since, hold_s, [done = std::move(done)](const store::WatchResult& result) {
       std::vector<production::Change> changes;
-      for (const auto& one : result.changes.log) changes.push_back({one.key, one.value, one.stamp});
+      for (const auto& one : result.changes.log)
+        changes.push_back({one.key, one.value, one.mod_revision});
       done(number_of(result.outcome), result.changes.revision, std::move(changes));
     });
   };
 }
 
-void connect_writes(production::Ports& to, store::Store& store) {
-  to.commit = [&store](const std::vector<production::Guard>& guards,
+void connect_writes(production::Ports& to, store::StateStore& store) {
+  to.commit = [&store](const std::vector<production::Guard>& preconditions,
                        const std::vector<production::Write>& writes, production::CommitDone done) {
-    wire::Txn txn;
-    for (const auto& one : guards) txn.guards.push_back({one.key, one.stamp});
-    for (const auto& one : writes) txn.writes.push_back({one.key, one.value, one.lease});
-    store.commit(std::move(txn), [done = std::move(done)](const store::CommitResult& result) {
-      done(number_of(result.outcome), result.revision, result.failed);
-    });
+    wire::Transaction transaction;
+    for (const auto& one : preconditions)
+      transaction.preconditions.push_back({one.key, one.stamp});
+    for (const auto& one : writes) transaction.writes.push_back({one.key, one.value, one.lease});
+    store.commit(std::move(transaction),
+                 [done = std::move(done)](const store::CommitResult& result) {
+                   done(number_of(result.outcome), result.revision, result.failed);
+                 });
   };
   to.grant = [&store](double life_s, production::GrantDone done) {
     store.grant(life_s, [done = std::move(done)](const store::GrantResult& result) {
@@ -102,49 +106,50 @@
   to.cloud_list = [&cloud](const std::string& since, production::CloudListDone done) {
     cloud.list(since, [done = std::move(done)](const std::optional<wire::CloudPage>& page) {
       if (!page) return done(std::nullopt);
-      std::vector<production::CloudHost> hosts;
-      for (const auto& one : page->hosts)
-        hosts.push_back(
+      std::vector<production::CloudHost> machines;
+      for (const auto& one : page->machines)
+        machines.push_back(
             {one.id, one.addr, one.type, one.zone, one.spot, number_of(one.state), one.age_s});
-      done(std::move(hosts));
+      done(std::move(machines));
     });
   };
   to.rent = [&cloud](const std::string& name, const std::string& type, const std::string& zone,
                      bool spot, int count, production::RentDone done) {
-    cloud.rent(name, type, zone, spot, count,
-               [done = std::move(done)](const clients::RentResult& result) {
-                 done(number_of(result.outcome), result.hosts);
-               });
+    cloud.provision(name, type, zone, spot, count,
+                    [done = std::move(done)](const clients::ProvisionResult& result) {
+                      done(number_of(result.outcome), result.machines);
+                    });
   };
-  to.release = [&cloud](const std::vector<std::string>& hosts, std::function<void(bool)> done) {
-    cloud.release(hosts, std::move(done));
+  to.release = [&cloud](const std::vector<std::string>& machines, std::function<void(bool)> done) {
+    cloud.terminate(machines, std::move(done));
   };
 }
 
-void connect_workers(production::Ports& to, clients::Workers& workers) {
-  to.order = [&workers](const std::string& addr, std::uint64_t token, std::uint64_t session,
-                        const std::string& orders, production::OrderDone done) {
-    const auto decoded = wire::decode_orders(wire::Document::parse(orders).root());
-    workers.order(
-        addr, token, session, decoded.orders,
-        [done = std::move(done)](const clients::OrdersResult& result) {
-          done(number_of(result.outcome),
-               result.report ? std::optional(wire::encode_report(*result.report)) : std::nullopt);
-        });
+void connect_workers(production::Ports& to, clients::WorkerRpc& worker_rpc) {
+  to.order = [&worker_rpc](const std::string& addr, std::uint64_t token, std::uint64_t epoch,
+                           const std::string& commands, production::OrderDone done) {
+    const auto decoded = wire::decode_commands(wire::Document::parse(commands).root());
+    worker_rpc.send_commands(addr, token, epoch, decoded.commands,
+                             [done = std::move(done)](const clients::CommandResult& result) {
+                               done(number_of(result.outcome),
+                                    result.heartbeat
+                                        ? std::optional(wire::encode_heartbeat(*result.heartbeat))
+                                        : std::nullopt);
+                             });
   };
 }
 
-void connect_mesh(production::Ports& to, peer::Mesh& mesh) {
+void connect_transport(production::Ports& to, peer::Transport& transport) {
   // Through this version's reader, which must read all that the other sends.
-  to.send = [&mesh](const std::string& node, const std::string& bytes) {
+  to.send = [&transport](const std::string& node, const std::string& bytes) {
     const auto message = peer::decode(bytes);
     if (node.empty()) {
-      mesh.broadcast(message);
+      transport.broadcast(message);
     } else {
-      mesh.send(node, message);
+      transport.send(node, message);
     }
   };
-  to.flush = [&mesh] { mesh.flush(); };
+  to.flush = [&transport] { transport.flush(); };
 }
 
 class ProductionNode : public OtherNode {
@@ -168,8 +173,8 @@
     connect_reads(to, ports.store);
     connect_writes(to, ports.store);
     connect_cloud(to, ports.cloud);
-    connect_workers(to, ports.workers);
-    connect_mesh(to, ports.mesh);
+    connect_workers(to, ports.worker_rpc);
+    connect_transport(to, ports.transport);
     return to;
   }
 
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -20,7 +20,7 @@
     try {
       (void)load(text);
       ADD_FAILURE() << text << " was accepted";
-    } catch (const Invalid& error) {
+    } catch (const SettingsError& error) {
       EXPECT_NE(std::string(error.what()).find(about), std::string::npos) << error.what();
       EXPECT_NE(std::string(error.what()).find(path_), std::string::npos) << error.what();
     }
@@ -40,7 +40,7 @@
   expect_complaint("fleet.foresight = fast\n", "fleet.foresight");
   expect_complaint("fleet.foresight = 11\n", "fleet.foresight: must lie between 0 and 10");
   expect_complaint("fleet.foresight = nan\n", "fleet.foresight");
-  EXPECT_THROW((void)load_properties("/nonexistent/x.properties"), Invalid);
+  EXPECT_THROW((void)load_properties("/nonexistent/x.properties"), SettingsError);
 }
 
 TEST_F(PropertiesFile, EveryDefaultLiesInItsRange) {
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 
 #include "sched/arrivals.hpp"
-#include "sched/fleet_plan.hpp"
 #include "sched/group.hpp"
 #include "sched/resources.hpp"
+#include "sched/scaling_plan.hpp"
 
 namespace elmstall::sched {
 namespace {
@@ -164,9 +164,9 @@
   EXPECT_EQ(spread_limit(4), 2U);
 }
 
-int count_of(const std::vector<Rental>& rentals, std::size_t pool) {
+int count_of(const std::vector<ScaleOut>& scale_outs, std::size_t pool) {
   int sum = 0;
-  for (const auto& rental : rentals) sum += rental.pool == pool ? rental.count : 0;
+  for (const auto& scale_out : scale_outs) sum += scale_out.pool == pool ? scale_out.count : 0;
   return sum;
 }
 
@@ -174,16 +174,16 @@
   const std::vector<Pool> pools{{"t", "a", false, 6, 1, 0, false},
                                 {"t", "a", true, 2, 0, 0, false},
                                 {"t", "b", true, 2, 0, 1, false}};
-  const auto rentals = plan_rentals(pools, {3, 4, 0});
-  EXPECT_EQ(count_of(rentals, 0), 2);
-  EXPECT_EQ(count_of(rentals, 1), 2);  // emptiest first
-  EXPECT_EQ(count_of(rentals, 2), 1);
+  const auto scale_outs = plan_scale_out(pools, {3, 4, 0});
+  EXPECT_EQ(count_of(scale_outs, 0), 2);
+  EXPECT_EQ(count_of(scale_outs, 1), 2);  // emptiest first
+  EXPECT_EQ(count_of(scale_outs, 2), 1);
 }
 
 TEST(FleetPlan, NoSpotCapacityFallsBackToOrdinary) {
   const std::vector<Pool> pools{{"t", "a", false, 6, 0, 0, false}, {"t", "a", true, 2, 0, 0, true}};
-  EXPECT_EQ(count_of(plan_rentals(pools, {0, 3, 0}), 0), 3);
-  EXPECT_TRUE(plan_rentals({{"t", "a", false, 6, 0, 0, true}}, {5, 0, 0}).empty());
+  EXPECT_EQ(count_of(plan_scale_out(pools, {0, 3, 0}), 0), 3);
+  EXPECT_TRUE(plan_scale_out({{"t", "a", false, 6, 0, 0, true}}, {5, 0, 0}).empty());
 }
 
 TEST(FleetPlan, SurplusIsWhatNeitherKindOfWorkNeeds) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -68,7 +68,7 @@
     text.replace(at, from.size(), to);
     try {
       (void)load(text);
-    } catch (const Invalid& error) {
+    } catch (const SettingsError& error) {
       return error.what();
     }
     return "accepted";
@@ -80,7 +80,7 @@
   EXPECT_EQ(settings.node, "n-0");
   ASSERT_EQ(settings.peers.size(), 1U);
   EXPECT_EQ(settings.peers[0].endpoint, "127.0.0.1:9081");
-  EXPECT_EQ(settings.state.txn_ops, 8);
+  EXPECT_EQ(settings.state.transaction_writes_max, 8);
   EXPECT_DOUBLE_EQ(settings.team("a")->gpus_max, 8);
   EXPECT_EQ(settings.team("b"), nullptr);
   // 40 s to honour a cancellation, less a lease and the margins.
@@ -117,7 +117,7 @@
   EXPECT_DOUBLE_EQ(limits.rps, 120) << "left out: as it is";
   EXPECT_DOUBLE_EQ(limits.write_rps, 18);
   EXPECT_DOUBLE_EQ(limits.value_kb, 2);
-  EXPECT_EQ(limits.txn_ops, 8) << "a larger one to come holds nothing now";
+  EXPECT_EQ(limits.transaction_writes_max, 8) << "a larger one to come holds nothing now";
   EXPECT_DOUBLE_EQ(settings.state.value_kb, 4) << "the partition of the records stays";
 }
 
@@ -144,7 +144,7 @@
 }
 
 TEST_F(SettingsFile, SaysThatAFileIsMissing) {
-  EXPECT_THROW((void)load_settings("/nonexistent/x.toml"), Invalid);
+  EXPECT_THROW((void)load_settings("/nonexistent/x.toml"), SettingsError);
 }
 
 }  // namespace
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -18,12 +18,12 @@
 }
 
 std::string slot_value(std::uint64_t number, const std::vector<BlockEntry>& blocks,
-                       const std::vector<HostEntry>& hosts = {}) {
+                       const std::vector<MachineEntry>& machines = {}) {
   std::vector<std::string> packed_blocks;
-  std::vector<std::string> packed_hosts;
+  std::vector<std::string> packed_machines;
   for (const auto& block : blocks) packed_blocks.push_back(pack(block).bytes);
-  for (const auto& host : hosts) packed_hosts.push_back(pack(host).bytes);
-  return encode_slot(number, packed_blocks, packed_hosts);
+  for (const auto& machine : machines) packed_machines.push_back(pack(machine).bytes);
+  return encode_slot(number, packed_blocks, packed_machines);
 }
 
 TEST(Records, KeysSurviveTheRoundTrip) {
@@ -53,13 +53,13 @@
   EXPECT_EQ(record.done_count(), 4U);
   EXPECT_EQ(record.assigned_count(), 1U);
   ASSERT_EQ(record.tasks.size(), 2U);
-  EXPECT_EQ(record.tasks[0].host, "host-000001");
+  EXPECT_EQ(record.tasks[0].machine, "host-000001");
   EXPECT_EQ(record.tasks[0].attempt, 3U);
-  ASSERT_EQ(back.hosts.size(), 2U);
-  EXPECT_EQ(back.hosts[0].record.addr, "1.2.3.4:5");
-  EXPECT_TRUE(back.hosts[0].record.spot);
-  EXPECT_FALSE(back.hosts[0].record.retired);
-  EXPECT_TRUE(back.hosts[1].removed);
+  ASSERT_EQ(back.machines.size(), 2U);
+  EXPECT_EQ(back.machines[0].record.addr, "1.2.3.4:5");
+  EXPECT_TRUE(back.machines[0].record.spot);
+  EXPECT_FALSE(back.machines[0].record.retired);
+  EXPECT_TRUE(back.machines[1].removed);
 }
 
 /// The size that limits are counted by is never more than what was reckoned.
@@ -192,11 +192,11 @@
   EXPECT_TRUE(mirror.final_state("job-20000"));
 }
 
-TEST(MeshMessages, SurviveTheRoundTripAndRefuseRubbish) {
+TEST(PeerMessages, SurviveTheRoundTripAndRefuseRubbish) {
   const auto back =
-      peer::decode(peer::encode(peer::ForwardedReport{"node-1", 7, std::string("a\0b", 3)}));
-  EXPECT_EQ(std::get<peer::ForwardedReport>(back).id, 7U);
-  EXPECT_EQ(std::get<peer::ForwardedReport>(back).body.size(), 3U);
+      peer::decode(peer::encode(peer::ForwardedHeartbeat{"node-1", 7, std::string("a\0b", 3)}));
+  EXPECT_EQ(std::get<peer::ForwardedHeartbeat>(back).id, 7U);
+  EXPECT_EQ(std::get<peer::ForwardedHeartbeat>(back).body.size(), 3U);
   EXPECT_THROW((void)peer::decode("rubbish that is no message"), std::exception);
   EXPECT_THROW((void)peer::decode(""), std::exception);
 }
--- a/tests/support/fake_state.cpp
+++ b/tests/support/fake_state.cpp
@@ -14,53 +14,54 @@
 void FakeState::record(const std::string& key, std::optional<std::string> value) {
   log_.push_back({key, std::move(value), revision_});
   if (log_.size() <= kLogLength) return;
-  forgotten_ = log_.front().stamp;
+  forgotten_ = log_.front().mod_revision;
   log_.pop_front();
 }
 
-bool FakeState::too_large(const wire::Txn& txn) const {
+bool FakeState::too_large(const wire::Transaction& transaction) const {
   if (!limits) return false;
-  const auto ops = static_cast<std::size_t>(limits->txn_ops);
-  if (txn.writes.size() > ops || txn.guards.size() > 4 * ops) return true;
-  return std::any_of(txn.writes.begin(), txn.writes.end(), [&](const wire::Write& write) {
-    if (!write.value) return false;
-    const auto size = wire::json_size(wire::Document::parse(*write.value).root());
-    return static_cast<double>(size) > limits->value_kb * 1024;
-  });
+  const auto ops = static_cast<std::size_t>(limits->transaction_writes_max);
+  if (transaction.writes.size() > ops || transaction.preconditions.size() > 4 * ops) return true;
+  return std::any_of(
+      transaction.writes.begin(), transaction.writes.end(), [&](const wire::Write& write) {
+        if (!write.value) return false;
+        const auto size = wire::json_size(wire::Document::parse(*write.value).root());
+        return static_cast<double>(size) > limits->value_kb * 1024;
+      });
 }
 
-bool FakeState::too_fast(const wire::Txn& txn) {
+bool FakeState::too_fast(const wire::Transaction& transaction) {
   if (!limits || !limits_rate) return false;
   const double rate = limits->write_rps;
   write_level_ = std::min(rate, write_level_ + (loop_.now() - write_level_at_) * rate);
   write_level_at_ = loop_.now();
-  const auto changes = static_cast<double>(txn.writes.size());
+  const auto changes = static_cast<double>(transaction.writes.size());
   if (changes > write_level_) return true;
   write_level_ -= changes;
   return false;
 }
 
-store::CommitResult FakeState::commit(const wire::Txn& txn) {
+store::CommitResult FakeState::commit(const wire::Transaction& transaction) {
   expire();
-  if (too_large(txn)) {
+  if (too_large(transaction)) {
     ++rejected;
     return {Outcome::rejected, revision_, {}};
   }
-  if (too_fast(txn)) return {Outcome::unavailable, revision_, {}};
+  if (too_fast(transaction)) return {Outcome::unavailable, revision_, {}};
   store::CommitResult result;
-  for (const auto& guard : txn.guards) {
-    const auto found = items_.find(guard.key);
-    if ((found == items_.end() ? 0 : found->second.stamp) != guard.stamp)
-      result.failed.push_back(guard.key);
+  for (const auto& precondition : transaction.preconditions) {
+    const auto found = items_.find(precondition.key);
+    if ((found == items_.end() ? 0 : found->second.mod_revision) != precondition.mod_revision)
+      result.failed.push_back(precondition.key);
   }
   result.outcome = result.failed.empty() ? Outcome::ok : Outcome::conflict;
   if (result.outcome == Outcome::ok) {
-    for (const auto& write : txn.writes) {
+    for (const auto& write : transaction.writes) {
       if (write.lease != 0 && !leases_.contains(write.lease))
         return {Outcome::no_lease, revision_, {}};
     }
-    if (!txn.writes.empty()) ++revision_;
-    for (const auto& write : txn.writes) {
+    if (!transaction.writes.empty()) ++revision_;
+    for (const auto& write : transaction.writes) {
       if (write.value)
         items_[write.key] = {*write.value, revision_, write.lease};
       else if (items_.erase(write.key) == 0)
@@ -69,7 +70,7 @@
     }
   }
   result.revision = revision_;
-  if (result.outcome == Outcome::ok && on_commit) on_commit(txn);
+  if (result.outcome == Outcome::ok && on_commit) on_commit(transaction);
   return result;
 }
 
@@ -77,7 +78,7 @@
   expire();
   const auto found = items_.find(key);
   if (found == items_.end()) return {Outcome::missing, {}, revision_};
-  return {Outcome::ok, {key, found->second.value, found->second.stamp}, revision_};
+  return {Outcome::ok, {key, found->second.value, found->second.mod_revision}, revision_};
 }
 
 store::ListResult FakeState::list(const std::string& prefix, const std::string& since,
@@ -90,7 +91,7 @@
       result.listing.truncated = true;
       break;
     }
-    result.listing.entries.push_back({it->first, it->second.value, it->second.stamp});
+    result.listing.entries.push_back({it->first, it->second.value, it->second.mod_revision});
   }
   result.listing.revision = revision_;
   return result;
@@ -101,7 +102,8 @@
   if (since < forgotten_) return std::nullopt;
   wire::Changes changes{revision_, {}};
   for (const auto& change : log_) {
-    if (change.stamp > since && change.key.starts_with(prefix)) changes.log.push_back(change);
+    if (change.mod_revision > since && change.key.starts_with(prefix))
+      changes.log.push_back(change);
   }
   return changes;
 }
@@ -196,9 +198,11 @@
                               std::move(done), {Outcome::unavailable, {}}, {}, false);
 }
 
-void FakeStore::commit(wire::Txn txn, std::function<void(store::CommitResult)> done) {
-  exchange<store::CommitResult>([this, txn = std::move(txn)] { return state_.commit(txn); },
-                                std::move(done), {Outcome::unavailable, 0, {}}, {}, true);
+void FakeStore::commit(wire::Transaction transaction,
+                       std::function<void(store::CommitResult)> done) {
+  exchange<store::CommitResult>(
+      [this, transaction = std::move(transaction)] { return state_.commit(transaction); },
+      std::move(done), {Outcome::unavailable, 0, {}}, {}, true);
 }
 
 void FakeStore::grant(double life_s, std::function<void(store::GrantResult)> done) {
--- a/tests/support/fake_state.hpp
+++ b/tests/support/fake_state.hpp
@@ -18,11 +18,11 @@
 
   struct Item {
     std::string value;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
     std::uint64_t lease = 0;
   };
 
-  store::CommitResult commit(const wire::Txn& txn);
+  store::CommitResult commit(const wire::Transaction& transaction);
   store::GetResult get(const std::string& key);
   store::ListResult list(const std::string& prefix, const std::string& since, std::size_t most);
   /// Nothing when `since` is too old to tell.
@@ -42,15 +42,15 @@
   /// Transactions that were called malformed.
   std::size_t rejected = 0;
   /// A transaction was applied; its answer is on its way.
-  std::function<void(const wire::Txn&)> on_commit;
+  std::function<void(const wire::Transaction&)> on_commit;
 
  private:
   struct Lease {
     double life = 0;
     double until = 0;
   };
-  [[nodiscard]] bool too_large(const wire::Txn& txn) const;
-  [[nodiscard]] bool too_fast(const wire::Txn& txn);
+  [[nodiscard]] bool too_large(const wire::Transaction& transaction) const;
+  [[nodiscard]] bool too_fast(const wire::Transaction& transaction);
   void record(const std::string& key, std::optional<std::string> value);
 
   VirtualLoop& loop_;
@@ -65,7 +65,7 @@
 };
 
 /// One node's way to the state service, with the faults of the road.
-class FakeStore : public store::Store {
+class FakeStore : public store::StateStore {
  public:
   struct Road {
     bool refused = false;     ///< 503 to this node alone
@@ -85,7 +85,8 @@
             std::function<void(store::ListResult)> done) override;
   void watch(const std::string& prefix, std::uint64_t since, double hold_s,
              std::function<void(store::WatchResult)> done) override;
-  void commit(wire::Txn txn, std::function<void(store::CommitResult)> done) override;
+  void commit(wire::Transaction transaction,
+              std::function<void(store::CommitResult)> done) override;
   void grant(double life_s, std::function<void(store::GrantResult)> done) override;
   void renew(std::uint64_t lease, std::function<void(store::Outcome)> done) override;
   /// The process at this end died: nothing comes back any more.
--- a/tests/support/faults.cpp
+++ b/tests/support/faults.cpp
@@ -20,7 +20,7 @@
   if (world.random() < 0.2 && !job.spread) job.zone = world.settings.zones[world.pick(2)];
   if (world.random() < 0.3) {
     job.checkpoint_every_s = 5;
-    job.save_s = 1;
+    job.checkpoint_s = 1;
   }
   if (world.random() < 0.4) {
     job.kind = wire::JobKind::service;
@@ -49,7 +49,7 @@
   job.spread = !job.together && world.random() < 0.3;
   job.zone.reset();
   job.checkpoint_every_s = world.random() < 0.7 ? 5 : 0;
-  job.save_s = 1 + world.random() * 2;
+  job.checkpoint_s = 1 + world.random() * 2;
   return job;
 }
 
@@ -101,9 +101,9 @@
   later(world, length, [&world] { world.part_zones(false); });
 }
 
-void mesh_cut(World& world, std::size_t node, double length) {
-  world.cut_mesh(node, true);
-  later(world, length, [&world, node] { world.cut_mesh(node, false); });
+void peer_links_cut(World& world, std::size_t node, double length) {
+  world.cut_peer_links(node, true);
+  later(world, length, [&world, node] { world.cut_peer_links(node, false); });
 }
 
 void workers_cut(World& world, std::size_t node, double length) {
@@ -140,10 +140,10 @@
 /// Neither state service nor other controllers, but its workers.
 void node_apart(World& world, std::size_t node, double length) {
   refuse(world, node, length);
-  mesh_cut(world, node, length);
+  peer_links_cut(world, node, length);
 }
 
-/// Reports arrive, answers and commands don't.
+/// Heartbeats arrive, answers and commands don't.
 void machine_unresponsive(World& world, std::size_t, double length) {
   auto* worker = some_worker(world);
   if (worker == nullptr) return;
@@ -211,11 +211,11 @@
   later(world, length, [&world, slow] { slow(world, 0); });
 }
 
-void machines_lose_reports(World& world, std::size_t, double length) {
+void machines_lose_heartbeats(World& world, std::size_t, double length) {
   for (auto& [id, worker] : world.workers) {
     if (world.random() > 0.3) continue;
-    worker->reports_dropped = true;
-    later(world, length, [raw = worker.get()] { raw->reports_dropped = false; });
+    worker->heartbeats_dropped = true;
+    later(world, length, [raw = worker.get()] { raw->heartbeats_dropped = false; });
   }
 }
 
@@ -227,9 +227,9 @@
   }
 }
 
-void held_orders(World& world, std::size_t, double length) {
-  world.hold_orders = 1 + world.random() * 50;
-  later(world, length, [&world] { world.hold_orders = 0; });
+void held_commands(World& world, std::size_t, double length) {
+  world.hold_commands = 1 + world.random() * 50;
+  later(world, length, [&world] { world.hold_commands = 0; });
 }
 
 void lost_replies(World& world, std::size_t, double length) {
@@ -294,7 +294,7 @@
                                       {"state outage", state_outage},
                                       {"refused alone", refused_alone},
                                       {"zones apart", zones_apart},
-                                      {"mesh cut", mesh_cut},
+                                      {"mesh cut", peer_links_cut},
                                       {"cut from workers", workers_cut},
                                       {"cloud outage", cloud_outage},
                                       {"spot taken", spot_taken},
@@ -320,7 +320,7 @@
                                       {"late writes", late_writes},
                                       {"lossy state", lossy_state},
                                       {"leader apart", leader_apart},
-                                      {"mesh cut", mesh_cut},
+                                      {"mesh cut", peer_links_cut},
                                       {"leader crash", leader_crash},
                                       {"crash all", crash_all},
                                       {"quick restarts", quick_restarts},
@@ -328,11 +328,11 @@
                                       {"cut from workers", workers_cut},
                                       {"zone cut", zone_cut},
                                       {"zones apart", zones_apart},
-                                      {"machines lose reports", machines_lose_reports},
+                                      {"machines lose reports", machines_lose_heartbeats},
                                       {"machines unresponsive", machines_unresponsive},
                                       {"machine cut", machine_cut},
                                       {"late copies", late_copies},
-                                      {"held orders", held_orders},
+                                      {"held orders", held_commands},
                                       {"lost replies", lost_replies},
                                       {"no direct way", no_direct_way},
                                       {"many hang", many_hang},
--- a/tests/support/gangs.cpp
+++ b/tests/support/gangs.cpp
@@ -118,13 +118,16 @@
   if (found->second.told) return true;
   found->second.told = true;
   if (attempt.first_stop < 0) attempt.first_stop = world_.loop.now();
-  world_.loop.after(world_.spec(job)->save_s, [this, name, index, serial = found->second.serial] {
-    auto& saving = attempts_[name];
-    const auto member = saving.members.find(index);
-    if (saving.over || member == saving.members.end() || member->second.serial != serial) return;
-    member->second.saved = true;
-    check_saved(name, saving);
-  });
+  world_.loop.after(world_.spec(job)->checkpoint_s,
+                    [this, name, index, serial = found->second.serial] {
+                      auto& checkpointing = attempts_[name];
+                      const auto member = checkpointing.members.find(index);
+                      if (checkpointing.over || member == checkpointing.members.end() ||
+                          member->second.serial != serial)
+                        return;
+                      member->second.saved = true;
+                      check_saved(name, checkpointing);
+                    });
   return true;
 }
 
--- a/tests/support/histories.hpp
+++ b/tests/support/histories.hpp
@@ -55,7 +55,7 @@
       ASSERT_LT(t - since, 90) << id << " waits beside room" << story;
     }
     for (const auto& id : world.rules.accepted_jobs())
-      ASSERT_TRUE(t < over + 75 || world.answered_at(id) > t - 75)
+      ASSERT_TRUE(t < over + 75 || world.replied_at(id) > t - 75)
           << id << " is not answered for" << story;
     ASSERT_TRUE(world.rules.broken().empty())
         << "at " << t << " s: " << world.rules.broken().front() << story;
--- a/tests/support/http_fronts.cpp
+++ b/tests/support/http_fronts.cpp
@@ -17,23 +17,24 @@
   return path.substr(from, path.find('&', from) - from);
 }
 
-wire::Txn decode_txn(const std::string& body) {
+wire::Transaction decode_transaction(const std::string& body) {
   const auto document = wire::Document::parse(body);
   const auto fields = document.fields();
-  wire::Txn txn;
-  const auto [guard, guards_end] = wire::elements(fields.find("guards"), "guards");
-  for (const auto* item = guard; item != guards_end; ++item)
-    txn.guards.push_back({wire::Fields(*item).text("key"), wire::Fields(*item).integer("stamp")});
+  wire::Transaction transaction;
+  const auto [precondition, guards_end] = wire::elements(fields.find("guards"), "guards");
+  for (const auto* item = precondition; item != guards_end; ++item)
+    transaction.preconditions.push_back(
+        {wire::Fields(*item).text("key"), wire::Fields(*item).integer("stamp")});
   const auto [write, writes_end] = wire::elements(fields.find("writes"), "writes");
   for (const auto* item = write; item != writes_end; ++item) {
     const wire::Fields one(*item);
     if (const auto key = one.maybe_text("set"))
-      txn.writes.push_back(
+      transaction.writes.push_back(
           {*key, wire::pack_object(one.require("value")), one.integer_or("hold", 0)});
     else
-      txn.writes.push_back({one.text("delete"), std::nullopt, 0});
+      transaction.writes.push_back({one.text("delete"), std::nullopt, 0});
   }
-  return txn;
+  return transaction;
 }
 
 net::Response revision_only(int status, std::uint64_t revision) {
@@ -51,7 +52,7 @@
       .key("value")
       .raw(result.entry.value)
       .key("stamp")
-      .integer(result.entry.stamp);
+      .integer(result.entry.mod_revision);
   return {200, packer.take(), 0};
 }
 
@@ -70,7 +71,7 @@
         .key("value")
         .raw(entry.value)
         .key("stamp")
-        .integer(entry.stamp);
+        .integer(entry.mod_revision);
   return {200, packer.take(), 0};
 }
 
@@ -82,7 +83,7 @@
         .key(change.value ? "set" : "delete")
         .text(change.key)
         .key("stamp")
-        .integer(change.stamp);
+        .integer(change.mod_revision);
     if (change.value) packer.key("value").raw(*change.value);
   }
   return {200, packer.take(), 0};
@@ -123,7 +124,8 @@
     return respond(
         answer_list(state_.list(parameter(path, "under"), parameter(path, "since"), 1000).listing));
   if (path.starts_with("/kv/")) return respond(answer_get(state_.get(path.substr(4))));
-  if (path == "/commit") return respond(answer_commit(state_.commit(decode_txn(request.body))));
+  if (path == "/commit")
+    return respond(answer_commit(state_.commit(decode_transaction(request.body))));
   if (path == "/grants") {
     const auto document = wire::Document::parse(request.body);
     wire::Packer packer;
@@ -162,18 +164,18 @@
     return world_.cloud.list("", [respond](const std::optional<wire::CloudPage>& page) {
       if (!page) return respond({503, {}, 0});
       wire::Packer packer;
-      packer.map(2).key("truncated").flag(false).key("hosts").list(page->hosts.size());
-      for (const auto& host : page->hosts) {
+      packer.map(2).key("truncated").flag(false).key("hosts").list(page->machines.size());
+      for (const auto& machine : page->machines) {
         packer.map(6)
             .key("uid")
-            .text(host.id)
+            .text(machine.id)
             .key("addr")
             .text("127.0.0.1:1")
             .key("build")
-            .text(host.type)
+            .text(machine.type)
             .key("yard")
-            .text(host.zone);
-        packer.key("loaners").flag(host.spot).key("status").text("running");
+            .text(machine.zone);
+        packer.key("loaners").flag(machine.spot).key("status").text("running");
       }
       respond({200, packer.take(), 0});
     });
@@ -181,21 +183,22 @@
   const auto document = wire::Document::parse(request.body);
   const auto fields = document.fields();
   if (request.path == "/hosts/release") {
-    return world_.cloud.release(wire::decode_host_names(document.root()), [respond](bool ok) {
+    return world_.cloud.terminate(wire::decode_machine_names(document.root()), [respond](bool ok) {
       respond({ok ? 200 : 503, {}, 0});
     });
   }
-  world_.cloud.rent(fields.text("hire"), fields.text("build"), fields.text("yard"),
-                    fields.flag_or("loaners", false), static_cast<int>(fields.integer("count")),
-                    [respond](const clients::RentResult& result) {
-                      using Result = clients::RentResult::Outcome;
-                      wire::Packer none;
-                      none.map(1).key("error").text("no capacity");
-                      if (result.outcome == Result::ok)
-                        respond({200, wire::encode_host_names(result.hosts), 0});
-                      else
-                        respond({result.outcome == Result::unknown ? 500 : 503, none.take(), 0});
-                    });
+  world_.cloud.provision(
+      fields.text("hire"), fields.text("build"), fields.text("yard"),
+      fields.flag_or("loaners", false), static_cast<int>(fields.integer("count")),
+      [respond](const clients::ProvisionResult& result) {
+        using Result = clients::ProvisionResult::Outcome;
+        wire::Packer none;
+        none.map(1).key("error").text("no capacity");
+        if (result.outcome == Result::ok)
+          respond({200, wire::encode_machine_names(result.machines), 0});
+        else
+          respond({result.outcome == Result::unknown ? 500 : 503, none.take(), 0});
+      });
 }
 
 }  // namespace elmstall::test
--- a/tests/support/rules.cpp
+++ b/tests/support/rules.cpp
@@ -49,11 +49,11 @@
                        const Place& place) {
   ++starts_;
   const Task task{job, index};
-  const std::string name = wire::task_name(job, index) + " on " + place.host;
+  const std::string name = wire::task_name(job, index) + " on " + place.machine;
   auto& places = where_[task];
-  if (!places.empty() && !places.contains(place.host))
+  if (!places.empty() && !places.contains(place.machine))
     fail("ran_twice", name + " and " + places.begin()->first);
-  places[place.host] = place;
+  places[place.machine] = place;
   const auto& spec = specs_.at(job);
   const auto known = [&](const std::vector<std::string>& list) {
     return list.empty() || std::find(list.begin(), list.end(), place.type) != list.end();
@@ -80,8 +80,8 @@
 }
 
 void Rules::off_machine(double now, const std::string& job, std::uint32_t index,
-                        const std::string& host) {
-  if (where_[{job, index}].erase(host) == 0) return;
+                        const std::string& machine) {
+  if (where_[{job, index}].erase(machine) == 0) return;
   // To the moment, not to the half second of `check_time`.
   const auto told = cancelled_.find(job);
   if (told != cancelled_.end() && now > told->second + settings_.cancel_s)
@@ -99,10 +99,10 @@
   return found == done_.end() ? 0 : found->second.size();
 }
 
-sched::Amount Rules::used_on(const std::string& host) const {
+sched::Amount Rules::used_on(const std::string& machine) const {
   sched::Amount used;
   for (const auto& [task, places] : where_) {
-    if (!places.contains(host)) continue;
+    if (!places.contains(machine)) continue;
     const auto& spec = specs_.at(task.first);
     used += {spec.cpus, spec.gpus, spec.memory_gb};
   }
--- a/tests/support/rules.hpp
+++ b/tests/support/rules.hpp
@@ -18,7 +18,7 @@
   explicit Rules(const config::Settings& settings) : settings_(settings) {}
 
   struct Place {
-    std::string host;
+    std::string machine;
     std::string type;
     std::string zone;
     bool spot = false;
@@ -43,7 +43,7 @@
   // What happens on machines.
   void on_machine(double now, const std::string& job, std::uint32_t index, const Place& place);
   void off_machine(double now, const std::string& job, std::uint32_t index,
-                   const std::string& host);
+                   const std::string& machine);
   void completed(const std::string& job, std::uint32_t index) { done_[job].insert(index); }
   void check_time(double now);
 
@@ -57,7 +57,7 @@
   [[nodiscard]] std::size_t completed_tasks(const std::string& job) const;
   [[nodiscard]] bool over(const std::string& job) const { return final_.contains(job); }
   /// What the tasks on this machine take, and those of this team.
-  [[nodiscard]] sched::Amount used_on(const std::string& host) const;
+  [[nodiscard]] sched::Amount used_on(const std::string& machine) const;
   [[nodiscard]] sched::Amount used_by(const std::string& team) const;
   [[nodiscard]] std::size_t in_zone(const std::string& job, const std::string& zone) const;
   [[nodiscard]] std::size_t accepted() const { return accepted_.size(); }
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -12,14 +12,14 @@
 inline std::size_t placed(World& world, const std::string& id) {
   auto* node = world.leader();
   auto* job = node == nullptr ? nullptr : node->leader()->model().job(id);
-  return job == nullptr ? 0 : job->on_hosts;
+  return job == nullptr ? 0 : job->on_machines;
 }
 
 inline FakeWorker* worker_of(World& world, const std::string& job) {
   auto* node = world.leader();
   if (node == nullptr) return nullptr;
-  for (auto& [id, host] : node->leader()->model().hosts()) {
-    for (const auto* task : host->tasks) {
+  for (auto& [id, machine] : node->leader()->model().machines()) {
+    for (const auto* task : machine->tasks) {
       if (task->job->id == job) return world.workers.at(id).get();
     }
   }
@@ -73,17 +73,17 @@
 }
 
 /// What this worker would report, for tests that speak for it.
-inline wire::Report report_of(const FakeWorker& worker, std::uint64_t session, std::uint64_t tick,
-                              std::uint64_t token) {
+inline wire::WorkerHeartbeat heartbeat_of(const FakeWorker& worker, std::uint64_t epoch,
+                                          std::uint64_t sequence, std::uint64_t token) {
   return {worker.id(), worker.id(), worker.type(), worker.zone(), worker.spot(),
-          session,     tick,        token,         std::nullopt,  {}};
+          epoch,       sequence,    token,         std::nullopt,  {}};
 }
 
 /// All tasks that the leader knows there, in this state.
-inline void show_tasks(wire::Report& report, const state::Host& host, wire::TaskState state,
-                       wire::EndCause cause) {
-  for (const auto* task : host.tasks)
-    report.tasks.push_back({task->job->id, task->index, task->attempt, state, cause, false});
+inline void show_tasks(wire::WorkerHeartbeat& heartbeat, const state::Machine& machine,
+                       wire::TaskState state, wire::EndCause cause) {
+  for (const auto* task : machine.tasks)
+    heartbeat.tasks.push_back({task->job->id, task->index, task->attempt, state, cause, false});
 }
 
 inline void refuse_state(World& world, std::size_t node, bool refused) {
--- a/tests/support/worker.cpp
+++ b/tests/support/worker.cpp
@@ -17,7 +17,7 @@
 
 void FakeWorker::start() {
   lease_from_ = world_.loop.now();
-  next_report(0);
+  next_heartbeat(0);
   check_lease();
 }
 
@@ -26,13 +26,13 @@
   forget_all();
 }
 
-void FakeWorker::next_report(double delay) {
+void FakeWorker::next_heartbeat(double delay) {
   world_.loop.after(delay, [this, round = ++round_] {
     if (later([this, round] {
-          if (round == round_) next_report(0);
+          if (round == round_) next_heartbeat(0);
         }))
       return;
-    if (!dead_ && round == round_ && !in_flight_) report();
+    if (!dead_ && round == round_ && !in_flight_) heartbeat();
   });
 }
 
@@ -57,7 +57,7 @@
 }
 
 void FakeWorker::changed() {
-  if (!in_flight_) next_report(std::max(0.0, last_report_ + 0.5 - world_.loop.now()));
+  if (!in_flight_) next_heartbeat(std::max(0.0, last_heartbeat_ + 0.5 - world_.loop.now()));
 }
 
 void FakeWorker::check_lease() {
@@ -69,7 +69,7 @@
 void FakeWorker::expire() {
   if ((world_.loop.now() - lease_from_) * clock <= world_.settings.lease_s) return;
   forget_all();
-  ++session_;
+  ++epoch_;
   lease_from_ = world_.loop.now();
 }
 
@@ -106,44 +106,46 @@
   end(name, cause, saved);
 }
 
-wire::Report FakeWorker::compose() {
-  wire::Report report{id_, id_, type_, zone_, spot_, session_, ++tick_, token_, std::nullopt, {}};
-  if (recall_at) report.recall_s = std::max(0.0, *recall_at - world_.loop.now());
+wire::WorkerHeartbeat FakeWorker::compose() {
+  wire::WorkerHeartbeat heartbeat{id_,    id_,         type_,  zone_,        spot_,
+                                  epoch_, ++sequence_, token_, std::nullopt, {}};
+  if (interruption_at)
+    heartbeat.interruption_in_s = std::max(0.0, *interruption_at - world_.loop.now());
   for (const auto& [name, task] : tasks_)
-    report.tasks.push_back(
+    heartbeat.tasks.push_back(
         {name.first, name.second, task.attempt, task.state, task.cause, task.saved});
-  return report;
+  return heartbeat;
 }
 
-clients::OrdersResult FakeWorker::direct(std::uint64_t token, std::uint64_t session,
-                                         const std::vector<wire::Order>& orders) {
-  using Outcome = clients::OrdersResult::Outcome;
+clients::CommandResult FakeWorker::direct(std::uint64_t token, std::uint64_t epoch,
+                                          const std::vector<wire::WorkerCommand>& commands) {
+  using Outcome = clients::CommandResult::Outcome;
   if (token < token_) return {Outcome::refused, compose()};
   const bool learned = token > token_;
   token_ = token;
-  if (session != session_) return {Outcome::refused, compose()};
-  for (const auto& order : orders) execute(order);
-  if (learned || !orders.empty()) changed();
+  if (epoch != epoch_) return {Outcome::refused, compose()};
+  for (const auto& command : commands) execute(command);
+  if (learned || !commands.empty()) changed();
   return {Outcome::done, compose()};
 }
 
-void FakeWorker::report() {
+void FakeWorker::heartbeat() {
   const double sent = world_.loop.now();
-  const auto report = compose();
+  const auto heartbeat = compose();
   in_flight_ = true;
-  sent_session_ = session_;
-  last_report_ = sent;
+  sent_epoch_ = epoch_;
+  last_heartbeat_ = sent;
   const auto node = node_;
-  const auto tick = sent_tick_ = tick_;
-  world_.loop.after(4.0, [this, tick, node] {
-    if (dead_ || !in_flight_ || tick != sent_tick_) return;
+  const auto sequence = last_sent_sequence_ = sequence_;
+  world_.loop.after(4.0, [this, sequence, node] {
+    if (dead_ || !in_flight_ || sequence != last_sent_sequence_) return;
     in_flight_ = false;  // a hanging machine finds out when it goes on
     node_ = (node + 1) % world_.node_count();
-    next_report(1.0);
+    next_heartbeat(1.0);
   });
   const bool lost =
-      cut || reports_dropped || !world_.reachable(node, zone_) || world_.random() < world_.loss;
-  net::Request request{"POST", "/v1/report", wire::encode_report(report)};
+      cut || heartbeats_dropped || !world_.reachable(node, zone_) || world_.random() < world_.loss;
+  net::Request request{"POST", "/v1/report", wire::encode_heartbeat(heartbeat)};
   if (lost) {
     // Half of what gets stuck arrives much later, when nobody waits for it.
     if (world_.random() < 0.5) {
@@ -159,58 +161,59 @@
         [this, node, request] { world_.send_to_node(node, request, [](const net::Response&) {}); });
   }
   const double delay = 0.001 + 0.003 * world_.random();
-  world_.loop.after(delay, [this, tick, sent, node, request] {
-    world_.send_to_node(node, request, [this, tick, sent, node](const net::Response& response) {
+  world_.loop.after(delay, [this, sequence, sent, node, request] {
+    world_.send_to_node(node, request, [this, sequence, sent, node](const net::Response& response) {
       if (cut || answers_dropped || !world_.reachable(node, zone_) || world_.random() < world_.loss)
         return;
-      world_.loop.after(
-          0.002, [this, tick, sent, node, response] { answered(tick, sent, node, response); });
+      world_.loop.after(0.002, [this, sequence, sent, node, response] {
+        answered(sequence, sent, node, response);
+      });
     });
   });
 }
 
-void FakeWorker::answered(std::uint64_t tick, double sent, std::size_t node,
+void FakeWorker::answered(std::uint64_t sequence, double sent, std::size_t node,
                           const net::Response& response) {
-  if (dead_ || hung() || !in_flight_ || tick != sent_tick_) return;
+  if (dead_ || hung() || !in_flight_ || sequence != last_sent_sequence_) return;
   in_flight_ = false;
   if (response.status == 421) {
     const auto document = wire::Document::parse(response.body);
     const auto name = document.fields().maybe_text("steward");
     if (name && *name != "node-" + std::to_string(node)) {
       node_ = static_cast<std::size_t>(name->back() - '0');
-      return next_report(0.5 * world_.random());
+      return next_heartbeat(0.5 * world_.random());
     }
   }
   if (response.status != 200) {
     node_ = (node + 1) % world_.node_count();
-    return next_report(1.0);
+    return next_heartbeat(1.0);
   }
-  next_report(world_.settings.report_s * (0.75 + 0.5 * world_.random()));
+  next_heartbeat(world_.settings.heartbeat_interval_s * (0.75 + 0.5 * world_.random()));
   const auto document = wire::Document::parse(response.body);
-  const auto orders = wire::decode_orders(document.root());
-  if (orders.token < token_ || sent_session_ != session_) return;
-  const bool learned = orders.token > token_;
-  token_ = orders.token;
+  const auto commands = wire::decode_commands(document.root());
+  if (commands.token < token_ || sent_epoch_ != epoch_) return;
+  const bool learned = commands.token > token_;
+  token_ = commands.token;
   lease_from_ = sent;
-  for (const auto& order : orders.orders) execute(order);
+  for (const auto& command : commands.commands) execute(command);
   if (learned) changed();
 }
 
-void FakeWorker::execute(const wire::Order& order) {
-  const Name name{order.job, order.index};
+void FakeWorker::execute(const wire::WorkerCommand& command) {
+  const Name name{command.job, command.index};
   const auto found = tasks_.find(name);
-  switch (order.verb) {
+  switch (command.verb) {
     case wire::Verb::run:
-      if (found != tasks_.end() && found->second.attempt == order.attempt) return;
+      if (found != tasks_.end() && found->second.attempt == command.attempt) return;
       if (found != tasks_.end()) return;  // in use: it stays with the other attempt
-      return run(name, order.attempt);
+      return run(name, command.attempt);
     case wire::Verb::stop:
-      if (found == tasks_.end() || found->second.attempt != order.attempt ||
+      if (found == tasks_.end() || found->second.attempt != command.attempt ||
           found->second.state == TaskState::ended)
         return;
-      return stop(name, found->second, order.wind_down_s);
+      return stop(name, found->second, command.grace_period_s);
     case wire::Verb::clear:
-      if (found == tasks_.end() || found->second.attempt != order.attempt ||
+      if (found == tasks_.end() || found->second.attempt != command.attempt ||
           found->second.state != TaskState::ended)
         return;
       tasks_.erase(found);
@@ -218,22 +221,23 @@
   }
 }
 
-void FakeWorker::stop(const Name& name, Task& task, double wind_down_s) {
-  if (wind_down_s <= 0) return end(name, EndCause::stopped, false);
-  if (task.state == TaskState::saving) return;
+void FakeWorker::stop(const Name& name, Task& task, double grace_period_s) {
+  if (grace_period_s <= 0) return end(name, EndCause::stopped, false);
+  if (task.state == TaskState::checkpointing) return;
   const auto& spec = *world_.spec(name.first);
   if (task.state != TaskState::running) return end(name, EndCause::stopped, false);
   if (in_gang(name)) {
-    if (wind_down_s < spec.save_s || !world_.gangs.stop(name.first, name.second, task.attempt))
+    if (grace_period_s < spec.checkpoint_s ||
+        !world_.gangs.stop(name.first, name.second, task.attempt))
       return end(name, EndCause::stopped, false);
-    task.state = TaskState::saving;
+    task.state = TaskState::checkpointing;
     return changed();
   }
-  task.state = TaskState::saving;
-  world_.loop.after(wind_down_s, [this, name, serial = task.serial] {
-    const auto saving = tasks_.find(name);
-    if (!dead_ && saving != tasks_.end() && saving->second.serial == serial &&
-        saving->second.state == TaskState::saving)
+  task.state = TaskState::checkpointing;
+  world_.loop.after(grace_period_s, [this, name, serial = task.serial] {
+    const auto checkpointing = tasks_.find(name);
+    if (!dead_ && checkpointing != tasks_.end() && checkpointing->second.serial == serial &&
+        checkpointing->second.state == TaskState::checkpointing)
       end(name, EndCause::stopped, true);
   });
   changed();
--- a/tests/support/worker.hpp
+++ b/tests/support/worker.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "clients/workers.hpp"
+#include "clients/worker_rpc.hpp"
 #include "net/http_server.hpp"
 #include "sched/resources.hpp"
 
@@ -27,8 +27,8 @@
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] bool spot() const { return spot_; }
   /// Straight to this worker, whenever it arrives.
-  clients::OrdersResult direct(std::uint64_t token, std::uint64_t session,
-                               const std::vector<wire::Order>& orders);
+  clients::CommandResult direct(std::uint64_t token, std::uint64_t epoch,
+                                const std::vector<wire::WorkerCommand>& commands);
   /// Stands still with all its tasks, and goes on later.
   void hang(double seconds);
   [[nodiscard]] bool hung() const;
@@ -37,17 +37,18 @@
   void show_gang_task(const TaskName& name, std::uint64_t serial, wire::TaskState state);
   void end_gang_task(const TaskName& name, std::uint64_t serial, wire::EndCause cause, bool saved);
   /// It is up and has reported.
-  [[nodiscard]] bool reports() const { return tick_ > 0; }
+  [[nodiscard]] bool heartbeats() const { return sequence_ > 0; }
   /// What its tasks take that wait for their image.
   [[nodiscard]] sched::Amount fetching() const;
   [[nodiscard]] double hung_until() const { return hung_until_; }
-  bool cut = false;              ///< from every node
-  bool answers_dropped = false;  ///< its reports arrive, but neither answers nor commands reach it
-  bool reports_dropped = false;  ///< it reaches no node, while direct commands reach it
-  double copies = 0;             ///< share of its reports of which a copy comes late
-  double copy_after = 0;         ///< seconds; 0: somewhere between 2 and 42
-  double clock = 1;              ///< how fast its steady clock runs
-  std::optional<double> recall_at;
+  bool cut = false;  ///< from every node
+  bool answers_dropped =
+      false;  ///< its heartbeats arrive, but neither answers nor commands reach it
+  bool heartbeats_dropped = false;  ///< it reaches no node, while direct commands reach it
+  double copies = 0;                ///< share of its heartbeats of which a copy comes late
+  double copy_after = 0;            ///< seconds; 0: somewhere between 2 and 42
+  double clock = 1;                 ///< how fast its steady clock runs
+  std::optional<double> interruption_at;
   double fail_share = 0;  ///< of its tasks, for a faulty machine
 
  private:
@@ -60,11 +61,12 @@
   };
   using Name = TaskName;
 
-  [[nodiscard]] wire::Report compose();
-  void report();
-  void answered(std::uint64_t tick, double sent, std::size_t node, const net::Response& response);
-  void execute(const wire::Order& order);
-  void stop(const Name& name, Task& task, double wind_down_s);
+  [[nodiscard]] wire::WorkerHeartbeat compose();
+  void heartbeat();
+  void answered(std::uint64_t sequence, double sent, std::size_t node,
+                const net::Response& response);
+  void execute(const wire::WorkerCommand& command);
+  void stop(const Name& name, Task& task, double grace_period_s);
   [[nodiscard]] bool in_gang(const Name& name) const;
   void run(const Name& name, std::uint64_t attempt);
   void running(const Name& name, std::uint64_t serial);
@@ -76,17 +78,17 @@
   bool later(std::function<void()> fn);
   void forget_all();
   void changed();
-  void next_report(double delay);
+  void next_heartbeat(double delay);
 
   World& world_;
   std::string id_, type_, zone_;
   bool spot_ = false;
   bool dead_ = false;
-  std::uint64_t session_ = 1, tick_ = 0, token_ = 0, serial_ = 0, round_ = 0;
-  std::uint64_t sent_tick_ = 0, sent_session_ = 0;  ///< of the report in flight
+  std::uint64_t epoch_ = 1, sequence_ = 0, token_ = 0, serial_ = 0, round_ = 0;
+  std::uint64_t last_sent_sequence_ = 0, sent_epoch_ = 0;  ///< of the heartbeat in flight
   double lease_from_ = 0;
   double hung_until_ = -1;
-  double last_report_ = -10;
+  double last_heartbeat_ = -10;
   bool in_flight_ = false;
   std::size_t node_ = 0;
   std::map<Name, Task> tasks_;
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -4,20 +4,20 @@
 
 namespace elmstall::test {
 
-void FakeWorkers::order(const std::string& addr, std::uint64_t token, std::uint64_t session,
-                        const std::vector<wire::Order>& orders,
-                        std::function<void(clients::OrdersResult)> done) {
-  using Outcome = clients::OrdersResult::Outcome;
+void FakeWorkerRpc::send_commands(const std::string& addr, std::uint64_t token, std::uint64_t epoch,
+                                  const std::vector<wire::WorkerCommand>& commands,
+                                  std::function<void(clients::CommandResult)> done) {
+  using Outcome = clients::CommandResult::Outcome;
   const auto give_up = [this, done](Outcome outcome) {
     world_.loop.after(2.0, [done, outcome] { done({outcome, std::nullopt}); });
   };
   const auto found = world_.workers.find(addr);
   if (found == world_.workers.end() || world_.no_direct) return give_up(Outcome::never);
   auto* worker = found->second.get();
-  const auto carry_out = [worker, token, session,
-                          orders]() -> std::optional<clients::OrdersResult> {
+  const auto carry_out = [worker, token, epoch,
+                          commands]() -> std::optional<clients::CommandResult> {
     if (worker->dead()) return std::nullopt;
-    return worker->direct(token, session, orders);
+    return worker->direct(token, epoch, commands);
   };
   const bool lost = worker->cut || worker->answers_dropped || world_.workers_cut(node_) ||
                     !world_.reachable(node_, worker->zone()) || world_.random() < world_.loss;
@@ -26,8 +26,8 @@
     world_.loop.at(worker->hung_until() + 0.001, [carry_out] { (void)carry_out(); });
     return give_up(Outcome::unknown);
   }
-  if (world_.hold_orders > 0) {
-    world_.loop.after(world_.hold_orders, [carry_out] { (void)carry_out(); });
+  if (world_.hold_commands > 0) {
+    world_.loop.after(world_.hold_commands, [carry_out] { (void)carry_out(); });
     return give_up(Outcome::unknown);
   }
   if (lost) {
@@ -40,7 +40,7 @@
   world_.loop.after(0.002, [this, carry_out, done, give_up] {
     auto result = carry_out();
     if (!result) return give_up(Outcome::never);
-    if (world_.on_orders) world_.on_orders();
+    if (world_.on_commands) world_.on_commands();
     if (world_.lose_replies || world_.random() < world_.loss) return give_up(Outcome::unknown);
     world_.loop.after(0.002, [done, result = std::move(*result)] { done(result); });
   });
@@ -59,8 +59,8 @@
   wire::CloudPage page;
   for (const auto& [id, worker] : world_.workers) {
     if (worker->dead()) continue;
-    page.hosts.push_back({id, "", worker->type(), worker->zone(), worker->spot(),
-                          wire::CloudHost::State::running, 0});
+    page.machines.push_back({id, "", worker->type(), worker->zone(), worker->spot(),
+                             wire::CloudMachine::State::running, 0});
   }
   history_[world_.loop.now()] = page;
   const double shown = world_.loop.now() - world_.settings.list_lag_s * (1 + world_.random());
@@ -71,20 +71,21 @@
       0.1, [this, old, done = std::move(done)] { done(down ? std::nullopt : std::optional(old)); });
 }
 
-void FakeCloud::rent(const std::string& name, const std::string& type, const std::string& zone,
-                     bool spot, int count, std::function<void(clients::RentResult)> done) {
-  using Outcome = clients::RentResult::Outcome;
+void FakeCloud::provision(const std::string& name, const std::string& type, const std::string& zone,
+                          bool spot, int count,
+                          std::function<void(clients::ProvisionResult)> done) {
+  using Outcome = clients::ProvisionResult::Outcome;
   world_.loop.after(0.1, [=, this] {
     if (down) return done({Outcome::unavailable, {}});
     if (const auto known = served_.find(name); known != served_.end())
       return done({Outcome::ok, known->second});
-    clients::RentResult result{Outcome::ok, {}};
+    clients::ProvisionResult result{Outcome::ok, {}};
     for (int i = 0; i < count && capacity > 0; ++i, --capacity) {
       char id[32];
       std::snprintf(id, sizeof id, "host-%06zu", world_.workers.size());
       auto& worker = world_.workers[id] =
           std::make_unique<FakeWorker>(world_, id, type, zone, spot);
-      result.hosts.push_back(id);
+      result.machines.push_back(id);
       // Now and then one is up at once.
       world_.loop.after(world_.machine_types.front().ready_s *
                             (world_.random() < 0.1 ? 0.1 : 0.67 + 0.67 * world_.random()),
@@ -92,8 +93,8 @@
                           if (!raw->dead()) raw->start();
                         });
     }
-    if (result.hosts.empty()) return done({Outcome::no_capacity, {}});
-    served_[name] = result.hosts;
+    if (result.machines.empty()) return done({Outcome::no_capacity, {}});
+    served_[name] = result.machines;
     if (lose_answers > 0 || world_.random() < 0.1) {
       lose_answers = std::max(0, lose_answers - 1);
       return done({Outcome::unknown, {}});
@@ -102,10 +103,11 @@
   });
 }
 
-void FakeCloud::release(const std::vector<std::string>& hosts, std::function<void(bool)> done) {
+void FakeCloud::terminate(const std::vector<std::string>& machines,
+                          std::function<void(bool)> done) {
   world_.loop.after(0.1, [=, this] {
     if (down) return done(false);
-    for (const auto& id : hosts) {
+    for (const auto& id : machines) {
       const auto found = world_.workers.find(id);
       if (found == world_.workers.end() || found->second->dead()) continue;
       found->second->die();
@@ -117,8 +119,8 @@
 
 // --- world -----------------------------------------------------------------------
 
-struct World::Mesh : peer::Mesh {
-  Mesh(World& owner, std::size_t from) : world(owner), self(from) {}
+struct World::Transport : peer::Transport {
+  Transport(World& owner, std::size_t from) : world(owner), self(from) {}
   void broadcast(const peer::Message& message) override {
     for (std::size_t i = 0; i < world.nodes_.size(); ++i) {
       if (i != self) queued.emplace_back(i, message);
@@ -129,12 +131,12 @@
   }
   void flush() override {
     if (queued.empty()) return;
-    ++world.mesh_flushes;
-    world.mesh_messages += queued.size();
+    ++world.peer_flushes;
+    world.peer_messages += queued.size();
     for (const auto& [to, message] : std::exchange(queued, {})) deliver(to, message);
   }
   void deliver(std::size_t to, const peer::Message& message) {
-    if (world.mesh_cut_[self] || world.mesh_cut_[to]) return;
+    if (world.peer_links_cut_[self] || world.peer_links_cut_[to]) return;
     if (!world.reachable(to, world.nodes_[self].settings.zone)) return;
     // Through the real encoding.
     world.loop.after(0.002, [this, to, bytes = peer::encode(message), &owner = world] {
@@ -153,7 +155,7 @@
   settings.zones = {"north", "south"};
   settings.teams = {{"red", 0, 0, 4, 8}, {"blue", 0, 0, 0, 0}};
   settings.objectives = {{"finished", "batch", 90, 0.9}};
-  settings.report_s = 1.5;
+  settings.heartbeat_interval_s = 1.5;
   settings.lease_s = 10;
   settings.cancel_s = 40;
   settings.gang_wait_s = 30;
@@ -161,7 +163,7 @@
   settings.state.rps = 120;
   settings.state.write_rps = 25;
   settings.state.value_kb = 1;  // small blocks, so that jobs have several
-  settings.state.txn_ops = 8;
+  settings.state.transaction_writes_max = 8;
   settings.cloud_rps = 8;
   settings.list_lag_s = 3;
   settings.cores = 0.1;
@@ -214,19 +216,19 @@
   if (process.store) old_stores_.push_back(std::move(process.store));
   process.store = std::make_unique<FakeStore>(loop, state, seed + 1);
   process.store->road = road;
-  if (!process.workers) process.workers = std::make_unique<FakeWorkers>(*this, index);
-  process.mesh = std::make_unique<Mesh>(*this, index);
+  if (!process.worker_rpc) process.worker_rpc = std::make_unique<FakeWorkerRpc>(*this, index);
+  process.transport = std::make_unique<Transport>(*this, index);
   auto incarnation = process.settings.node + "." + std::to_string(++process.incarnation);
   if (!process.upgraded) {
     process.other = other_({process.settings, *process.event_loop, *process.store, cloud,
-                            *process.workers, *process.mesh, std::move(incarnation)});
+                            *process.worker_rpc, *process.transport, std::move(incarnation)});
     return;
   }
   process.node = std::make_unique<controller::Node>(
       process.settings,
-      controller::Node::Ports{*process.event_loop, *process.store, cloud, *process.workers},
+      controller::Node::Ports{*process.event_loop, *process.store, cloud, *process.worker_rpc},
       std::move(incarnation));
-  process.node->start(*process.mesh);
+  process.node->start(*process.transport);
 }
 
 void World::crash(std::size_t node, double back_after) {
@@ -267,11 +269,11 @@
 
 void World::use_large_site() {
   const auto change = [](config::Settings& own) {
-    own.report_s = 10;
+    own.heartbeat_interval_s = 10;
     own.lease_s = 45;
     own.cancel_s = 75;
     own.state.value_kb = 16;
-    own.state.txn_ops = 20;
+    own.state.transaction_writes_max = 20;
   };
   change(settings);
   for (auto& process : nodes_) change(process.settings);
@@ -424,8 +426,8 @@
       continue;
     const bool room = std::any_of(workers.begin(), workers.end(), [&](const auto& entry) {
       const auto& worker = *entry.second;
-      if (worker.dead() || worker.cut || worker.answers_dropped || worker.reports_dropped ||
-          worker.hung() || !worker.reports())
+      if (worker.dead() || worker.cut || worker.answers_dropped || worker.heartbeats_dropped ||
+          worker.hung() || !worker.heartbeats())
         return false;
       if ((worker.spot() && !job.spot) || (job.zone && *job.zone != worker.zone())) return false;
       const auto same = rules.in_zone(id, worker.zone());
@@ -452,7 +454,7 @@
       });
 }
 
-double World::answered_at(const std::string& id) const {
+double World::replied_at(const std::string& id) const {
   const auto found = answered_.find(id);
   return found == answered_.end() ? -1 : found->second;
 }
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -15,12 +15,12 @@
 namespace elmstall::test {
 
 /// One node's way to the workers' own addresses.
-class FakeWorkers : public clients::Workers {
+class FakeWorkerRpc : public clients::WorkerRpc {
  public:
-  FakeWorkers(World& world, std::size_t node) : world_(world), node_(node) {}
-  void order(const std::string& addr, std::uint64_t token, std::uint64_t session,
-             const std::vector<wire::Order>& orders,
-             std::function<void(clients::OrdersResult)> done) override;
+  FakeWorkerRpc(World& world, std::size_t node) : world_(world), node_(node) {}
+  void send_commands(const std::string& addr, std::uint64_t token, std::uint64_t epoch,
+                     const std::vector<wire::WorkerCommand>& commands,
+                     std::function<void(clients::CommandResult)> done) override;
 
  private:
   World& world_;
@@ -35,9 +35,9 @@
       std::function<void(std::optional<std::vector<wire::MachineType>>)> done) override;
   void list(const std::string& since,
             std::function<void(std::optional<wire::CloudPage>)> done) override;
-  void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-            int count, std::function<void(clients::RentResult)> done) override;
-  void release(const std::vector<std::string>& hosts, std::function<void(bool)> done) override;
+  void provision(const std::string& name, const std::string& type, const std::string& zone,
+                 bool spot, int count, std::function<void(clients::ProvisionResult)> done) override;
+  void terminate(const std::vector<std::string>& machines, std::function<void(bool)> done) override;
   bool down = false;
   int capacity = 12;
   int lose_answers = 0;  ///< so many rentals are carried out without an answer
@@ -59,10 +59,10 @@
 struct OtherNodePorts {
   const config::Settings& settings;
   VirtualEventLoop& event_loop;
-  store::Store& store;
+  store::StateStore& store;
   clients::Cloud& cloud;
-  clients::Workers& workers;
-  peer::Mesh& mesh;
+  clients::WorkerRpc& worker_rpc;
+  peer::Transport& transport;
   std::string incarnation;
 };
 using OtherNodeFactory = std::function<std::unique_ptr<OtherNode>(const OtherNodePorts&)>;
@@ -92,12 +92,12 @@
   void set_gang_wait(std::size_t node, double seconds) {
     nodes_[node].settings.gang_wait_s = seconds;
   }
-  /// For a large fleet: rare reports, long leases, a state service with more room.
+  /// For a large fleet: rare heartbeats, long leases, a state service with more room.
   /// To be called before anything runs.
   void use_large_site();
   /// The node's processes from now on have a steady clock that runs like this.
   void set_clock(std::size_t node, double rate) { clocks_[node] = rate; }
-  void cut_mesh(std::size_t node, bool cut) { mesh_cut_[node] = cut; }
+  void cut_peer_links(std::size_t node, bool cut) { peer_links_cut_[node] = cut; }
   void cut_workers(std::size_t node, bool cut) { worker_cut_[node] = cut; }
   void state_down(bool down);
   /// From now on the announced limits hold.
@@ -116,7 +116,7 @@
   void poll(const std::string& id);
   [[nodiscard]] std::optional<wire::JobState> last_told(const std::string& id) const;
   /// When a poll for it was last answered; before all time if never.
-  [[nodiscard]] double answered_at(const std::string& id) const;
+  [[nodiscard]] double replied_at(const std::string& id) const;
 
   [[nodiscard]] bool workers_cut(std::size_t node) const {
     const auto found = worker_cut_.find(node);
@@ -152,25 +152,26 @@
   std::size_t outside_nodes = 0;
   /// The last task of this job has just ended on its machine.
   std::function<void(const std::string& job)> on_last_task;
-  /// Orders were carried out by a machine; their reply is on its way.
-  std::function<void()> on_orders;
-  double hold_orders =
-      0;  ///< orders sent straight to workers are carried out so many seconds later
-  bool lose_replies = false;  ///< orders sent straight to workers are carried out without an answer
-  bool no_direct = false;     ///< orders sent straight to workers get nowhere
-  double loss = 0;            ///< share of workers' and users' messages lost
-
-  std::size_t mesh_messages = 0;  ///< sent between controllers so far
-  std::size_t mesh_flushes = 0;   ///< writes in which they were sent
+  /// Commands were carried out by a machine; their reply is on its way.
+  std::function<void()> on_commands;
+  double hold_commands =
+      0;  ///< commands sent straight to workers are carried out so many seconds later
+  bool lose_replies =
+      false;               ///< commands sent straight to workers are carried out without an answer
+  bool no_direct = false;  ///< commands sent straight to workers get nowhere
+  double loss = 0;         ///< share of workers' and users' messages lost
+
+  std::size_t peer_messages = 0;  ///< sent between controllers so far
+  std::size_t peer_flushes = 0;   ///< writes in which they were sent
 
  private:
-  struct Mesh;
+  struct Transport;
   struct Process {
     config::Settings settings;
     std::unique_ptr<VirtualEventLoop> event_loop;
     std::unique_ptr<FakeStore> store;
-    std::unique_ptr<FakeWorkers> workers;
-    std::unique_ptr<Mesh> mesh;
+    std::unique_ptr<FakeWorkerRpc> worker_rpc;
+    std::unique_ptr<Transport> transport;
     std::unique_ptr<controller::Node> node;
     std::unique_ptr<OtherNode> other;  ///< instead of `node`
     bool upgraded = true;
@@ -196,7 +197,7 @@
   std::vector<Process> nodes_;
   /// Ways of dead processes: what they sent is still under way.
   std::vector<std::unique_ptr<FakeStore>> old_stores_;
-  std::map<std::size_t, bool> mesh_cut_, worker_cut_;
+  std::map<std::size_t, bool> peer_links_cut_, worker_cut_;
   std::map<std::size_t, double> clocks_;
   bool zones_apart_ = false;
   std::set<std::string> zones_cut_;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -52,7 +52,7 @@
 }
 
 void expect_malformed(const std::string& bytes) {
-  EXPECT_THROW((void)decode_job(Document::parse(bytes).root()), Malformed);
+  EXPECT_THROW((void)decode_job(Document::parse(bytes).root()), DecodeError);
 }
 
 TEST(Codec, JobSurvivesTheRoundTrip) {
@@ -123,35 +123,35 @@
     }
     try {
       (void)decode_job(Document::parse(bytes).root());
-    } catch (const Malformed&) {
+    } catch (const DecodeError&) {
       ++refused;
     }
   }
   EXPECT_GT(refused, 10'000U);
 }
 
-TEST(Codec, ReportsKeepWordsThatAreNewToUs) {
-  // A task state that a later platform adds must not cost the whole report:
-  // unanswered reports let the worker's lease run out.
+TEST(Codec, HeartbeatsKeepWordsThatAreNewToUs) {
+  // A task state that a later platform adds must not cost the whole heartbeat:
+  // unanswered heartbeats let the worker's lease run out.
   Packer packer;
   packer.map(6).key("host").text("host-1").key("build").text("g8").key("yard").text("a");
   packer.key("shift").integer(1).key("tick").integer(2).key("shards").list(1);
   packer.map(3).key("shard").text("job-1/0").key("try").integer(1).key("status").text("dreaming");
-  const auto report = decode_report(Document::parse(packer.take()).root());
-  ASSERT_EQ(report.tasks.size(), 1U);
-  EXPECT_EQ(report.tasks[0].state, TaskState::other);
+  const auto heartbeat = decode_heartbeat(Document::parse(packer.take()).root());
+  ASSERT_EQ(heartbeat.tasks.size(), 1U);
+  EXPECT_EQ(heartbeat.tasks[0].state, TaskState::other);
 }
 
-TEST(Codec, OrdersSurviveTheRoundTrip) {
-  const std::vector<Order> orders{{Verb::run, "job-1", 4, 2, 0},
-                                  {Verb::stop, "job-2", 1, 1, 10},
-                                  {Verb::clear, "job-3", 0, 1, 0}};
-  const auto back = decode_orders(Document::parse(encode_orders(41, orders)).root());
+TEST(Codec, CommandsSurviveTheRoundTrip) {
+  const std::vector<WorkerCommand> commands{{Verb::run, "job-1", 4, 2, 0},
+                                            {Verb::stop, "job-2", 1, 1, 10},
+                                            {Verb::clear, "job-3", 0, 1, 0}};
+  const auto back = decode_commands(Document::parse(encode_heartbeat_reply(41, commands)).root());
   EXPECT_EQ(back.token, 41U);
-  ASSERT_EQ(back.orders.size(), 3U);
-  EXPECT_EQ(back.orders[1].verb, Verb::stop);
-  EXPECT_DOUBLE_EQ(back.orders[1].wind_down_s, 10);
-  EXPECT_EQ(back.orders[2].job, "job-3");
+  ASSERT_EQ(back.commands.size(), 3U);
+  EXPECT_EQ(back.commands[1].verb, Verb::stop);
+  EXPECT_DOUBLE_EQ(back.commands[1].grace_period_s, 10);
+  EXPECT_EQ(back.commands[2].job, "job-3");
 }
 
 }  // namespace
