--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -22,7 +22,7 @@
   return commands;
 }
 
-bool CommandComposer::may_clear(const state::Exited& exited) {
+bool CommandComposer::may_clear(const state::TaskAttempt& exited) {
   // Only after what it reported is recorded: once cleared, the worker would
   // start the attempt anew.
   auto* job = model_.job(exited.job);
@@ -55,7 +55,7 @@
   if (task.job->is_gang() && !gangs_.may_run(task)) return false;
   // While the machine knows an earlier attempt it would refuse this one.
   return std::none_of(
-      machine.exited.begin(), machine.exited.end(), [&](const state::Exited& exited) {
+      machine.exited.begin(), machine.exited.end(), [&](const state::TaskAttempt& exited) {
         return exited.index == task.index && exited.job == task.job->id && !may_clear(exited);
       });
 }
--- a/src/dispatch/command_composer.hpp
+++ b/src/dispatch/command_composer.hpp
@@ -28,7 +28,7 @@
   static void add_stop(state::Task& task, double now, Commands& commands);
   /// The machine may be told to run the task.
   [[nodiscard]] bool run_due(const state::Task& task, const state::Machine& machine);
-  [[nodiscard]] bool may_clear(const state::Exited& exited);
+  [[nodiscard]] bool may_clear(const state::TaskAttempt& exited);
 
   const config::Settings& settings_;
   state::Model& model_;
--- /dev/null
+++ b/src/dispatch/command_dispatcher.cpp
@@ -0,0 +1,162 @@
+#include "dispatch/command_dispatcher.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "config/constants.hpp"
+
+namespace elmstall::dispatch {
+
+namespace k = constants;
+using reconcile::HeartbeatReader;
+using reconcile::HeartbeatSource;
+using state::Phase;
+
+namespace {
+
+/// Seconds. Pause between two synchronizing RPCs to one machine, and the time for
+/// which the reply to its heartbeat is taken to be on its way.
+constexpr double kSynchronizationPause = 1;
+
+/// Clearing exited tasks alone neither starts nor stops anything.
+bool starts_or_stops(const std::vector<wire::WorkerCommand>& commands) {
+  return std::any_of(commands.begin(), commands.end(), [](const wire::WorkerCommand& command) {
+    return command.verb != wire::Verb::clear;
+  });
+}
+
+/// Whether a task there waits to be started or stopped.
+bool awaits_commands(const state::Machine& machine) {
+  return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const state::Task* task) {
+    const bool awaits_start = !task->in_last_heartbeat && !task->job->cancelled;
+    return task->phase == Phase::assigned && (task->stopping || awaits_start);
+  });
+}
+
+}  // namespace
+
+CommandDispatcher::CommandDispatcher(Context context) : context_(context), scope_(context.queue) {}
+
+// --- replies to heartbeats ---------------------------------------------------------
+
+void CommandDispatcher::reply(state::Machine& machine, const net::Responder& respond) {
+  const double now = context_.event_loop.now();
+  std::vector<wire::WorkerCommand> commands;
+  if (machine.rpc_in_flight) {
+    // The RPC's reply would not show what this reply commands. Only the end of
+    // cancelled tasks is commanded both ways: this reply renews their lease, and an
+    // RPC can hang (docs/design.md, rule 8).
+    machine.reply_carried_commands = false;
+    commands = CommandComposer::cancellations(machine);
+  } else {
+    commands = context_.composer.compose(machine, now, context_.lease.may_start_tasks());
+    machine.reply_carried_commands = starts_or_stops(commands);
+  }
+  const bool effect_expected = machine.reply_carried_commands || !machine.synchronized;
+  if (effect_expected && machine.unacknowledged_since == state::kNever)
+    machine.unacknowledged_since = now;
+  machine.last_reply = now;
+  respond({200, wire::encode_heartbeat_reply(context_.fencing.token(machine), commands), 0});
+}
+
+void CommandDispatcher::reply_to_crossed(state::Machine& machine, const net::Responder& respond) {
+  machine.last_reply = context_.event_loop.now();
+  const auto commands = CommandComposer::cancellations(machine);
+  respond({200, wire::encode_heartbeat_reply(context_.fencing.token(machine), commands), 0});
+}
+
+// --- command RPCs -------------------------------------------------------------------
+
+bool CommandDispatcher::rpc_possible(const state::Machine& machine) const {
+  return !machine.rpc_in_flight && !machine.reply_carried_commands &&
+         context_.event_loop.now() >= machine.rpc_backoff_until && !machine.addr.empty() &&
+         rpcs_in_flight_ < k::kCommandRpcsMax;
+}
+
+void CommandDispatcher::deliver() {
+  if (!std::exchange(due_, false) || !context_.lease.valid()) return;
+  const double now = context_.event_loop.now();
+  const bool may_start = context_.lease.may_start_tasks();
+  auto& attention = context_.model.attention();
+  for (auto it = attention.begin(); it != attention.end();) {
+    auto& machine = **it;
+    const bool waits = machine.synchronized && awaits_commands(machine);
+    if (!waits) {
+      it = attention.erase(it);  // its next heartbeat, or a change, brings it back
+      continue;
+    }
+    if (rpc_possible(machine)) {
+      const auto commands = context_.composer.compose(machine, now, may_start);
+      // Clearing alone is not worth a message of its own.
+      if (starts_or_stops(commands)) start_rpc(machine, commands);
+    }
+    ++it;
+  }
+}
+
+void CommandDispatcher::start_rpc(state::Machine& machine,
+                                  const std::vector<wire::WorkerCommand>& commands) {
+  machine.rpc_in_flight = true;
+  ++rpcs_in_flight_;
+  // The epoch of a machine that is not known yet is most likely its first. If it is
+  // not, the worker refuses the RPC, and the refusal tells the epoch.
+  const std::uint64_t epoch = std::max<std::uint64_t>(1, machine.epoch);
+  const bool carried_commands = !commands.empty();
+  context_.worker_rpc.send_commands(
+      machine.addr, context_.fencing.token(machine), epoch, commands,
+      scope_.wrap([this, id = machine.id, carried_commands](const clients::CommandResult& result) {
+        on_rpc_result(id, carried_commands, result);
+      }));
+}
+
+void CommandDispatcher::on_rpc_result(const std::string& machine_id, bool carried_commands,
+                                      const clients::CommandResult& result) {
+  using Outcome = clients::CommandResult::Outcome;
+  --rpcs_in_flight_;
+  mark_due();
+  auto* machine = context_.model.find_machine(machine_id);
+  if (machine == nullptr) return;
+  const double now = context_.event_loop.now();
+  machine->rpc_in_flight = false;
+  machine->rpc_completed_at = now;
+  context_.model.attention().insert(machine);
+  const bool replied = result.outcome == Outcome::done || result.outcome == Outcome::refused;
+  if (!replied) {
+    machine->rpc_backoff_until = now + k::kCommandRpcBackoff;
+    // The commands may still be carried out, minutes later. From now on every
+    // message to the machine carries a higher token, which makes them void. Until
+    // the machine has shown that token, nothing that they name is assigned to
+    // another machine (docs/design.md, rule 3).
+    if (result.outcome == Outcome::unknown && carried_commands) context_.fencing.raise(*machine);
+    return;
+  }
+  if (!result.heartbeat || result.heartbeat->machine != machine_id) return;
+  if (!HeartbeatReader::is_newer(*machine, *result.heartbeat)) return;
+  context_.heartbeat_reader.read(*machine, *result.heartbeat, HeartbeatSource::command_reply, now);
+}
+
+// --- after a takeover ------------------------------------------------------------------
+
+bool CommandDispatcher::needs_synchronization(const state::Machine& machine, double now) const {
+  if (!machine.recorded() || machine.epoch_known || machine.terminating) return false;
+  if (machine.addr.empty() || machine.rpc_in_flight || now < machine.rpc_backoff_until)
+    return false;
+  const bool reply_on_its_way = machine.heard && now - machine.last_reply < kSynchronizationPause;
+  return !reply_on_its_way;
+}
+
+void CommandDispatcher::synchronize_machines() {
+  // Nothing may be moved before a machine has shown the new token, and its next
+  // heartbeat may be long in coming.
+  const double now = context_.event_loop.now();
+  std::size_t begun = 0;
+  for (auto& [id, machine] : context_.model.machines()) {
+    if (begun == k::kSynchronizationsPerTick || rpcs_in_flight_ >= k::kCommandRpcsMax) return;
+    if (!needs_synchronization(*machine, now)) continue;
+    ++begun;
+    machine->rpc_backoff_until = now + kSynchronizationPause;
+    start_rpc(*machine, {});
+  }
+}
+
+}  // namespace elmstall::dispatch
--- /dev/null
+++ b/src/dispatch/command_dispatcher.hpp
@@ -0,0 +1,66 @@
+// Delivers commands to workers, with the replies to their heartbeats or by RPCs
+// straight to their addresses.
+//
+// Only one way is used at a time (docs/design.md, rule 2): while an RPC is in
+// flight, a reply only renews the lease, and after a reply that starts or stops
+// tasks nothing is sent until the next heartbeat.
+#pragma once
+
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "clients/worker_rpc.hpp"
+#include "dispatch/command_composer.hpp"
+#include "election/leader_lease.hpp"
+#include "net/http_server.hpp"
+#include "reconcile/fencing.hpp"
+#include "reconcile/heartbeat_reader.hpp"
+#include "runtime/command_queue.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::dispatch {
+
+class CommandDispatcher {
+ public:
+  struct Context {
+    const runtime::EventLoop& event_loop;
+    runtime::CommandQueue& queue;
+    clients::WorkerRpc& worker_rpc;
+    const election::LeaderLease& lease;
+    state::Model& model;
+    reconcile::Fencing& fencing;
+    reconcile::HeartbeatReader& heartbeat_reader;
+    CommandComposer& composer;
+  };
+
+  explicit CommandDispatcher(Context context);
+
+  /// Replies to a heartbeat that was just read, which renews the worker's lease.
+  void reply(state::Machine& machine, const net::Responder& respond);
+  /// Replies to a heartbeat that crossed the reply to a command RPC, which was
+  /// newer: the lease is renewed, and no task but cancelled ones is touched.
+  void reply_to_crossed(state::Machine& machine, const net::Responder& respond);
+
+  /// Something may have changed that commands follow from.
+  void mark_due() { due_ = true; }
+  /// Sends what is due to machines that should not wait for their next heartbeat.
+  void deliver();
+  /// After a takeover: sends empty RPCs with the new token, some each time, so that
+  /// machines become synchronized before their next heartbeat (rule 3).
+  void synchronize_machines();
+
+ private:
+  [[nodiscard]] bool rpc_possible(const state::Machine& machine) const;
+  [[nodiscard]] bool needs_synchronization(const state::Machine& machine, double now) const;
+  void start_rpc(state::Machine& machine, const std::vector<wire::WorkerCommand>& commands);
+  void on_rpc_result(const std::string& machine_id, bool carried_commands,
+                     const clients::CommandResult& result);
+
+  Context context_;
+  runtime::CommandScope scope_;
+  std::size_t rpcs_in_flight_ = 0;
+  bool due_ = true;
+};
+
+}  // namespace elmstall::dispatch
--- /dev/null
+++ b/src/reconcile/fencing.hpp
@@ -0,0 +1,32 @@
+// Fencing tokens of one term.
+//
+// A token consists of the term and, in its low bits, a fence count for one
+// machine. A worker refuses commands whose token is lower than the highest it has
+// seen. Raising the fence of a machine therefore makes all commands void that were
+// sent to it before (docs/design.md, rule 3).
+#pragma once
+
+#include <cstdint>
+
+#include "state/model.hpp"
+
+namespace elmstall::reconcile {
+
+class Fencing {
+ public:
+  Fencing(std::uint64_t term, state::Model& model) : term_(term), model_(model) {}
+
+  /// The term's lowest token.
+  [[nodiscard]] std::uint64_t term_token() const;
+  /// The token that messages to this machine carry now.
+  [[nodiscard]] std::uint64_t token(const state::Machine& machine) const;
+  /// Voids everything sent to the machine so far. It counts as synchronized again
+  /// once a heartbeat shows the new token.
+  void raise(state::Machine& machine);
+
+ private:
+  std::uint64_t term_;
+  state::Model& model_;
+};
+
+}  // namespace elmstall::reconcile
--- /dev/null
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -0,0 +1,160 @@
+#include "reconcile/heartbeat_reader.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <tuple>
+
+#include "config/constants.hpp"
+#include "placement/preemption.hpp"
+#include "reconcile/machine_loss.hpp"
+
+namespace elmstall::reconcile {
+
+namespace k = constants;
+using state::kNever;
+using state::Phase;
+using wire::EndCause;
+using wire::TaskState;
+
+bool HeartbeatReader::is_newer(const state::Machine& machine,
+                               const wire::WorkerHeartbeat& heartbeat) {
+  return !machine.heard ||
+         std::tie(heartbeat.epoch, heartbeat.sequence) > std::tie(machine.epoch, machine.sequence);
+}
+
+void HeartbeatReader::read(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                           HeartbeatSource source, double now) {
+  context_.model.describe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot, heartbeat.addr);
+  record_if_new(machine);
+  update_machine(machine, heartbeat, source, now);
+  state::Model::clear_heartbeat_content(machine);
+  for (auto* task : machine.tasks) task->in_last_heartbeat = false;
+  for (const auto& status : heartbeat.tasks) read_task(machine, status, now);
+  // While a command RPC is in flight, a heartbeat may be older than its effect
+  // (docs/design.md, rule 2).
+  if (machine.synchronized && !machine.rpc_in_flight) unassign_absent_tasks(machine);
+  if (machine.interruption_at) stop_for_interruption(machine, now);
+  context_.model.attention().insert(&machine);
+  context_.model_changed();
+}
+
+void HeartbeatReader::record_if_new(state::Machine& machine) {
+  if (machine.record != nullptr) return;
+  context_.model.record_machine(machine);
+  spdlog::info("machine {} ({} in {}{}) sent its first heartbeat", machine.id, machine.type,
+               machine.zone, machine.spot ? ", spot" : "");
+}
+
+void HeartbeatReader::update_machine(state::Machine& machine,
+                                     const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source,
+                                     double now) {
+  // A later epoch knows nothing of the tasks of an earlier one, and commands of
+  // that epoch are void in this one, however late they come. This holds only for a
+  // machine that was synchronized in this term: of others, two late heartbeats may
+  // show two epochs that were both over before its tasks began (rule 3).
+  if (machine.epoch_known && heartbeat.epoch > machine.epoch)
+    remove_all_tasks(context_.model, context_.planner, machine, "its epoch ended");
+  context_.lease_expiry.revive(machine);
+  // Commands reach machines that can reach no controller, and renew no lease: what
+  // starts there ends with the lease. So a reply to them is no sign of life, except
+  // as the first contact in a term, for a heartbeat may be long in coming then.
+  if (source == HeartbeatSource::worker || !machine.heard) machine.last_heartbeat = now;
+  machine.last_contact = now;
+  machine.heard = true;
+  machine.epoch = heartbeat.epoch;
+  machine.sequence = heartbeat.sequence;
+  context_.model.mark_dirty(machine);
+  // Only this leader can have told the worker this token. So the heartbeat was sent
+  // after the takeover, or after the fence was raised, and older commands are void.
+  machine.synchronized = heartbeat.token >= context_.fencing.token(machine);
+  machine.epoch_known = machine.epoch_known || machine.synchronized;
+  if (heartbeat.interruption_in_s) machine.interruption_at = now + *heartbeat.interruption_in_s;
+}
+
+void HeartbeatReader::read_task(state::Machine& machine, const wire::TaskStatus& status,
+                                double now) {
+  auto* job = context_.model.job(status.job);
+  auto* task = job == nullptr ? nullptr : context_.model.task(*job, status.index);
+  const bool recorded = task != nullptr && task->phase == Phase::assigned &&
+                        task->machine == &machine && task->attempt == status.attempt;
+  if (!recorded) return read_unrecorded_task(machine, job, status, now);
+  task->in_last_heartbeat = true;
+  task->run_sent = true;
+  if (status.state == TaskState::ended) return on_exit(*task, machine, status, now);
+  if (status.state == TaskState::running && task->running_since == kNever)
+    task->running_since = now;
+  task->state = status.state;
+  if (job->is_gang()) context_.gangs.on_state(*task, status.state, now);
+}
+
+void HeartbeatReader::read_unrecorded_task(state::Machine& machine, state::Job* job,
+                                           const wire::TaskStatus& status, double now) {
+  const state::TaskAttempt attempt{status.job, status.index, status.attempt};
+  if (status.state == TaskState::ended) {
+    machine.exited.push_back(attempt);
+    if (job != nullptr && job->is_gang() && status.cause == EndCause::done)
+      context_.gangs.on_late_done(*job, now);
+    return;
+  }
+  machine.unrecorded_tasks.push_back(attempt);
+  if (job != nullptr) {
+    context_.model.add_unrecorded(machine, *job);
+  } else {
+    machine.has_unknown_jobs = true;
+  }
+}
+
+void HeartbeatReader::on_exit(state::Task& task, state::Machine& machine,
+                              const wire::TaskStatus& status, double now) {
+  machine.exited.push_back({status.job, status.index, status.attempt});
+  if (status.cause == EndCause::done) return on_done(task, now);
+  if (status.cause == EndCause::error) return failures_.on_failure(task, machine, now);
+  if (task.job->is_gang()) return context_.gangs.on_exit(task, status.cause, now);
+  const bool start_refused = status.cause == EndCause::no_room ||
+                             status.cause == EndCause::in_use || status.cause == EndCause::unknown;
+  if (start_refused) task.not_before = now + k::kErrorBackoff;
+  context_.model.unassign(task);
+}
+
+void HeartbeatReader::on_done(state::Task& task, double now) {
+  auto& job = *task.job;
+  if (job.cancelled) return context_.model.unassign(task);
+  if (task.running_since != kNever)
+    context_.estimates.learn(job.spec.job_class, job.spec.expect_s, now - task.running_since);
+  // A replica of a service runs until the service is cancelled. One that ends by
+  // itself is started again.
+  if (job.is_service()) return context_.model.unassign(task);
+  if (job.is_gang()) return context_.gangs.on_done(job, now);
+  context_.model.complete(task);
+}
+
+void HeartbeatReader::unassign_absent_tasks(state::Machine& machine) {
+  // The heartbeat is exact: commands sent before it were carried out before it was
+  // sent, or never will be.
+  const auto tasks = machine.tasks;  // unassigning changes the machine's own set
+  for (auto* task : tasks) {
+    if (task->phase != Phase::assigned || task->in_last_heartbeat) continue;
+    // A gang that has begun can't be joined by a task any more.
+    const bool attempt_over = task->job->is_gang() && task->job->gang.broken;
+    if (task->stopping || task->job->cancelled || attempt_over) context_.model.unassign(*task);
+    // Otherwise `run` is sent again: the attempt was never cleared there.
+  }
+}
+
+void HeartbeatReader::stop_for_interruption(state::Machine& machine, double now) {
+  for (auto* task : state::TaskSet(machine.tasks)) {
+    if (task->phase == Phase::planned) {
+      context_.model.unplan(*task);
+      continue;
+    }
+    const auto& spec = task->job->spec;
+    const double time_left = *machine.interruption_at - now;
+    const double ran_for = task->running_since == kNever ? 0 : now - task->running_since;
+    const double remaining = context_.estimates.run_time(spec.job_class, spec.expect_s) - ran_for;
+    // Whatever can't end in time is moved to another machine at once.
+    if (task->job->is_service() || spec.checkpoint_every_s > 0 || remaining > time_left)
+      placement::stop_task(context_.model, *task, true, now);
+  }
+}
+
+}  // namespace elmstall::reconcile
--- /dev/null
+++ b/src/reconcile/machine_loss.hpp
@@ -0,0 +1,17 @@
+// What follows when everything on a machine is certainly gone.
+#pragma once
+
+#include <string_view>
+
+#include "placement/planner.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::reconcile {
+
+/// Takes all tasks off the machine, in the model and in the records. To be called
+/// only when rule 6 of docs/design.md says that none of them can still run there.
+/// `reason` is for the log.
+void remove_all_tasks(state::Model& model, placement::Planner& planner, state::Machine& machine,
+                      std::string_view reason);
+
+}  // namespace elmstall::reconcile
--- /dev/null
+++ b/src/reconcile/responsiveness.cpp
@@ -0,0 +1,67 @@
+#include "reconcile/responsiveness.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "config/constants.hpp"
+
+namespace elmstall::reconcile {
+
+namespace k = constants;
+
+namespace {
+
+bool lists_task(const wire::WorkerHeartbeat& heartbeat, const state::Task& task) {
+  return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                     [&](const wire::TaskStatus& status) {
+                       return status.index == task.index && status.job == task.job->id;
+                     });
+}
+
+}  // namespace
+
+bool Responsiveness::shows_our_replies(const state::Machine& machine,
+                                       const wire::WorkerHeartbeat& heartbeat) const {
+  if (heartbeat.token < fencing_.token(machine)) return false;
+  if (!machine.reply_carried_commands) return true;
+  return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const state::Task* task) {
+    const bool just_ordered =
+        task->phase == state::Phase::assigned && task->run_sent && !task->in_last_heartbeat;
+    return !just_ordered || lists_task(heartbeat, *task);
+  });
+}
+
+bool Responsiveness::lease_lapsed_early(const state::Machine& machine,
+                                        const wire::WorkerHeartbeat& heartbeat, double now) const {
+  // The lease could not have run out by now if our last reply had arrived.
+  return machine.epoch_known && heartbeat.epoch > machine.epoch &&
+         now - machine.last_reply < settings_.lease_s * (1 - k::kDrift);
+}
+
+bool Responsiveness::unacknowledged_too_long(const state::Machine& machine, double now) const {
+  return machine.unacknowledged_since != state::kNever &&
+         now - machine.unacknowledged_since > k::kUnresponsiveShare * settings_.lease_s;
+}
+
+void Responsiveness::check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                           double now) {
+  // A heartbeat proves that a machine lives, not that it hears us: our replies may
+  // be lost on the way, and then its lease runs out.
+  if (shows_our_replies(machine, heartbeat)) {
+    if (machine.unresponsive) spdlog::info("machine {} hears us again", machine.id);
+    machine.unresponsive = false;
+    machine.unacknowledged_since = state::kNever;
+  }
+  if (machine.unresponsive) return;
+  const bool lapsed = lease_lapsed_early(machine, heartbeat, now);
+  if (!lapsed && !unacknowledged_too_long(machine, now)) return;
+  spdlog::info("machine {} does not hear us: {}", machine.id,
+               lapsed ? "its lease ran out while its heartbeats were answered"
+                      : "it shows no effect of our answers");
+  machine.unresponsive = true;
+  machine.unacknowledged_since = now;
+  fencing_.raise(machine);
+}
+
+}  // namespace elmstall::reconcile
--- /dev/null
+++ b/src/reconcile/responsiveness.hpp
@@ -0,0 +1,34 @@
+// Detects machines whose heartbeats arrive while our replies and commands do not
+// reach them.
+#pragma once
+
+#include "config/settings.hpp"
+#include "reconcile/fencing.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::reconcile {
+
+class Responsiveness {
+ public:
+  Responsiveness(const config::Settings& settings, Fencing& fencing)
+      : settings_(settings), fencing_(fencing) {}
+
+  /// Judges a machine by a new heartbeat, before that is read into the model.
+  /// A machine is unresponsive when its lease ran out although its heartbeats were
+  /// replied to, or when it has shown no effect of token or commands for a large
+  /// part of a lease. Its fence is raised then, and it gets no new work until a
+  /// heartbeat shows the new token.
+  void check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, double now);
+
+ private:
+  [[nodiscard]] bool shows_our_replies(const state::Machine& machine,
+                                       const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool lease_lapsed_early(const state::Machine& machine,
+                                        const wire::WorkerHeartbeat& heartbeat, double now) const;
+  [[nodiscard]] bool unacknowledged_too_long(const state::Machine& machine, double now) const;
+
+  const config::Settings& settings_;
+  Fencing& fencing_;
+};
+
+}  // namespace elmstall::reconcile
--- /dev/null
+++ b/src/reconcile/task_failures.cpp
@@ -0,0 +1,67 @@
+#include "reconcile/task_failures.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "config/constants.hpp"
+
+namespace elmstall::reconcile {
+
+namespace k = constants;
+
+namespace {
+
+/// Backoffs double with each failure up to these numbers of times.
+constexpr int kTaskDoublings = 5;
+constexpr int kJobDoublings = 6;
+/// A job that is blamed starts with a backoff that was doubled this often already.
+constexpr int kJobFirstDoublings = 2;
+
+double backoff(int doublings, int most_doublings) {
+  const int factor = 1 << std::min(doublings, most_doublings);
+  return std::min(k::kErrorBackoff * factor, k::kErrorBackoffMax);
+}
+
+bool failed_too_often(const state::Machine& machine) {
+  return static_cast<int>(machine.failed_jobs.size()) >= k::kMachineErrorLimit;
+}
+
+}  // namespace
+
+void TaskFailures::on_failure(state::Task& task, state::Machine& machine, double now) {
+  auto& job = *task.job;
+  spdlog::info("task {} failed on machine {}", wire::task_name(job.id, task.index), machine.id);
+  ++task.failures;
+  task.not_before = now + backoff(task.failures, kTaskDoublings);
+  job.failed_on.insert(machine.id);
+  machine.failed_jobs.insert(job.id);
+  model_.unassign(task);
+  if (static_cast<int>(job.failed_on.size()) >= k::kJobErrorMachines) {
+    blame_job(job, now);
+  } else {
+    quarantine_if_repeated(machine);
+  }
+}
+
+void TaskFailures::blame_job(state::Job& job, double now) {
+  // Several machines agree that the job is at fault. It must not use up the fleet,
+  // and the machines are cleared of its failures.
+  ++job.failures;
+  job.failed_until = now + backoff(job.failures + kJobFirstDoublings, kJobDoublings);
+  for (const auto& id : job.failed_on) {
+    auto* machine = model_.find_machine(id);
+    if (machine == nullptr) continue;
+    machine->failed_jobs.erase(job.id);
+    machine->quarantined = failed_too_often(*machine);
+  }
+}
+
+void TaskFailures::quarantine_if_repeated(state::Machine& machine) {
+  if (machine.quarantined || !failed_too_often(machine)) return;
+  spdlog::info("machine {} quarantined: tasks of {} jobs failed there", machine.id,
+               machine.failed_jobs.size());
+  machine.quarantined = true;
+}
+
+}  // namespace elmstall::reconcile
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -11,6 +11,16 @@
 constexpr int kIndexBits = 20;  // more than the 100,000 tasks a job may have
 constexpr std::size_t kImagesRemembered = 8;
 
+/// Packs the machine's record as it is at the moment of a commit.
+std::function<store::Packed()> packed_form(const Machine& machine) {
+  return [&machine] {
+    return store::pack(store::MachineEntry{
+        machine.id,
+        false,
+        {machine.addr, machine.type, machine.zone, machine.spot, machine.retired}});
+  };
+}
+
 }  // namespace
 
 Job& Model::add_job(const std::string& id, const store::JobRecord& record, double submitted) {
@@ -332,6 +342,23 @@
   machine.unrecorded_use = {};
 }
 
+void Model::clear_heartbeat_content(Machine& machine) {
+  machine.exited.clear();
+  machine.unrecorded_tasks.clear();
+  clear_unrecorded(machine);
+  machine.has_unknown_jobs = false;
+}
+
+void Model::record_machine(Machine& machine) {
+  machine.record = group_commit_.add(GroupCommit::Record::Kind::machine, "", packed_form(machine));
+  group_commit_.mark_dirty(*machine.record);
+}
+
+void Model::restore_record(Machine& machine, const store::Mirror::Machine& stored) {
+  machine.record = group_commit_.restore(GroupCommit::Record::Kind::machine, "",
+                                         packed_form(machine), stored.slot);
+}
+
 const sched::Amount& Model::usage(const std::string& team) const {
   static const sched::Amount none;
   const auto found = usage_.find(team);
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -110,8 +110,8 @@
 };
 using JobSet = std::set<Job*, JobOrder>;
 
-/// An exited task as the last heartbeat has it, until it is cleared.
-struct Exited {
+/// One attempt of a task, as a worker names it.
+struct TaskAttempt {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
@@ -164,10 +164,10 @@
   /// The same for each team's use of them.
   std::vector<std::pair<sched::Amount*, sched::Amount>> unrecorded_team_use;
   bool has_unknown_jobs = false;  ///< it shows tasks unknown to us
-  std::vector<Exited> exited;
-  std::vector<Exited> unrecorded_tasks;  ///< running tasks that are not there by our will
-  std::deque<std::uint32_t> images;      ///< believed to be cached, latest last
-  bool dirty = false;                    ///< the planner has to look at it again
+  std::vector<TaskAttempt> exited;
+  std::vector<TaskAttempt> unrecorded_tasks;  ///< running tasks that are not there by our will
+  std::deque<std::uint32_t> images;           ///< believed to be cached, latest last
+  bool dirty = false;                         ///< the planner has to look at it again
   std::set<std::string> failed_jobs;
   bool quarantined = false;
   bool terminating = false;
@@ -237,6 +237,12 @@
   /// and counts for its team all the same.
   void add_unrecorded(Machine& machine, const Job& job);
   static void clear_unrecorded(Machine& machine);
+  /// Forgets what the last heartbeat listed beside the tasks that are recorded there.
+  static void clear_heartbeat_content(Machine& machine);
+  /// Has the machine recorded, of which the records know nothing yet.
+  void record_machine(Machine& machine);
+  /// Links the machine with its entry in the records.
+  void restore_record(Machine& machine, const store::Mirror::Machine& stored);
   /// Takes over an assignment found in the records.
   void restore(Task& task, Machine& machine, std::uint64_t attempt, double now);
 
--- a/tests/production/adapter.cpp
+++ b/tests/production/adapter.cpp
@@ -77,8 +77,7 @@
   to.commit = [&store](const std::vector<production::Guard>& preconditions,
                        const std::vector<production::Write>& writes, production::CommitDone done) {
     wire::Transaction transaction;
-    for (const auto& one : preconditions)
-      transaction.preconditions.push_back({one.key, one.stamp});
+    for (const auto& one : preconditions) transaction.preconditions.push_back({one.key, one.stamp});
     for (const auto& one : writes) transaction.writes.push_back({one.key, one.value, one.lease});
     store.commit(std::move(transaction),
                  [done = std::move(done)](const store::CommitResult& result) {
