--- /dev/null
+++ b/src/controller/heartbeat_router.cpp
@@ -0,0 +1,91 @@
+#include "controller/heartbeat_router.hpp"
+
+#include <utility>
+
+#include "config/constants.hpp"
+#include "controller/leader.hpp"
+
+namespace elmstall::controller {
+
+namespace k = constants;
+
+namespace {
+
+constexpr int kMisdirected = 421;
+constexpr int kServiceUnavailable = 503;
+
+}  // namespace
+
+void HeartbeatRouter::on_heartbeat(wire::WorkerHeartbeat heartbeat, const std::string& body,
+                                   net::Responder respond) {
+  if (redirect_to_zone(heartbeat, respond)) return;
+  if (auto* leader = context_.leader()) return leader->on_heartbeat(heartbeat, respond);
+  const double deadline = context_.event_loop.now() + k::kForwardTimeout;
+  forward({std::move(heartbeat), body, std::move(respond), deadline});
+}
+
+bool HeartbeatRouter::redirect_to_zone(const wire::WorkerHeartbeat& heartbeat,
+                                       const net::Responder& respond) {
+  if (heartbeat.zone == context_.settings.zone) return false;
+  const double now = context_.event_loop.now();
+  auto& last = redirects_[heartbeat.machine];
+  // A worker that is back so soon could not reach the node it was sent to.
+  if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
+  for (const auto& peer : context_.settings.peers) {
+    if (peer.zone != heartbeat.zone || !context_.peers.heard(peer.name)) continue;
+    last = {peer.name, now};
+    respond({kMisdirected, wire::encode_redirect(peer.name), 0});
+    return true;
+  }
+  return false;
+}
+
+void HeartbeatRouter::forward(election::PendingHeartbeat heartbeat) {
+  const auto& leader = context_.terms.leader();
+  if (context_.zone_delegate.active() || !leader_heard()) {
+    if (leader.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
+    return context_.zone_delegate.on_heartbeat(std::move(heartbeat), context_.connectivity());
+  }
+  const auto id = next_forward_++;
+  context_.outbox.send_collected(
+      leader, peer::ForwardedHeartbeat{context_.settings.node, id, heartbeat.body});
+  forwarded_[id] = {std::move(heartbeat), leader};
+}
+
+void HeartbeatRouter::on_forwarded_reply(const peer::ForwardedReply& reply) {
+  auto forwarded = forwarded_.extract(reply.id);
+  if (forwarded.empty()) return;
+  forwarded.mapped().heartbeat.respond({reply.status, reply.body, 0});
+}
+
+void HeartbeatRouter::route_again(election::PendingHeartbeat heartbeat) {
+  if (auto* leader = context_.leader())
+    return leader->on_heartbeat(heartbeat.heartbeat, heartbeat.respond);
+  forward(std::move(heartbeat));
+}
+
+void HeartbeatRouter::tick() {
+  const double now = context_.event_loop.now();
+  std::erase_if(redirects_,
+                [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
+  // Heartbeats that waited for a delegation while no leader was heard.
+  const bool leader_available =
+      context_.leader() != nullptr || (leader_heard() && !context_.zone_delegate.active());
+  if (leader_available) {
+    for (auto& pending : context_.zone_delegate.take_waiting()) route_again(std::move(pending));
+  }
+  auto forwarded = std::exchange(forwarded_, {});
+  for (auto& [id, entry] : forwarded) {
+    const bool leader_changed =
+        context_.leader() != nullptr || entry.leader != context_.terms.leader() || !leader_heard();
+    if (now >= entry.heartbeat.deadline) {
+      entry.heartbeat.respond({kServiceUnavailable, {}, 0});
+    } else if (leader_changed) {
+      route_again(std::move(entry.heartbeat));
+    } else {
+      forwarded_[id] = std::move(entry);
+    }
+  }
+}
+
+}  // namespace elmstall::controller
--- /dev/null
+++ b/src/controller/peer_monitor.cpp
@@ -0,0 +1,71 @@
+#include "controller/peer_monitor.hpp"
+
+#include <algorithm>
+
+#include "config/constants.hpp"
+
+namespace elmstall::controller {
+
+namespace k = constants;
+
+PeerMonitor::PeerMonitor(const config::Settings& settings, const runtime::EventLoop& event_loop)
+    : settings_(settings), loop_(event_loop) {
+  // No peer counts as silent before it had the time to speak. Otherwise a restarted
+  // node would become the delegate of its zone for no reason.
+  for (const auto& peer : settings.peers) peers_[peer.name].last_heartbeat = event_loop.now();
+}
+
+void PeerMonitor::on_heartbeat(const peer::Heartbeat& heartbeat) {
+  const double now = loop_.now();
+  auto& peer = peers_[heartbeat.node];
+  peer.last_heartbeat = now;
+  peer.state_reachable = heartbeat.state_reachable;
+  peer.leader_heard = heartbeat.leader_heard;
+  // The message may be late. What the peer replied to, it replied to before it was
+  // sent, so counting back from now errs on the safe side (docs/design.md, rule 6).
+  auto& read_state = peer.read_state;
+  const double replied_at = now - heartbeat.replied_ago_s * (1 - k::kDrift);
+  read_state.revision = std::max(read_state.revision, heartbeat.revision);
+  read_state.replied_at = std::max(read_state.replied_at, replied_at);
+}
+
+bool PeerMonitor::is_recent(const Peer& peer) const {
+  return loop_.now() - peer.last_heartbeat < k::kPeerSilence;
+}
+
+bool PeerMonitor::heard(const std::string& peer) const {
+  const auto found = peers_.find(peer);
+  return found != peers_.end() && is_recent(found->second);
+}
+
+bool PeerMonitor::all_without_state_store() const {
+  return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const config::Peer& peer) {
+    return heard(peer.name) && !peers_.at(peer.name).state_reachable;
+  });
+}
+
+bool PeerMonitor::heard_ones_without_state_store() const {
+  bool any_heard = false;
+  for (const auto& [name, peer] : peers_) {
+    if (!is_recent(peer)) continue;
+    if (peer.state_reachable) return false;
+    any_heard = true;
+  }
+  return any_heard;
+}
+
+std::string PeerMonitor::neighbour_without_leader() const {
+  std::string neighbour;
+  for (const auto& peer : settings_.peers) {
+    if (peer.zone == settings_.zone && heard(peer.name) && !peers_.at(peer.name).leader_heard)
+      neighbour = peer.name;
+  }
+  return neighbour;
+}
+
+reconcile::PeerReadState PeerMonitor::read_state(const std::string& peer) const {
+  const auto found = peers_.find(peer);
+  return found == peers_.end() ? reconcile::PeerReadState{} : found->second.read_state;
+}
+
+}  // namespace elmstall::controller
--- /dev/null
+++ b/src/controller/peer_monitor.hpp
@@ -0,0 +1,46 @@
+// What this node knows of the other controllers from their heartbeats.
+#pragma once
+
+#include <map>
+#include <string>
+
+#include "config/settings.hpp"
+#include "peer/messages.hpp"
+#include "reconcile/lease_expiry.hpp"
+#include "runtime/event_loop.hpp"
+
+namespace elmstall::controller {
+
+class PeerMonitor {
+ public:
+  PeerMonitor(const config::Settings& settings, const runtime::EventLoop& event_loop);
+
+  void on_heartbeat(const peer::Heartbeat& heartbeat);
+
+  /// Whether the peer was heard within the last `constants::kPeerSilence` seconds.
+  [[nodiscard]] bool heard(const std::string& peer) const;
+  /// Every peer is heard, and each says that it does not reach the state store.
+  [[nodiscard]] bool all_without_state_store() const;
+  /// Some peer is heard, and none that is heard reaches the state store.
+  [[nodiscard]] bool heard_ones_without_state_store() const;
+  /// A peer of this node's zone that is heard and does not hear the leader; empty if
+  /// there is none.
+  [[nodiscard]] std::string neighbour_without_leader() const;
+  /// What the peer has said of its copy of the records.
+  [[nodiscard]] reconcile::PeerReadState read_state(const std::string& peer) const;
+
+ private:
+  struct Peer {
+    double last_heartbeat = 0;
+    bool state_reachable = true;
+    bool leader_heard = true;
+    reconcile::PeerReadState read_state;
+  };
+  [[nodiscard]] bool is_recent(const Peer& peer) const;
+
+  const config::Settings& settings_;
+  const runtime::EventLoop& loop_;
+  std::map<std::string, Peer> peers_;  ///< by name
+};
+
+}  // namespace elmstall::controller
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -11,186 +11,247 @@
 namespace k = constants;
 using store::Outcome;
 
-void ZoneDelegate::on_heartbeat(Waiting waiting, const View& view) {
-  if (waiting.heartbeat.zone != settings_.zone) return waiting.respond({503, {}, 0});
-  // It would drop an answer of ours, and be kept here while its lease runs out.
-  if (waiting.heartbeat.token >> k::kTokenFenceBits > mirror_.term())
-    return waiting.respond({503, {}, 0});
-  if (delegation_valid() || may_reply_unrecorded(waiting.heartbeat.machine, view))
-    return reply(waiting.heartbeat, waiting.respond);
-  waiting_.push_back(std::move(waiting));
-  if (state_ == State::idle) begin();
-}
-
-bool ZoneDelegate::may_reply_unrecorded(const std::string& machine, const View& view) const {
-  const double now = loop_.now();
-  if (view.leader_heard || view.state_reachable || !mirror_.loaded()) return false;
-  // As for a leader: what is known of the term and of cancellations must be
-  // recent enough, in the moment of the answer.
-  if (now - read_index_.current_as_of() >= settings_.leader_lease_s()) return false;
-  if (!view.neighbour.empty()) return true;
-  // Perhaps only this node is cut off, and its workers can do better elsewhere:
-  // one that was sent away and is back could not.
-  const auto sent = turned_away_.find(machine);
-  return sent != turned_away_.end() && now > sent->second;
-}
-
-void ZoneDelegate::turn_away(const Waiting& one, const View& view) {
-  turned_away_[one.heartbeat.machine] = loop_.now();
-  // In a zone that is cut off the others are not to be reached, and trying
-  // them takes 5 s each. With us or our neighbour it is heard when the cut ends.
-  if (!view.neighbour.empty()) {
-    one.respond({421, wire::encode_redirect(view.neighbour), 0});
-  } else {
-    one.respond({503, {}, 0});
-  }
+namespace {
+
+constexpr int kServiceUnavailable = 503;
+constexpr int kMisdirected = 421;
+
+std::uint64_t term_of(std::uint64_t token) { return token >> k::kTokenFenceBits; }
+
+bool shows_attempt(const wire::WorkerHeartbeat& heartbeat, const std::string& job,
+                   const store::TaskRecord& task) {
+  return std::any_of(
+      heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const wire::TaskStatus& status) {
+        return status.index == task.index && status.attempt == task.attempt && status.job == job;
+      });
+}
+
+}  // namespace
+
+ZoneDelegate::ZoneDelegate(Context context)
+    : context_(context), scope_(context.queue), replied_at_(context.event_loop.now()) {}
+
+// --- heartbeats --------------------------------------------------------------------
+
+void ZoneDelegate::on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity) {
+  const bool other_zone = heartbeat.heartbeat.zone != context_.settings.zone;
+  // The worker would drop our reply, and stay here while its lease runs out.
+  const bool later_term = term_of(heartbeat.heartbeat.token) > context_.mirror.term();
+  if (other_zone || later_term) return heartbeat.respond({kServiceUnavailable, {}, 0});
+  if (may_reply(heartbeat.heartbeat.machine, connectivity))
+    return reply(heartbeat.heartbeat, heartbeat.respond);
+  waiting_.push_back(std::move(heartbeat));
+  if (state_ == State::idle) request_delegation();
+}
+
+bool ZoneDelegate::may_reply(const std::string& machine, const Connectivity& connectivity) const {
+  return delegation_valid() || may_reply_unrecorded(machine, connectivity);
 }
 
 bool ZoneDelegate::delegation_valid() const {
-  const double now = loop_.now();
-  return state_ == State::active &&
-         now < renewed_ + k::kDelegationLease * (1 - k::kDrift) - k::kDelegationMargin &&
-         mirror_.loaded() && mirror_.revision() >= revision_ &&
-         now - read_index_.current_as_of() < k::kDelegationKnowledge;
+  if (state_ != State::active || !renewed_at_) return false;
+  const double now = context_.event_loop.now();
+  const double lease_ends =
+      *renewed_at_ + k::kDelegationLease * (1 - k::kDrift) - k::kDelegationMargin;
+  const auto& mirror = context_.mirror;
+  return now < lease_ends && mirror.loaded() && mirror.revision() >= recorded_at_revision_ &&
+         now - context_.read_index.current_as_of() < k::kDelegationKnowledge;
+}
+
+bool ZoneDelegate::may_reply_unrecorded(const std::string& machine,
+                                        const Connectivity& connectivity) const {
+  if (connectivity.leader_heard || connectivity.state_reachable) return false;
+  if (!context_.mirror.loaded()) return false;
+  // As for a leader, what is known of the term and of cancellations must be recent
+  // enough at the moment of the reply (docs/design.md, rule 5).
+  const double now = context_.event_loop.now();
+  const double records_age = now - context_.read_index.current_as_of();
+  if (records_age >= context_.settings.leader_lease_s()) return false;
+  if (!connectivity.cut_off_neighbour.empty()) return true;
+  // Perhaps only this node is cut off, and its workers are served elsewhere. One
+  // that was sent elsewhere and is back was not.
+  const auto sent = sent_elsewhere_.find(machine);
+  return sent != sent_elsewhere_.end() && now > sent->second;
+}
+
+void ZoneDelegate::send_elsewhere(const PendingHeartbeat& heartbeat,
+                                  const Connectivity& connectivity) {
+  sent_elsewhere_[heartbeat.heartbeat.machine] = context_.event_loop.now();
+  const auto& neighbour = connectivity.cut_off_neighbour;
+  if (neighbour.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
+  // In a zone that is cut off, controllers of other zones can't be reached, and
+  // trying each of them takes a worker 5 s. If it stays with us or our neighbour, it
+  // is heard as soon as the cut ends.
+  heartbeat.respond({kMisdirected, wire::encode_redirect(neighbour), 0});
 }
 
 void ZoneDelegate::reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond) {
-  const auto found = mirror_.machines().find(heartbeat.machine);
-  // Unknown to the leader, or about to be called gone: not ours to keep.
-  if (found == mirror_.machines().end() || found->second.record.retired)
-    return respond({503, {}, 0});
-  if (may_start_cancelled(heartbeat)) return respond({503, {}, 0});
+  const auto& machines = context_.mirror.machines();
+  const auto found = machines.find(heartbeat.machine);
+  // A machine that the records do not know, or that the leader is about to give up,
+  // must not be kept alive (rule 6).
+  if (found == machines.end() || found->second.record.retired)
+    return respond({kServiceUnavailable, {}, 0});
+  if (may_start_cancelled(heartbeat)) return respond({kServiceUnavailable, {}, 0});
+  replied_at_ = context_.event_loop.now();
+  // The leader may have raised this machine's fence. A lower token than the worker
+  // has seen would be dropped, and its lease with it.
+  const auto term = context_.mirror.term();
+  const auto token =
+      term_of(heartbeat.token) == term ? heartbeat.token : term << k::kTokenFenceBits;
+  respond({200, wire::encode_heartbeat_reply(token, stops_of_cancelled(heartbeat)), 0});
+}
+
+std::vector<wire::WorkerCommand> ZoneDelegate::stops_of_cancelled(
+    const wire::WorkerHeartbeat& heartbeat) const {
   std::vector<wire::WorkerCommand> commands;
   for (const auto& task : heartbeat.tasks) {
-    const auto* job = mirror_.job(task.job);
+    const auto* job = context_.mirror.job(task.job);
     if (job == nullptr || !job->record.cancelled || task.state == wire::TaskState::ended) continue;
     commands.push_back({wire::Verb::stop, task.job, task.index, task.attempt, 0});
   }
-  replied_at_ = loop_.now();
-  // The leader may have raised this machine's fence: a lower token than it has
-  // seen would be dropped, and with it the lease.
-  const bool present = heartbeat.token >> k::kTokenFenceBits == mirror_.term();
-  respond({200,
-           wire::encode_heartbeat_reply(
-               present ? heartbeat.token : mirror_.term() << k::kTokenFenceBits, commands),
-           0});
+  return commands;
 }
 
 bool ZoneDelegate::may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const {
-  // A `run` that is held on its way is carried out whenever it arrives, as
-  // long as the machine has seen no higher token and its epoch lives. A
-  // zone delegate has no higher token to give, so it ends the epoch instead.
-  for (const auto& id : mirror_.cancelled()) {
-    const auto* blocks = mirror_.blocks(id);
+  // A `run` that is held up on its way is carried out whenever it arrives, as long as
+  // the worker has seen no higher token and its epoch lives. A zone delegate has no
+  // higher token to give, so it lets the epoch end instead ("Held commands" in
+  // docs/design.md).
+  const auto& mirror = context_.mirror;
+  for (const auto& id : mirror.cancelled()) {
+    const auto* blocks = mirror.blocks(id);
     if (blocks == nullptr) continue;
     for (const auto& [number, block] : *blocks) {
-      const bool held = std::any_of(
-          block.record.tasks.begin(), block.record.tasks.end(), [&](const store::TaskRecord& task) {
-            return task.machine == heartbeat.machine &&
-                   std::none_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
-                                [&](const wire::TaskStatus& shown) {
-                                  return shown.index == task.index &&
-                                         shown.attempt == task.attempt && shown.job == id;
-                                });
+      const auto& tasks = block.record.tasks;
+      const bool may_be_held_up =
+          std::any_of(tasks.begin(), tasks.end(), [&](const store::TaskRecord& task) {
+            return task.machine == heartbeat.machine && !shows_attempt(heartbeat, id, task);
           });
-      if (held) return true;
+      if (may_be_held_up) return true;
     }
   }
   return false;
 }
 
-void ZoneDelegate::begin() {
-  state_ = State::starting;
-  const auto round = ++round_;
-  const double sent = loop_.now();
-  const auto fail = [this, round] {
-    if (round == round_) state_ = State::idle;
-  };
-  store_.grant(k::kDelegationLease, scope_.wrap([this, round, fail,
-                                                 sent](const store::GrantResult& granted) {
-    if (round != round_) return;
-    if (granted.outcome != Outcome::ok) return fail();
-    lease_ = granted.lease;
-    wire::Transaction transaction;
-    // By its own version too: an earlier attempt's transaction that is applied
-    // later would hang the record on that attempt's lease.
-    const auto key = store::delegation_key(settings_.node);
-    const auto own = mirror_.delegations().find(settings_.node);
-    transaction.preconditions = {
-        {std::string(store::kTermKey), mirror_.term_revision()},
-        {key, own == mirror_.delegations().end() ? 0 : own->second.second}};
-    transaction.writes = {{key, store::encode(store::DelegationRecord{settings_.zone}), lease_}};
-    store_.commit(std::move(transaction),
-                  scope_.wrap([this, round, fail, sent](const store::CommitResult& result) {
-                    if (round != round_) return;
-                    if (result.outcome != Outcome::ok) return fail();
-                    spdlog::info("zone delegate of {}: its leader is unreachable", settings_.zone);
-                    state_ = State::active;
-                    renewed_ = sent;  // the lease was granted later than this
-                    revision_ = result.revision;
-                  }));
-  }));
+void ZoneDelegate::reply_to_waiting(const Connectivity& connectivity) {
+  const double now = context_.event_loop.now();
+  std::vector<PendingHeartbeat> still_waiting;
+  for (auto& pending : waiting_) {
+    if (may_reply(pending.heartbeat.machine, connectivity)) {
+      reply(pending.heartbeat, pending.respond);
+    } else if (now >= pending.deadline) {
+      send_elsewhere(pending, connectivity);
+    } else {
+      still_waiting.push_back(std::move(pending));
+    }
+  }
+  waiting_ = std::move(still_waiting);
+}
+
+// --- the record ----------------------------------------------------------------------
+
+void ZoneDelegate::request_delegation() {
+  state_ = State::recording;
+  const auto attempt = ++attempt_;
+  const double sent_at = context_.event_loop.now();
+  context_.store.grant(k::kDelegationLease,
+                       scope_.wrap([this, attempt, sent_at](const store::GrantResult& granted) {
+                         if (attempt != attempt_) return;
+                         if (granted.outcome != Outcome::ok) {
+                           state_ = State::idle;
+                           return;
+                         }
+                         lease_ = granted.lease;
+                         record_delegation(attempt, sent_at);
+                       }));
+}
+
+void ZoneDelegate::record_delegation(std::uint64_t attempt, double sent_at) {
+  const auto& node = context_.settings.node;
+  const auto& zone = context_.settings.zone;
+  const auto key = store::delegation_key(node);
+  const auto& delegations = context_.mirror.delegations();
+  const auto own = delegations.find(node);
+  const std::uint64_t own_revision = own == delegations.end() ? 0 : own->second.second;
+  wire::Transaction transaction;
+  // The record's own revision is required as well: otherwise the transaction of an
+  // earlier attempt that is applied late could attach it to that attempt's lease.
+  transaction.preconditions = {{std::string(store::kTermKey), context_.mirror.term_revision()},
+                               {key, own_revision}};
+  transaction.writes = {{key, store::encode(store::DelegationRecord{zone}), lease_}};
+  context_.store.commit(std::move(transaction),
+                        scope_.wrap([this, attempt, sent_at](const store::CommitResult& result) {
+                          if (attempt != attempt_) return;
+                          if (result.outcome != Outcome::ok) {
+                            state_ = State::idle;
+                            return;
+                          }
+                          spdlog::info("zone delegate of {}: its leader is unreachable",
+                                       context_.settings.zone);
+                          state_ = State::active;
+                          renewed_at_ = sent_at;  // the lease was granted later than this
+                          recorded_at_revision_ = result.revision;
+                        }));
 }
 
 void ZoneDelegate::renew() {
-  const double sent = loop_.now();
-  next_renew_ = sent + k::kRenewInterval;
-  store_.renew(lease_, scope_.wrap([this, sent, round = round_](Outcome outcome) {
-    if (round != round_) return;
+  const double sent_at = context_.event_loop.now();
+  next_renewal_ = sent_at + k::kRenewInterval;
+  context_.store.renew(lease_, scope_.wrap([this, sent_at, attempt = attempt_](Outcome outcome) {
+    if (attempt != attempt_) return;
     if (outcome == Outcome::ok) {
-      renewed_ = std::max(renewed_, sent);
+      renewed_at_ = std::max(renewed_at_.value_or(sent_at), sent_at);
     } else if (outcome == Outcome::missing) {
       end("its lease ran out");
     }
   }));
 }
 
-void ZoneDelegate::end(const char* why) {
-  const bool delegated = std::exchange(state_, State::idle) == State::active;
-  ++round_;
-  heard_since_ = -1;
-  if (!delegated) return;
-  spdlog::info("no longer zone delegate of {}: {}", settings_.zone, why);
-  // Falling silent first, then removing the record; should that fail the
-  // lease removes it.
-  const auto found = mirror_.delegations().find(settings_.node);
-  if (found == mirror_.delegations().end()) return;
+void ZoneDelegate::end(const char* reason) {
+  const bool was_active = std::exchange(state_, State::idle) == State::active;
+  ++attempt_;
+  leader_heard_since_.reset();
+  if (!was_active) return;
+  spdlog::info("no longer zone delegate of {}: {}", context_.settings.zone, reason);
+  // No heartbeat is replied to from here on, so the record may go. If its removal
+  // fails, the end of the lease removes it.
+  remove_record();
+}
+
+void ZoneDelegate::remove_record() {
+  const auto& node = context_.settings.node;
+  const auto& delegations = context_.mirror.delegations();
+  const auto own = delegations.find(node);
+  if (own == delegations.end()) return;
+  const auto key = store::delegation_key(node);
   wire::Transaction transaction;
-  transaction.preconditions = {{store::delegation_key(settings_.node), found->second.second}};
-  transaction.writes = {{store::delegation_key(settings_.node), std::nullopt, 0}};
-  store_.commit(std::move(transaction), [](const store::CommitResult&) {});
-}
-
-void ZoneDelegate::reply_to_waiting(const View& view) {
-  const double now = loop_.now();
-  std::vector<Waiting> left;
-  for (auto& one : waiting_) {
-    if (delegation_valid() || may_reply_unrecorded(one.heartbeat.machine, view)) {
-      reply(one.heartbeat, one.respond);
-    } else if (now >= one.until) {
-      turn_away(one, view);
-    } else {
-      left.push_back(std::move(one));
-    }
+  transaction.preconditions = {{key, own->second.second}};
+  transaction.writes = {{key, std::nullopt, 0}};
+  context_.store.commit(std::move(transaction), [](const store::CommitResult&) {});
+}
+
+// --- periodic work -------------------------------------------------------------------
+
+void ZoneDelegate::track_leader(bool leader_heard, double now) {
+  if (!leader_heard) {
+    leader_heard_since_.reset();
+  } else if (!leader_heard_since_) {
+    leader_heard_since_ = now;
   }
-  waiting_ = std::move(left);
 }
 
-void ZoneDelegate::tick(const View& view) {
-  const double now = loop_.now();
-  reply_to_waiting(view);
-  std::erase_if(turned_away_, [&](const auto& entry) {
-    return view.leader_heard || now - entry.second > k::kTurnedAwayMemory;
+void ZoneDelegate::tick(const Connectivity& connectivity) {
+  const double now = context_.event_loop.now();
+  reply_to_waiting(connectivity);
+  std::erase_if(sent_elsewhere_, [&](const auto& entry) {
+    return connectivity.leader_heard || now - entry.second > k::kTurnedAwayMemory;
   });
   if (state_ != State::active) return;
-  if (!view.leader_heard) {
-    heard_since_ = -1;
-  } else if (heard_since_ < 0) {
-    heard_since_ = now;
-  }
-  if (view.leader_heard && now - heard_since_ >= k::kDelegationEnd)
+  track_leader(connectivity.leader_heard, now);
+  if (leader_heard_since_ && now - *leader_heard_since_ >= k::kDelegationEnd)
     return end("its leader is heard again");
-  if (now >= next_renew_) renew();
+  if (now >= next_renewal_) renew();
 }
 
 }  // namespace elmstall::election
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -1,100 +1,95 @@
-// Keeps the leases of a zone's machines alive while their leader can't.
+// Keeps the leases of a zone's workers alive while they and their leader can't
+// reach each other.
 //
-// A follower that gets heartbeats of machines whose leader it can't hear either
-// records that it is the delegate of its zone, and then renews leases: it starts
-// nothing and stops only tasks of cancelled jobs. The record hangs on a state
-// lease, and heartbeats are answered under it only while that lease certainly
-// lives.
+// A follower that receives heartbeats of its zone while it does not hear the leader
+// records that it is the delegate of its zone. It then renews worker leases, starts
+// nothing, and stops only tasks of cancelled jobs. The record is attached to a
+// lease of the state store, and heartbeats are replied to under it only while that
+// lease certainly lives (docs/design.md, "Zone delegates").
 //
-// Where the zone is cut off from the state service too, nothing can be
-// recorded. Then it acts as an unrecorded delegate: it answers in the same way without a record, as
-// long as a leader may without the state service, W after the last read index that showed that
-// its records are current, and only machines that are not recorded as retired.
-// A leader that gives a machine up reckons with that (docs/design.md, rule 6).
+// Where the zone is cut off from the state store too, nothing can be recorded. The
+// delegation is then unrecorded: the node replies in the same way, for as long as a
+// leader may without the state store (rule 5), and only to machines that are not
+// recorded as retired. A leader that gives up a machine takes that into account
+// (rule 6).
 #pragma once
 
 #include <map>
+#include <optional>
 #include <utility>
 #include <vector>
 
 #include "config/settings.hpp"
+#include "election/connectivity.hpp"
+#include "election/pending_heartbeat.hpp"
 #include "election/read_index.hpp"
-#include "net/http_server.hpp"
+#include "runtime/command_queue.hpp"
 
 namespace elmstall::election {
 
 class ZoneDelegate {
  public:
-  ZoneDelegate(const config::Settings& settings, runtime::EventLoop& event_loop,
-               runtime::CommandQueue& queue, store::StateStore& store, const store::Mirror& mirror,
-               const ReadIndex& read_index)
-      : settings_(settings),
-        loop_(event_loop),
-        store_(store),
-        mirror_(mirror),
-        read_index_(read_index),
-        scope_(queue),
-        replied_at_(event_loop.now()) {}
-
-  /// What the node sees of the world around it.
-  struct View {
-    bool leader_heard = false;
-    bool state_reachable = false;
-    /// Neither that nor the leader, and this other controller of the zone is
-    /// heard, which does not hear the leader either: the zone is cut off.
-    std::string neighbour;
-  };
-  /// A heartbeat that nobody could answer yet, as read and as it came.
-  struct Waiting {
-    wire::WorkerHeartbeat heartbeat;
-    std::string body;
-    net::Responder respond;
-    double until = 0;
+  struct Context {
+    const config::Settings& settings;
+    runtime::EventLoop& event_loop;
+    runtime::CommandQueue& queue;
+    store::StateStore& store;
+    const store::Mirror& mirror;
+    const ReadIndex& read_index;
   };
 
-  /// Answers a heartbeat of this zone, now or once that is possible; past `until`
-  /// the worker is sent away.
-  void on_heartbeat(Waiting waiting, const View& view);
-  /// Heartbeats that still wait, for whoever can answer them now.
-  [[nodiscard]] std::vector<Waiting> take_waiting() { return std::exchange(waiting_, {}); }
-  /// Renews the delegation, or ends it when the leader can be heard again.
-  void tick(const View& view);
-  /// Answers nobody from here on; does nothing where there is no delegation.
-  void end(const char* why);
+  explicit ZoneDelegate(Context context);
+
+  /// Replies to a heartbeat of this zone, now or once that is possible. After its
+  /// deadline the worker is sent to another controller.
+  void on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity);
+  /// Heartbeats that still wait, to be replied to by a leader instead.
+  [[nodiscard]] std::vector<PendingHeartbeat> take_waiting() { return std::exchange(waiting_, {}); }
+  /// Renews the delegation, or ends it when the leader is heard again.
+  void tick(const Connectivity& connectivity);
+  /// Replies to no more heartbeats and removes the record. Does nothing where there
+  /// is no delegation. `reason` is for the log.
+  void end(const char* reason);
+  /// A delegation is recorded, or is being recorded.
   [[nodiscard]] bool active() const { return state_ != State::idle; }
-  /// When a heartbeat was last answered on the own account; when the process
-  /// began, at first, for nobody knows what the one before it did.
+  /// When this node last replied to a heartbeat as a delegate. Before the first
+  /// reply, when the process began: nobody knows what the process before it did.
   [[nodiscard]] double replied_at() const { return replied_at_; }
 
  private:
-  enum class State : std::uint8_t { idle, starting, active };
+  enum class State : std::uint8_t { idle, recording, active };
 
-  void begin();
+  void request_delegation();
+  void record_delegation(std::uint64_t attempt, double sent_at);
   void renew();
-  void reply_to_waiting(const View& view);
-  void turn_away(const Waiting& one, const View& view);
-  [[nodiscard]] bool delegation_valid() const;
-  [[nodiscard]] bool may_reply_unrecorded(const std::string& machine, const View& view) const;
+  void remove_record();
+  void reply_to_waiting(const Connectivity& connectivity);
+  void send_elsewhere(const PendingHeartbeat& heartbeat, const Connectivity& connectivity);
   void reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
-  /// The records place a task of a cancelled job there that it does not show.
+  void track_leader(bool leader_heard, double now);
+  /// The recorded delegation certainly lives, and the records are recent enough.
+  [[nodiscard]] bool delegation_valid() const;
+  [[nodiscard]] bool may_reply_unrecorded(const std::string& machine,
+                                          const Connectivity& connectivity) const;
+  [[nodiscard]] bool may_reply(const std::string& machine, const Connectivity& connectivity) const;
+  /// Whether the records place a task of a cancelled job on this machine that its
+  /// heartbeat does not show, so that a `run` for it may still be on its way.
   [[nodiscard]] bool may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] std::vector<wire::WorkerCommand> stops_of_cancelled(
+      const wire::WorkerHeartbeat& heartbeat) const;
 
-  const config::Settings& settings_;
-  runtime::EventLoop& loop_;
-  store::StateStore& store_;
-  const store::Mirror& mirror_;
-  const ReadIndex& read_index_;
+  Context context_;
   runtime::CommandScope scope_;
   State state_ = State::idle;
-  std::uint64_t round_ = 0;  ///< answers to an earlier round are ignored
-  std::uint64_t lease_ = 0;
-  std::uint64_t revision_ = 0;  ///< the mirror must be this far
-  double renewed_ = -1e18;      ///< when the last successful renewal was sent
-  double next_renew_ = 0;
-  double heard_since_ = -1;
+  std::uint64_t attempt_ = 0;               ///< replies to requests of an earlier one are ignored
+  std::uint64_t lease_ = 0;                 ///< of the state store, to which the record is attached
+  std::uint64_t recorded_at_revision_ = 0;  ///< the mirror must have reached it
+  std::optional<double> renewed_at_;        ///< when the last successful renewal was sent
+  double next_renewal_ = 0;
+  std::optional<double> leader_heard_since_;
   double replied_at_;
-  std::vector<Waiting> waiting_;
-  std::map<std::string, double> turned_away_;  ///< machines that were, and when
+  std::vector<PendingHeartbeat> waiting_;
+  std::map<std::string, double> sent_elsewhere_;  ///< machines, and when they were
 };
 
 }  // namespace elmstall::election
--- /dev/null
+++ b/src/store/mirror_follower.cpp
@@ -0,0 +1,69 @@
+#include "store/mirror_follower.hpp"
+
+#include <utility>
+
+#include "config/constants.hpp"
+
+namespace elmstall::store {
+
+namespace k = constants;
+
+MirrorFollower::MirrorFollower(Context context)
+    : context_(std::move(context)), scope_(context_.queue) {}
+
+void MirrorFollower::retry_later(std::function<void()> request) {
+  context_.event_loop.after(k::kStateRetry, scope_.wrap(std::move(request)));
+}
+
+void MirrorFollower::list_from_start() {
+  context_.mirror.restart();
+  list_after("");
+}
+
+void MirrorFollower::list_after(const std::string& key) {
+  context_.store.list(std::string(kLive), key, scope_.wrap([this, key](const ListResult& result) {
+    on_listed(result, key);
+  }));
+}
+
+void MirrorFollower::on_listed(const ListResult& result, const std::string& after) {
+  if (result.outcome != Outcome::ok) {
+    return retry_later([this, after] {
+      if (after.empty()) return list_from_start();
+      list_after(after);
+    });
+  }
+  auto& mirror = context_.mirror;
+  mirror.load(result.listing);
+  const auto& entries = result.listing.entries;
+  if (result.listing.truncated && !entries.empty()) return list_after(entries.back().key);
+  std::vector<Key> jobs;
+  for (const auto& [id, job] : mirror.jobs()) jobs.push_back({Key::Kind::job, id, 0});
+  context_.changed(jobs);
+  watch();
+}
+
+void MirrorFollower::watch() {
+  // Until the mirror is whole, the reply must not wait for a change: none may come
+  // for long.
+  const double hold = context_.mirror.loaded() ? k::kWatchHold : 0;
+  context_.store.watch(std::string(kRoot), context_.mirror.follow_from(), hold,
+                       scope_.wrap([this](const WatchResult& result) { on_watched(result); }));
+}
+
+void MirrorFollower::on_watched(const WatchResult& result) {
+  switch (result.outcome) {
+    case Outcome::ok:
+      context_.changed(context_.mirror.apply(result.changes));
+      context_.event_loop.after(context_.watch_pause(), scope_.wrap([this] { watch(); }));
+      return;
+    case Outcome::compacted:
+      return list_from_start();
+    case Outcome::unknown:
+      return watch();
+    default:
+      retry_later([this] { watch(); });
+  }
+}
+
+}  // namespace elmstall::store
