--- /dev/null
+++ b/src/autoscaler/health_review.cpp
@@ -0,0 +1,115 @@
+#include "autoscaler/health_review.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "config/constants.hpp"
+
+namespace elmstall::autoscaler {
+
+namespace k = constants;
+
+namespace {
+
+/// Ratio. When more than one in this many machines is affected by the same trouble, the trouble
+/// is taken for a network partition.
+constexpr std::size_t kPartitionRatio = 3;
+/// Leases. How long past the end of its lease a single silent machine is kept, in case its
+/// heartbeats are only late.
+constexpr double kSilentExtraLeases = 0.5;
+/// Leases. The same during a likely partition. Longer, because deleting machines that are only
+/// cut off would lose all their work.
+constexpr double kPartitionExtraLeases = 4;
+/// Ratio. A silent machine that is not on the cloud's list counts as gone only when it has been
+/// silent for this many times the list's lag, so that a list that is merely late is not believed.
+constexpr double kListLagFactor = 2;
+/// Seconds. Added to that, for timer steps.
+constexpr double kListLagMargin = 1;
+
+/// Whether so many machines are affected at once that the network is the likely cause.
+bool likely_partition(std::size_t affected, std::size_t heard) {
+  return affected * kPartitionRatio > heard && affected > 1;
+}
+
+}  // namespace
+
+bool HealthReview::HeartbeatCounts::partitioned() const { return likely_partition(silent, heard); }
+
+HealthReview::HealthReview(const config::Settings& settings, state::Model& model,
+                           const MachineList& machine_list, Terminations& terminations,
+                           double takeover_at)
+    : settings_(settings),
+      model_(model),
+      machine_list_(machine_list),
+      terminations_(terminations),
+      takeover_at_(takeover_at) {}
+
+void HealthReview::review(double now) {
+  Findings findings;
+  for (auto& [id, slot] : model_.machines()) {
+    auto& machine = *slot;
+    if (machine.terminating || machine.reported_failed) {
+      terminations_.mark(machine);
+    } else if (machine.heard) {
+      review_heard(machine, findings, now);
+    } else {
+      review_booting(machine, now);
+    }
+  }
+  terminate_unresponsive(findings, now);
+  terminate_silent(findings, now);
+}
+
+void HealthReview::review_heard(state::Machine& machine, Findings& findings, double now) {
+  const bool silent = machine.quiet(now) > settings_.silent_after_s();
+  if (machine.tasks.empty() && machine.quarantined) {
+    terminations_.mark(machine);
+  } else if (silent) {
+    findings.silent.push_back(&machine);
+  } else if (machine.unresponsive) {
+    findings.unresponsive.push_back(&machine);
+  }
+  for (auto* counts : {&findings.fleet, &findings.zones[machine.zone]}) {
+    ++counts->heard;
+    if (silent) ++counts->silent;
+  }
+}
+
+void HealthReview::review_booting(state::Machine& machine, double now) {
+  const auto* machine_type = model_.machine_type(machine.type);
+  if (machine_type == nullptr || !machine.tasks.empty()) return;
+  const double boot_timeout = k::kBootGiveUp * machine_type->ready_s;
+  // A machine adopted from a former leader may have been up for long and may only not have found
+  // this leader yet. It therefore also gets the length of a lease, counted from the takeover.
+  const double waiting_since =
+      std::max(machine.provisioned_at, takeover_at_ + settings_.lease_over_s() - boot_timeout);
+  if (now - waiting_since <= boot_timeout) return;
+  spdlog::info("machine {} did not come up, returning it", machine.id);
+  terminations_.mark(machine);
+}
+
+void HealthReview::terminate_unresponsive(const Findings& findings, double now) {
+  if (likely_partition(findings.unresponsive.size(), findings.fleet.heard)) return;
+  const double patience = k::kUnresponsiveLeases * settings_.lease_over_s();
+  for (auto* machine : findings.unresponsive) {
+    if (now - machine->unacknowledged_since > patience) terminations_.mark(*machine);
+  }
+}
+
+void HealthReview::terminate_silent(const Findings& findings, double now) {
+  const double lease = settings_.lease_over_s();
+  const double unlisted_patience = kListLagFactor * settings_.list_lag_s + kListLagMargin;
+  for (auto* machine : findings.silent) {
+    const double silent_for = machine->quiet(now);
+    const bool gone_from_list =
+        machine_list_.read_once() && !machine->listed && silent_for > unlisted_patience;
+    const bool partition =
+        findings.fleet.partitioned() || findings.zones.at(machine->zone).partitioned();
+    const double patience =
+        lease + (partition ? kPartitionExtraLeases * lease : lease * kSilentExtraLeases);
+    if (gone_from_list || silent_for > patience) terminations_.mark(*machine);
+  }
+}
+
+}  // namespace elmstall::autoscaler
--- /dev/null
+++ b/src/autoscaler/pool_key.hpp
@@ -0,0 +1,27 @@
+/// \file
+/// The key of a machine pool. The cloud provisions machines per pool, so capacity and pending
+/// requests are tracked per pool as well.
+#pragma once
+
+#include <compare>
+#include <string>
+
+namespace elmstall::autoscaler {
+
+/// All machines of one type, in one zone, that are either all spot or all ordinary machines.
+struct PoolKey {
+  std::string machine_type;
+  std::string zone;
+  bool spot = false;
+
+  /// Orders by machine type, then by zone, then ordinary before spot.
+  friend auto operator<=>(const PoolKey&, const PoolKey&) = default;
+};
+
+/// Machines that should be added to one pool.
+struct PoolScaleOut {
+  PoolKey pool;
+  int machines = 0;
+};
+
+}  // namespace elmstall::autoscaler
--- /dev/null
+++ b/src/autoscaler/task_packing.hpp
@@ -0,0 +1,25 @@
+/// \file
+/// How tasks of one size pack onto machines of one type. Pure functions.
+#pragma once
+
+#include <optional>
+
+#include "sched/resources.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::autoscaler {
+
+/// The resources of an empty machine of this type.
+[[nodiscard]] sched::Amount capacity_of(const wire::MachineType& machine_type);
+
+/// The number of tasks that fit together on one empty machine, as a whole number. Infinite for
+/// tasks that need no resources; std::nullopt when not even one task fits.
+[[nodiscard]] std::optional<double> tasks_per_machine(const sched::Amount& task_need,
+                                                      const wire::MachineType& machine_type);
+
+/// The zones in which the cloud offers the machine type: its own list, or all zones of the site
+/// when the type names none.
+[[nodiscard]] const std::vector<std::string>& zones_of(const wire::MachineType& machine_type,
+                                                       const config::Settings& settings);
+
+}  // namespace elmstall::autoscaler
--- /dev/null
+++ b/src/autoscaler/zone_planner.cpp
@@ -0,0 +1,135 @@
+#include "autoscaler/zone_planner.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "autoscaler/pool_survey.hpp"
+#include "autoscaler/task_packing.hpp"
+#include "config/constants.hpp"
+#include "placement/planner.hpp"
+
+namespace elmstall::autoscaler {
+
+namespace k = constants;
+
+namespace {
+
+/// Machines. Sums of shares of machines are off in the last digits; a shortage below this is none.
+constexpr double kRoundingSlack = 1e-6;
+
+/// The first pool of the zone that the demand may use and that may have capacity.
+const sched::Pool* usable_pool(const std::vector<sched::Pool>& pools, const std::string& zone,
+                               const ZoneDemand& demand) {
+  const auto found = std::find_if(pools.begin(), pools.end(), [&](const sched::Pool& pool) {
+    return pool.zone == zone && !pool.blocked && (demand.spot_allowed || !pool.spot);
+  });
+  return found == pools.end() ? nullptr : &*found;
+}
+
+/// The number of the job's tasks that are or may be on machines of the zone.
+std::size_t tasks_in_zone(const state::Job& job, const std::string& zone) {
+  const auto found = job.per_zone.find(zone);
+  return found == job.per_zone.end() ? 0 : found->second;
+}
+
+}  // namespace
+
+ZonePlanner::ZonePlanner(const config::Settings& settings, state::Model& model)
+    : settings_(settings), model_(model) {}
+
+ZonePlan ZonePlanner::plan(const wire::MachineType& machine_type,
+                           const std::vector<sched::Pool>& pools, double now) const {
+  ZonePlan plan;
+  plan.demand = demand_by_zone(machine_type, now);
+  for (const auto& [zone, demand] : plan.demand) {
+    const double available = free_machines(machine_type, pools, zone, demand, now);
+    const auto missing = static_cast<int>(std::ceil(demand.machines - available - kRoundingSlack));
+    if (missing <= 0) continue;
+    if (const auto* pool = usable_pool(pools, zone, demand); pool != nullptr) {
+      plan.scale_outs.push_back({key_of(*pool), missing});
+    } else {
+      plan.unobtainable_machines += missing;
+    }
+  }
+  return plan;
+}
+
+std::map<std::string, ZoneDemand> ZonePlanner::demand_by_zone(const wire::MachineType& machine_type,
+                                                              double now) const {
+  const auto& zones = zones_of(machine_type, settings_);
+  std::map<std::string, ZoneDemand> demand;
+  for (const auto& [id, job] : model_.jobs()) {
+    // A job that was submitted a moment ago may still find room on the machines that are there.
+    const bool just_submitted = now - job->submitted < k::kZonePatience;
+    if (job->cancelled || job->failed_until > now || just_submitted) continue;
+    const auto required = required_zones(*job, zones);
+    if (required.empty()) continue;
+    const double machines = machines_for_waiting_tasks(*job, machine_type);
+    if (machines <= 0) continue;
+    for (const auto& zone : required) {
+      auto& entry = demand[zone];
+      entry.machines += std::ceil(machines / static_cast<double>(required.size()));
+      entry.spot_allowed = entry.spot_allowed && job->spec.spot;
+    }
+  }
+  return demand;
+}
+
+std::vector<std::string> ZonePlanner::required_zones(const state::Job& job,
+                                                     const std::vector<std::string>& zones) const {
+  const auto& spec = job.spec;
+  if (spec.zone) return {*spec.zone};
+  // At most half of a spread gang may be in one zone, so it needs machines in several at once.
+  const bool spread_gang = job.is_gang() && spec.spread;
+  const auto open_zone = spread_gang ? std::nullopt : zone_with_spread_room(job, zones);
+  if (open_zone) return {*open_zone};
+  if (spec.together && !job.per_zone.empty()) return {job.per_zone.begin()->first};
+  if (spec.together && !job.zone_choice.empty()) return {job.zone_choice};
+  if (spec.together) return {settings_.zones.front()};
+  return spread_gang ? settings_.zones : std::vector<std::string>{};
+}
+
+std::optional<std::string> ZonePlanner::zone_with_spread_room(
+    const state::Job& job, const std::vector<std::string>& zones) {
+  if (!job.spec.spread) return std::nullopt;
+  const auto full = [&](const std::string& zone) {
+    return tasks_in_zone(job, zone) >= sched::spread_limit(job.spec.tasks);
+  };
+  if (std::none_of(zones.begin(), zones.end(), full)) return std::nullopt;
+  const auto emptiest = std::min_element(
+      zones.begin(), zones.end(),
+      [&](const auto& a, const auto& b) { return tasks_in_zone(job, a) < tasks_in_zone(job, b); });
+  return full(*emptiest) ? std::nullopt : std::optional(*emptiest);
+}
+
+double ZonePlanner::machines_for_waiting_tasks(const state::Job& job,
+                                               const wire::MachineType& machine_type) {
+  const auto packed = tasks_per_machine(job.need, machine_type);
+  if (!packed) return 0;
+  double waiting = 0;
+  for (const auto& [number, block] : job.blocks) {
+    waiting += static_cast<double>(
+        std::count_if(block->tasks.begin(), block->tasks.end(),
+                      [](const state::Task& task) { return task.phase == state::Phase::pending; }));
+  }
+  return std::ceil(waiting / *packed);
+}
+
+double ZonePlanner::free_machines(const wire::MachineType& machine_type,
+                                  const std::vector<sched::Pool>& pools, const std::string& zone,
+                                  const ZoneDemand& demand, double now) const {
+  double available = 0;
+  for (const auto& pool : pools) {
+    if (pool.zone == zone) available += pool.booting;
+  }
+  const auto capacity = capacity_of(machine_type);
+  for (const auto& [id, machine] : model_.machines()) {
+    const bool suitable = machine->type == machine_type.name && machine->zone == zone &&
+                          (demand.spot_allowed || !machine->spot);
+    if (suitable && placement::Planner::usable(*machine, now, settings_))
+      available += std::max(0.0, 1 - machine->used.share_of(capacity));
+  }
+  return available;
+}
+
+}  // namespace elmstall::autoscaler
