--- /dev/null
+++ b/src/api/admission.cpp
@@ -0,0 +1,97 @@
+#include "api/admission.hpp"
+
+#include <algorithm>
+#include <string>
+
+#include "sched/resources.hpp"
+#include "store/records.hpp"
+
+namespace elmstall::api {
+
+namespace {
+
+sched::Amount need_of_task(const wire::JobSpec& spec) {
+  return {spec.cpus, spec.gpus, spec.memory_gb};
+}
+
+bool contains(const std::vector<std::string>& names, const std::string& name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
+}
+
+/// Whether the job's own conditions allow the machine type. Empty lists allow everything.
+bool allows(const wire::JobSpec& spec, const wire::MachineType& machine_type) {
+  const bool type_allowed = spec.types.empty() || contains(spec.types, machine_type.name);
+  const bool zone_allowed =
+      !spec.zone || machine_type.zones.empty() || contains(machine_type.zones, *spec.zone);
+  return type_allowed && zone_allowed;
+}
+
+bool within_team_limit(const wire::JobSpec& spec, const config::Team& team) {
+  // The tasks of an array may run one after the other, so one of them has to fit into the limit.
+  // Services and gangs need all their tasks at once.
+  const double tasks_at_once = spec.kind == wire::JobKind::array ? 1 : spec.tasks;
+  return sched::within_limit(team, need_of_task(spec) * tasks_at_once);
+}
+
+}  // namespace
+
+std::string_view to_text(RejectionReason reason) {
+  switch (reason) {
+    case RejectionReason::unknown_team:
+      return "unknown team";
+    case RejectionReason::no_allowed_machine_type:
+      return "no allowed machine type exists";
+    case RejectionReason::no_fitting_machine_type:
+      return "a task fits no allowed machine type";
+    case RejectionReason::above_team_limit:
+      return "more than the team's limit";
+    case RejectionReason::gang_not_recordable:
+      return "a gang of so many tasks can't be recorded at once";
+    case RejectionReason::record_too_large:
+      return "its record is larger than the state service takes";
+  }
+  return {};
+}
+
+std::optional<RejectionReason> Admission::check(wire::JobSpec& spec, double submitted_at) const {
+  const auto* team = settings_.team(spec.team);
+  if (team == nullptr) return RejectionReason::unknown_team;
+  const bool any_type_allowed = spec.types.empty();
+  remove_unknown_machine_types(spec);
+  // An empty list would now mean that every type is allowed.
+  if (!any_type_allowed && spec.types.empty()) return RejectionReason::no_allowed_machine_type;
+  if (!task_fits_some_machine_type(spec)) return RejectionReason::no_fitting_machine_type;
+  if (!within_team_limit(spec, *team)) return RejectionReason::above_team_limit;
+  return check_record_size(spec, submitted_at);
+}
+
+void Admission::remove_unknown_machine_types(wire::JobSpec& spec) const {
+  std::erase_if(spec.types, [this](const std::string& type) {
+    return std::none_of(machine_types_.begin(), machine_types_.end(),
+                        [&](const auto& machine_type) { return machine_type.name == type; });
+  });
+}
+
+bool Admission::task_fits_some_machine_type(const wire::JobSpec& spec) const {
+  const auto need = need_of_task(spec);
+  return std::any_of(
+      machine_types_.begin(), machine_types_.end(), [&](const wire::MachineType& machine_type) {
+        return allows(spec, machine_type) &&
+               need.fits({machine_type.cpus, machine_type.gpus, machine_type.memory_gb});
+      });
+}
+
+std::optional<RejectionReason> Admission::check_record_size(const wire::JobSpec& spec,
+                                                            double submitted_at) const {
+  const auto limits = settings_.state_limits();
+  // Rule 1: all tasks of a gang are recorded before the first one starts, and a block's record
+  // has room for a limited number of started tasks.
+  if (spec.kind == wire::JobKind::gang &&
+      !store::startable_at_once(spec.tasks, limits.value_kb, settings_.state.value_kb))
+    return RejectionReason::gang_not_recordable;
+  if (store::json_size({spec, false, submitted_at}) > store::value_bytes(limits.value_kb))
+    return RejectionReason::record_too_large;
+  return std::nullopt;
+}
+
+}  // namespace elmstall::api
--- a/src/api/concurrency_limit.hpp
+++ b/src/api/concurrency_limit.hpp
@@ -1,19 +1,29 @@
-// Limit on user requests in progress that adjusts itself to measured times:
-// it shrinks while requests take longer than they did at best, and grows
-// while they don't.
+/// \file
+/// A limit on the number of user requests in progress that adjusts itself to the measured
+/// response times: it shrinks while requests take much longer than the best ones did, which is
+/// the sign of overload, and grows otherwise. Requests beyond the limit are shed.
+///
+/// Time is measured by the caller. Runs on the controller's event loop.
 #pragma once
 
 #include <algorithm>
 #include <cmath>
+#include <cstddef>
 
 #include "config/constants.hpp"
 
 namespace elmstall::api {
 
+/// Every successful `try_enter` must be followed by exactly one `leave`.
 class ConcurrencyLimit {
  public:
-  explicit ConcurrencyLimit(double most = constants::kLimitMax) : most_(most) {}
+  /// To be passed to `leave` for a request whose time says nothing about this controller's load.
+  static constexpr double kNotMeasured = -1;
 
+  /// `maximum`: requests in progress that the limit never exceeds.
+  explicit ConcurrencyLimit(double maximum = constants::kLimitMax) : maximum_(maximum) {}
+
+  /// Counts a request as in progress. False when the limit is reached: the request is shed.
   [[nodiscard]] bool try_enter() {
     if (in_progress_ >= static_cast<int>(limit_)) {
       ++shed_;
@@ -23,30 +33,40 @@
     return true;
   }
 
-  /// `seconds`: how long the request took; negative: not a measurement.
+  /// Ends a request and adjusts the limit.
+  /// `seconds`: how long the request took. Negative values (`kNotMeasured`) adjust nothing.
   void leave(double seconds) {
     --in_progress_;
     if (seconds < 0) return;
     seconds = std::max(seconds, constants::kLimitFloor);
-    // The smallest time seen, slowly forgotten so that it follows the load's
-    // own cost over hours.
-    best_ = best_ <= 0 ? seconds : std::min(best_ * constants::kLimitForget, seconds);
-    recent_ = recent_ <= 0 ? seconds : recent_ + constants::kLearnRate * (seconds - recent_);
-    const double gradient = std::clamp(constants::kLimitTolerance * best_ / recent_, 0.5, 1.0);
+    // The best time grows a little with each measurement, so that it follows changes of the
+    // requests' own cost over hours.
+    best_s_ = best_s_ <= 0 ? seconds : std::min(best_s_ * constants::kLimitForget, seconds);
+    recent_s_ =
+        recent_s_ <= 0 ? seconds : recent_s_ + constants::kLearnRate * (seconds - recent_s_);
+    const double gradient =
+        std::clamp(constants::kLimitTolerance * best_s_ / recent_s_, kGradientMin, 1.0);
+    // The square root lets the limit grow as long as the gradient does not push it down.
     const double wanted = limit_ * gradient + std::sqrt(limit_);
     limit_ += constants::kLearnRate * (wanted - limit_);
-    limit_ = std::clamp(limit_, constants::kLimitMin, most_);
+    limit_ = std::clamp(limit_, constants::kLimitMin, maximum_);
   }
 
+  /// Requests that may be in progress at once, at present. Fractions count as nothing.
   [[nodiscard]] double limit() const { return limit_; }
   [[nodiscard]] int in_progress() const { return in_progress_; }
+  /// Requests that were shed since the start.
   [[nodiscard]] std::size_t shed() const { return shed_; }
 
  private:
-  double most_;
+  /// Ratio. A single measurement asks for no less than this part of the limit, so that a few
+  /// slow requests do not shed all others.
+  static constexpr double kGradientMin = 0.5;
+
+  double maximum_;
   double limit_ = constants::kLimitStart;
-  double best_ = 0;
-  double recent_ = 0;
+  double best_s_ = 0;    ///< the best time of a request, seconds; 0: none measured yet
+  double recent_s_ = 0;  ///< the moving average of recent times, seconds; 0: none measured yet
   int in_progress_ = 0;
   std::size_t shed_ = 0;
 };
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -2,17 +2,18 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
+#include <utility>
 
 #include "config/constants.hpp"
-#include "sched/resources.hpp"
 
 namespace elmstall::api {
 
 namespace k = constants;
 using store::Outcome;
 
-UserApi::CallPtr UserApi::enter(net::Responder respond, double patience_s) {
+// --- every request -----------------------------------------------------------
+
+UserApi::CallPtr UserApi::admit(net::Responder respond, double patience_s) {
   if (!limit_.try_enter()) {
     respond({503, {}, k::kRetryAfter});
     return nullptr;
@@ -21,192 +22,212 @@
   auto call = std::make_shared<Call>();
   call->deadline = now + patience_s;
   call->respond = [this, now, respond = std::move(respond)](net::Response response) {
-    // A 503 tells of the state service, not of our own load.
-    limit_.leave(response.status == 503 ? -1 : loop_.now() - now);
+    // A 503 tells of the state service's troubles, not of this controller's load.
+    limit_.leave(response.status == 503 ? ConcurrencyLimit::kNotMeasured : loop_.now() - now);
     respond(std::move(response));
   };
   return call;
 }
 
-void UserApi::later(const CallPtr& call) { call->respond({503, {}, k::kRetryAfter}); }
+void UserApi::retry_before_deadline(const CallPtr& call, std::function<void()> again) {
+  if (loop_.now() + k::kStateRetry >= call->deadline) return reply_unavailable(call);
+  loop_.after(k::kStateRetry / 2, scope_.wrap(std::move(again)));
+}
 
-void UserApi::reply(const CallPtr& call, int status, const wire::JobStatus& state, bool counts) {
-  call->respond({status, wire::encode_status(state, counts), 0});
+bool UserApi::in_mirror(const std::string& id) const {
+  return mirror_.final_state(id) || mirror_.job(id) != nullptr;
 }
 
-void UserApi::refuse(const CallPtr& call, int status, const std::string& text) {
+// --- answers -----------------------------------------------------------------
+
+void UserApi::reply_status(const CallPtr& call, int http_status, const wire::JobStatus& status,
+                           TaskCounts counts) {
+  call->respond({http_status, wire::encode_status(status, counts == TaskCounts::included), 0});
+}
+
+void UserApi::reply_error(const CallPtr& call, int http_status, std::string_view text) {
   wire::Packer packer;
   packer.map(1).key("error").text(text);
-  call->respond({status, packer.take(), 0});
+  call->respond({http_status, packer.take(), 0});
 }
 
-void UserApi::retry(const CallPtr& call, std::function<void()> again) {
-  if (loop_.now() + k::kStateRetry >= call->deadline) return later(call);
-  loop_.after(k::kStateRetry / 2, scope_.wrap(std::move(again)));
+void UserApi::reply_no_such_job(const CallPtr& call) { reply_error(call, 404, "no such job"); }
+
+void UserApi::reply_unavailable(const CallPtr& call) { call->respond({503, {}, k::kRetryAfter}); }
+
+void UserApi::reply_if_known(const CallPtr& call, TaskCounts counts,
+                             std::function<void()> otherwise) {
+  // A final state never changes, so no read index is needed to answer with it.
+  if (mirror_.final_state(call->id))
+    return reply_status(call, 200, mirror_.status(call->id), counts);
+  read_index_.request(call->deadline - loop_.now(),
+                      [this, call, counts, otherwise = std::move(otherwise)](bool current) {
+                        if (!current) return reply_unavailable(call);
+                        if (in_mirror(call->id))
+                          return reply_status(call, 200, mirror_.status(call->id), counts);
+                        reply_if_final(call, counts, otherwise);
+                      });
 }
 
-void UserApi::if_known(const CallPtr& call, bool counts, std::function<void()> otherwise) {
-  const auto& id = call->id;
-  // What is final never changes: no read index is needed.
-  if (mirror_.final_state(id)) return reply(call, 200, mirror_.status(id), counts);
-  read_index_.request(
-      call->deadline - loop_.now(),
-      [this, call, counts, otherwise = std::move(otherwise)](bool current) {
-        if (!current) return later(call);
-        if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr)
-          return reply(call, 200, mirror_.status(call->id), counts);
-        // Not among the live jobs; it may be over since before this node began.
-        store_.get(store::final_key(call->id),
-                   scope_.wrap([this, call, counts, otherwise](const store::GetResult& result) {
-                     if (result.outcome == Outcome::missing) return otherwise();
-                     if (result.outcome != Outcome::ok) return later(call);
-                     mirror_.remember_final(call->id, store::decode_final(result.entry.value));
-                     reply(call, 200, mirror_.status(call->id), counts);
-                   }));
-      });
+void UserApi::reply_if_final(const CallPtr& call, TaskCounts counts,
+                             std::function<void()> otherwise) {
+  // The mirror remembers a limited number of final states, and none of those that were written
+  // before this controller started. The state service has all of them.
+  store_.get(store::final_key(call->id),
+             scope_.wrap([this, call, counts,
+                          otherwise = std::move(otherwise)](const store::GetResult& result) {
+               if (result.outcome == Outcome::missing) return otherwise();
+               if (result.outcome != Outcome::ok) return reply_unavailable(call);
+               mirror_.remember_final(call->id, store::decode_final(result.entry.value));
+               reply_status(call, 200, mirror_.status(call->id), counts);
+             }));
 }
 
+// --- polls -------------------------------------------------------------------
+
 void UserApi::poll(const std::string& id, net::Responder respond) {
-  auto call = enter(std::move(respond), k::kPollDeadline);
+  const auto call = admit(std::move(respond), k::kPollDeadline);
   if (!call) return;
   call->id = id;
-  if (!wire::valid_job_id(id)) return refuse(call, 404, "no such job");
-  if_known(call, true, [call] { refuse(call, 404, "no such job"); });
-}
-
-std::string UserApi::objection(wire::JobSpec& spec) const {
-  const auto* team = settings_.team(spec.team);
-  if (team == nullptr) return "unknown team";
-  const sched::Amount need{spec.cpus, spec.gpus, spec.memory_gb};
-  if (!spec.types.empty()) {
-    std::erase_if(spec.types, [this](const std::string& type) {
-      return std::none_of(machine_types_.begin(), machine_types_.end(),
-                          [&](const auto& machine_type) { return machine_type.name == type; });
-    });
-    if (spec.types.empty()) return "no allowed machine type exists";
-  }
-  const bool fits = std::any_of(
-      machine_types_.begin(), machine_types_.end(), [&](const wire::MachineType& machine_type) {
-        const bool type_ok = spec.types.empty() || std::find(spec.types.begin(), spec.types.end(),
-                                                             machine_type.name) != spec.types.end();
-        const bool zone_ok = !spec.zone || machine_type.zones.empty() ||
-                             std::find(machine_type.zones.begin(), machine_type.zones.end(),
-                                       *spec.zone) != machine_type.zones.end();
-        return type_ok && zone_ok &&
-               need.fits({machine_type.cpus, machine_type.gpus, machine_type.memory_gb});
-      });
-  if (!fits) return "a task fits no allowed machine type";
-  // An array runs within any limit that holds one of its tasks; the others need
-  // all of theirs at once.
-  const double count = spec.kind == wire::JobKind::array ? 1 : spec.tasks;
-  if (!sched::within_limit(*team, need * count)) return "more than the team's limit";
-  const auto limits = settings_.state_limits();
-  if (spec.kind == wire::JobKind::gang &&
-      !store::startable_at_once(spec.tasks, limits.value_kb, settings_.state.value_kb))
-    return "a gang of so many tasks can't be recorded at once";
-  if (store::json_size({spec, false, loop_.wall()}) > store::value_bytes(limits.value_kb))
-    return "its record is larger than the state service takes";
-  return {};
+  if (!wire::valid_job_id(id)) return reply_no_such_job(call);
+  reply_if_known(call, TaskCounts::included, [call] { reply_no_such_job(call); });
 }
 
+// --- submissions -------------------------------------------------------------
+
 void UserApi::submit(const std::string& body, net::Responder respond) {
-  auto call = enter(std::move(respond), k::kUserDeadline);
+  const auto call = admit(std::move(respond), k::kUserDeadline);
   if (!call) return;
+  if (const auto error = decode_submission(body, *call)) return reply_malformed(call, *error);
+  if (in_mirror(call->id)) {
+    return reply_if_known(call, TaskCounts::omitted, [call] { reply_unavailable(call); });
+  }
+  if (!admission_.machine_types_known()) return reply_unavailable(call);
+  if (const auto reason = admission_.check(call->spec, loop_.wall()))
+    return reply_rejected(call, *reason);
+  create_job(call);
+}
+
+std::optional<wire::DecodeError> UserApi::decode_submission(const std::string& body, Call& call) {
   try {
     const auto document = wire::Document::parse(body);
-    // Read first: an id that was accepted before keeps its answer, whatever
-    // else is sent with it now.
-    call->id = wire::decode_job_id(document.root());
-    call->spec = wire::decode_job(document.root());
+    // The id is read first: an id that was accepted before keeps its answer, even if the rest of
+    // the submission is malformed now.
+    call.id = wire::decode_job_id(document.root());
+    call.spec = wire::decode_job(document.root());
+    return std::nullopt;
   } catch (const wire::DecodeError& error) {
     spdlog::info("a submission is malformed: {}", error.what());
-    if (call->id.empty()) return refuse(call, 400, error.what());
-    return if_known(call, false,
-                    [call, problem = std::string(error.what())] { refuse(call, 400, problem); });
+    return error;
   }
-  if (mirror_.final_state(call->id) || mirror_.job(call->id) != nullptr) {
-    return if_known(call, false, [call] { later(call); });
-  }
-  if (machine_types_.empty()) return later(call);
-  if (const auto problem = objection(call->spec); !problem.empty()) {
-    // An id that was accepted before keeps its answer, whatever is sent now.
-    return if_known(call, false, [call, problem] { refuse(call, 422, problem); });
-  }
-  create(call);
 }
 
-void UserApi::create(const CallPtr& call) {
+void UserApi::reply_malformed(const CallPtr& call, const wire::DecodeError& error) {
+  if (call->id.empty()) return reply_error(call, 400, error.what());
+  reply_if_known(call, TaskCounts::omitted,
+                 [call, error] { reply_error(call, 400, error.what()); });
+}
+
+void UserApi::reply_rejected(const CallPtr& call, RejectionReason reason) {
+  // An id that was accepted before keeps its answer, whatever is submitted under it now.
+  reply_if_known(call, TaskCounts::omitted,
+                 [call, reason] { reply_error(call, 422, to_text(reason)); });
+}
+
+void UserApi::reply_created(const CallPtr& call) {
+  reply_status(call, 201, {call->id, wire::JobState::queued, 0, 0}, TaskCounts::omitted);
+}
+
+void UserApi::create_job(const CallPtr& call) {
   wire::Transaction transaction;
-  // Guarded on the final record too: a copy of this request that arrives
-  // after the job is over must not create it again.
+  // The absence of a final record is a precondition too (rule 8): a copy of this request that
+  // arrives after the job is over must not create the job again.
   transaction.preconditions = {{store::job_key(call->id), 0}, {store::final_key(call->id), 0}};
   transaction.writes = {{store::job_key(call->id),
                          store::encode(store::JobRecord{call->spec, false, loop_.wall()}), 0}};
   store_.commit(std::move(transaction),
                 scope_.wrap([this, call](const store::CommitResult& result) {
-                  switch (result.outcome) {
-                    case Outcome::ok:
-                      return reply(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
-                    case Outcome::conflict:
-                      return if_known(call, false, [call] { later(call); });
-                    case Outcome::unavailable:
-                      return retry(call, [this, call] { create(call); });
-                    case Outcome::unknown:
-                      return confirm_create(call);
-                    default:
-                      return later(call);
-                  }
+                  on_create_result(call, result);
                 }));
 }
 
-void UserApi::confirm_create(const CallPtr& call) {
+void UserApi::on_create_result(const CallPtr& call, const store::CommitResult& result) {
+  switch (result.outcome) {
+    case Outcome::ok:
+      return reply_created(call);
+    case Outcome::conflict:
+      return reply_if_known(call, TaskCounts::omitted, [call] { reply_unavailable(call); });
+    case Outcome::unavailable:
+      return retry_before_deadline(call, [this, call] { create_job(call); });
+    case Outcome::unknown:
+      return confirm_created(call);
+    default:
+      return reply_unavailable(call);
+  }
+}
+
+void UserApi::confirm_created(const CallPtr& call) {
   store_.get(store::job_key(call->id), scope_.wrap([this, call](const store::GetResult& result) {
-    if (result.outcome == Outcome::ok)
-      return reply(call, 201, {call->id, wire::JobState::queued, 0, 0}, false);
-    if (result.outcome == Outcome::missing) return retry(call, [this, call] { create(call); });
-    later(call);
+    if (result.outcome == Outcome::ok) return reply_created(call);
+    if (result.outcome == Outcome::missing)
+      return retry_before_deadline(call, [this, call] { create_job(call); });
+    reply_unavailable(call);
   }));
 }
 
+// --- cancellations -----------------------------------------------------------
+
 void UserApi::cancel(const std::string& id, net::Responder respond) {
-  auto call = enter(std::move(respond), k::kUserDeadline);
+  const auto call = admit(std::move(respond), k::kUserDeadline);
   if (!call) return;
   call->id = id;
-  if (!wire::valid_job_id(id)) return refuse(call, 404, "no such job");
-  mark_cancelled(call);
+  if (!wire::valid_job_id(id)) return reply_no_such_job(call);
+  cancel_live_job(call);
 }
 
-void UserApi::mark_cancelled(const CallPtr& call) {
+void UserApi::cancel_live_job(const CallPtr& call) {
   const auto* job = mirror_.job(call->id);
-  if (job == nullptr) {
-    // Over, unknown, or too new for this mirror.
-    return read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
-      if (!current && !mirror_.final_state(call->id)) return later(call);
-      if (mirror_.job(call->id) != nullptr) return mark_cancelled(call);
-      if_known(call, false, [call] { refuse(call, 404, "no such job"); });
-    });
-  }
-  if (job->record.cancelled) return reply(call, 200, mirror_.status(call->id), false);
+  if (job == nullptr) return cancel_after_read_index(call);
+  if (job->record.cancelled)
+    return reply_status(call, 200, mirror_.status(call->id), TaskCounts::omitted);
+  record_cancellation(call, *job);
+}
+
+void UserApi::cancel_after_read_index(const CallPtr& call) {
+  // The job is over, or unknown, or was submitted too recently for this mirror.
+  read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
+    if (!current && !mirror_.final_state(call->id)) return reply_unavailable(call);
+    if (mirror_.job(call->id) != nullptr) return cancel_live_job(call);
+    reply_if_known(call, TaskCounts::omitted, [call] { reply_no_such_job(call); });
+  });
+}
+
+void UserApi::record_cancellation(const CallPtr& call, const store::Mirror::Job& job) {
   const auto record =
-      store::cancelled_record(job->record, store::value_bytes(settings_.state_limits().value_kb));
+      store::cancelled_record(job.record, store::value_bytes(settings_.state_limits().value_kb));
   wire::Transaction transaction;
-  transaction.preconditions = {{store::job_key(call->id), job->mod_revision}};
+  transaction.preconditions = {{store::job_key(call->id), job.mod_revision}};
   transaction.writes = {{store::job_key(call->id), store::encode(record), 0}};
   store_.commit(std::move(transaction),
                 scope_.wrap([this, call](const store::CommitResult& result) {
-                  if (result.outcome == Outcome::ok) {
-                    cancelled_(call->id);
-                    return reply(call, 200, {call->id, wire::JobState::cancelled, 0, 0}, false);
-                  }
-                  if (result.outcome == Outcome::unavailable)
-                    return retry(call, [this, call] { mark_cancelled(call); });
-                  // Changed by somebody else, or perhaps by this very request: look again
-                  // with a mirror that is current.
-                  read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
-                    if (!current) return later(call);
-                    retry(call, [this, call] { mark_cancelled(call); });
-                  });
+                  on_cancel_result(call, result);
                 }));
 }
 
+void UserApi::on_cancel_result(const CallPtr& call, const store::CommitResult& result) {
+  if (result.outcome == Outcome::ok) {
+    cancelled_(call->id);
+    return reply_status(call, 200, {call->id, wire::JobState::cancelled, 0, 0},
+                        TaskCounts::omitted);
+  }
+  if (result.outcome == Outcome::unavailable)
+    return retry_before_deadline(call, [this, call] { cancel_live_job(call); });
+  // The record was changed by another controller, or perhaps by this very request if its outcome
+  // is unknown. A mirror that is current tells which.
+  read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
+    if (!current) return reply_unavailable(call);
+    retry_before_deadline(call, [this, call] { cancel_live_job(call); });
+  });
+}
+
 }  // namespace elmstall::api
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -1,19 +1,34 @@
-// Users' requests, served by every node straight against the state service:
-// users never wait for an election.
+/// \file
+/// The requests of users: submissions, polls and cancellations.
+///
+/// Every controller serves them straight against the state service, so users never wait for an
+/// election. An answer about a job's state is given only when it can't be out of date: final
+/// states never change, and anything else is answered after a read index ("Reads never go back"
+/// in docs/design.md). A request that can't be decided in time gets 503 with `Retry-After`.
 #pragma once
 
+#include <functional>
 #include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
+#include "api/admission.hpp"
 #include "api/concurrency_limit.hpp"
 #include "config/settings.hpp"
 #include "election/read_index.hpp"
 #include "net/http_server.hpp"
+#include "runtime/command_queue.hpp"
+#include "store/mirror.hpp"
+#include "store/state_store.hpp"
 
 namespace elmstall::api {
 
+/// Runs on the controller's event loop. Every request is answered exactly once.
 class UserApi {
  public:
-  /// `cancelled`: called for each cancellation recorded, before its user is told.
+  /// `cancelled` is called for each cancellation that this controller has recorded, before the
+  /// user is answered (rule 8).
   UserApi(const config::Settings& settings, runtime::EventLoop& event_loop,
           runtime::CommandQueue& queue, store::StateStore& store, store::Mirror& mirror,
           election::ReadIndex& read_index, std::function<void(const std::string& job)> cancelled)
@@ -24,38 +39,79 @@
         read_index_(read_index),
         cancelled_(std::move(cancelled)),
         scope_(queue),
+        admission_(settings),
         limit_(settings.tuning.requests_max) {}
 
+  /// New submissions are answered with 503 until the machine types are known.
   void set_machine_types(const std::vector<wire::MachineType>& machine_types) {
-    machine_types_ = machine_types;
+    admission_.set_machine_types(machine_types);
   }
+
+  /// Submits a job. 201: recorded now; 200 with its state: its id was accepted before; 400:
+  /// malformed; 422: it can never run here; 503: try again.
   void submit(const std::string& body, net::Responder respond);
+  /// Asks for a job's state. 200, 404, or 503: try again.
   void poll(const std::string& id, net::Responder respond);
+  /// Cancels a job. 200: cancelled, or over already; 404; 503: try again.
   void cancel(const std::string& id, net::Responder respond);
+
   [[nodiscard]] const ConcurrencyLimit& limit() const { return limit_; }
 
  private:
+  /// A request in progress.
   struct Call {
     net::Responder respond;
-    double deadline = 0;
-    wire::JobSpec spec;
-    std::string id;
+    double deadline = 0;  ///< seconds on the event loop's steady clock
+    wire::JobSpec spec;   ///< of a submission
+    std::string id;       ///< of the job
   };
   using CallPtr = std::shared_ptr<Call>;
+  /// Whether an answer contains the job's numbers of tasks beside its state.
+  enum class TaskCounts : std::uint8_t { omitted, included };
 
-  /// Counts the request against the limit; nothing when it is shed.
-  CallPtr enter(net::Responder respond, double patience_s);
-  static void later(const CallPtr& call);
-  static void reply(const CallPtr& call, int status, const wire::JobStatus& state, bool counts);
-  static void refuse(const CallPtr& call, int status, const std::string& text);
+  // Every request.
+  /// Counts the request against the concurrency limit. Returns nullptr when the request is shed,
+  /// which has then been answered.
+  CallPtr admit(net::Responder respond, double patience_s);
+  /// Calls `again` after a pause, or answers with 503 if the deadline does not allow that.
+  void retry_before_deadline(const CallPtr& call, std::function<void()> again);
 
+  // Answers.
+  static void reply_status(const CallPtr& call, int http_status, const wire::JobStatus& status,
+                           TaskCounts counts);
+  static void reply_error(const CallPtr& call, int http_status, std::string_view text);
+  static void reply_no_such_job(const CallPtr& call);
+  /// 503: the request could not be decided in time, the user should try again.
+  static void reply_unavailable(const CallPtr& call);
   /// Answers with the job's state if there is such a job, else calls `otherwise`.
-  void if_known(const CallPtr& call, bool counts, std::function<void()> otherwise);
-  void create(const CallPtr& call);
-  void confirm_create(const CallPtr& call);
-  void mark_cancelled(const CallPtr& call);
-  void retry(const CallPtr& call, std::function<void()> again);
-  [[nodiscard]] std::string objection(wire::JobSpec& spec) const;
+  void reply_if_known(const CallPtr& call, TaskCounts counts, std::function<void()> otherwise);
+  /// The second half of that, for jobs that are not among the live ones: reads the final record.
+  void reply_if_final(const CallPtr& call, TaskCounts counts, std::function<void()> otherwise);
+
+  // Submissions.
+  /// Reads the submission into the call. Returns the error of a malformed one, whose id is set
+  /// all the same if that much could be read.
+  [[nodiscard]] static std::optional<wire::DecodeError> decode_submission(const std::string& body,
+                                                                          Call& call);
+  void reply_malformed(const CallPtr& call, const wire::DecodeError& error);
+  void reply_rejected(const CallPtr& call, RejectionReason reason);
+  static void reply_created(const CallPtr& call);
+  /// Records the job, provided that there is no record of its id.
+  void create_job(const CallPtr& call);
+  void on_create_result(const CallPtr& call, const store::CommitResult& result);
+  /// Reads the job's record after a commit whose outcome is unknown.
+  void confirm_created(const CallPtr& call);
+
+  // Cancellations.
+  /// Records the cancel mark if the mirror holds the job unfinished and without one.
+  void cancel_live_job(const CallPtr& call);
+  /// For a job that the mirror does not hold: looks again once the mirror is current.
+  void cancel_after_read_index(const CallPtr& call);
+  void record_cancellation(const CallPtr& call, const store::Mirror::Job& job);
+  void on_cancel_result(const CallPtr& call, const store::CommitResult& result);
+
+  /// Whether the mirror holds the job, live or final.
+  [[nodiscard]] bool in_mirror(const std::string& id) const;
 
   const config::Settings& settings_;
   runtime::EventLoop& loop_;
@@ -64,7 +120,7 @@
   election::ReadIndex& read_index_;
   std::function<void(const std::string& job)> cancelled_;
   runtime::CommandScope scope_;
-  std::vector<wire::MachineType> machine_types_;
+  Admission admission_;
   ConcurrencyLimit limit_;
 };
 
