--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -163,7 +163,8 @@
     for (auto& task : block->tasks) {
       planner_.dequeue(task);
       if (task.phase == state::Phase::planned || task.phase == state::Phase::assigned) {
-        placement::stop_task(model_, task, false, context_.event_loop.now());
+        placement::stop_task(model_, task, placement::StopMode::immediate,
+                             context_.event_loop.now());
         // Whatever it was saving is of no use to anybody now.
         task.grace_period_s = 0;
       }
@@ -459,7 +460,7 @@
     const double needs = estimates_.run_time(spec.job_class, spec.expect_s) - ran;
     // What can't end in time starts elsewhere at once.
     if (task->job->is_service() || spec.checkpoint_every_s > 0 || needs > left)
-      placement::stop_task(model_, *task, true, now);
+      placement::stop_task(model_, *task, placement::StopMode::with_checkpoint, now);
   }
 }
 
--- /dev/null
+++ b/src/placement/direct_placement.hpp
@@ -0,0 +1,53 @@
+/// @file
+/// Places the jobs that do not wait in the queues: services, arrays whose tasks must stay together
+/// in one zone, and gangs, which are handed to the GangCoordinator. Runs on the controller's event
+/// loop; times are seconds of its steady clock.
+#pragma once
+
+#include <vector>
+
+#include "placement/gang_coordinator.hpp"
+#include "placement/machine_index.hpp"
+#include "placement/preemption_search.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::placement {
+
+/// Places the tasks of such jobs at once where there is room, or else by preemption.
+class DirectPlacement {
+ public:
+  DirectPlacement(const config::Settings& settings, state::Model& model,
+                  const MachineIndex& machines, PreemptionSearch& preemption,
+                  GangCoordinator& gangs)
+      : settings_(settings),
+        model_(model),
+        machines_(machines),
+        preemption_(preemption),
+        gangs_(gangs) {}
+
+  /// Takes all open jobs of these kinds one step further, by precedence and then by age. Jobs with
+  /// nothing left to place are no longer open afterwards.
+  void place_open_jobs(double now);
+
+ private:
+  /// What is to become of a job in the set of open jobs.
+  enum class Progress : std::uint8_t { still_open, settled };
+
+  [[nodiscard]] std::vector<state::Job*> open_jobs_by_precedence(double now);
+  [[nodiscard]] Progress place(state::Job& job, double now);
+  [[nodiscard]] Progress place_tasks(state::Job& job, double now);
+  /// Starts one task, or makes room for it; false if neither is possible now.
+  bool place_task(state::Task& task, double now);
+  /// The machine with the best score among those with room for the job's next task, or null.
+  [[nodiscard]] state::Machine* best_machine_with_room(const state::Job& job) const;
+  /// Chooses the zone with the most room for a job whose tasks must stay together.
+  void choose_zone(state::Job& job, double now);
+
+  const config::Settings& settings_;
+  state::Model& model_;
+  const MachineIndex& machines_;
+  PreemptionSearch& preemption_;
+  GangCoordinator& gangs_;
+};
+
+}  // namespace elmstall::placement
--- /dev/null
+++ b/src/placement/gang_attempts.cpp
@@ -0,0 +1,167 @@
+#include "placement/gang_attempts.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <limits>
+
+#include "config/constants.hpp"
+#include "placement/gang_tasks.hpp"
+#include "placement/task_stop.hpp"
+
+namespace elmstall::placement {
+
+using GangState = state::Gang::State;
+using wire::TaskState;
+
+namespace {
+
+/// Ratio. Time allowed for a fetch to the time it takes at the machine type's full rate: other
+/// traffic may share the machine's network.
+constexpr double kFetchTimeAllowance = 2.0;
+/// Seconds. No part of a replacement's time is spent on fetching.
+constexpr double kNoFetch = 0;
+
+bool is_lost(const state::Task* task) { return task->phase == state::Phase::pending; }
+
+bool is_running(const state::Task* task) {
+  return task->phase == state::Phase::assigned && task->running_since != state::kNever;
+}
+
+}  // namespace
+
+void GangAttempts::start(state::Job& job, const std::vector<state::Task*>& tasks,
+                         const GangPlaces& places, double now) {
+  auto& gang = job.gang;
+  std::uint64_t last_attempt = gang.attempt;
+  for (const auto* task : tasks) last_attempt = std::max(last_attempt, task->attempt);
+  gang.attempt = last_attempt + 1;
+  gang.committed = false;
+  gang.broken = false;
+  gang.gathering_since = std::numeric_limits<double>::infinity();
+  put_tasks_in_places(job, tasks, places, [&](state::Task& task, state::Machine& machine) {
+    model_.assign(task, machine, gang.attempt, now);
+  });
+  change_gang_state(job, GangState::starting, now);
+  spdlog::info("gang {} starts attempt {} on {} machines", job.id, gang.attempt, places.size());
+}
+
+bool GangAttempts::is_committed(state::Job& job) {
+  auto& gang = job.gang;
+  if (gang.committed) return true;
+  // All tasks are looked at until they are committed; from then on the result is remembered.
+  const auto tasks = load_gang_tasks(model_, job);
+  gang.committed = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
+    return task->phase == state::Phase::assigned && task->attempt == gang.attempt &&
+           task->block->record->written >= task->required_version;
+  });
+  return gang.committed;
+}
+
+void GangAttempts::watch_start(state::Job& job, const state::MachineSet& with_room, double now) {
+  const auto tasks = load_gang_tasks(model_, job);
+  if (std::all_of(tasks.begin(), tasks.end(), is_running))
+    return change_gang_state(job, GangState::running, now);
+  if (std::none_of(tasks.begin(), tasks.end(), is_lost)) return;
+  if (job.on_machines == 0) return end(job, "all its tasks are gone", now);
+  // A gang whose tasks have begun to run, or were told to end, can't take a replacement any more.
+  // Its remaining tasks are ended to make room for the next attempt.
+  if (job.gang.broken) return end(job, "a task is gone", now);
+  if (others_still_wait(job)) return replace_lost_tasks(job, with_room, now);
+  if (!time_for_replacement(job, kNoFetch, now)) end(job, "it can't be completed", now);
+}
+
+// --- replacement of lost tasks ---------------------------------------------------------------
+
+bool GangAttempts::others_still_wait(state::Job& job) const {
+  // Heartbeats tell of the past. Therefore each of the other tasks must have been seen waiting in
+  // a heartbeat that was sent after the machine was told to run it.
+  const auto tasks = load_gang_tasks(model_, job);
+  return std::all_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
+    if (task->phase != state::Phase::assigned || !task->run_sent) return true;
+    const bool waits = task->state == TaskState::fetching || task->state == TaskState::gathering;
+    return task->in_last_heartbeat && waits && task->machine->synchronized;
+  });
+}
+
+bool GangAttempts::time_for_replacement(const state::Job& job, double fetch_s, double now) const {
+  const double others_give_up_at = job.gang.gathering_since + settings_.gang_wait_s;
+  return now + fetch_s + constants::kGangReplaceMargin < others_give_up_at;
+}
+
+double GangAttempts::fetch_time_s(const state::Job& job, const state::Machine& machine) const {
+  if (machine.caches(job.image)) return 0;
+  const auto* type = model_.machine_type(machine.type);
+  const double rate = type == nullptr ? 0 : type->fetch_gb_per_s;
+  return rate > 0 ? kFetchTimeAllowance * job.spec.image_gb / rate : 0;
+}
+
+state::Machine* GangAttempts::machine_for_replacement(const state::Job& job,
+                                                      const state::MachineSet& with_room,
+                                                      double now) const {
+  state::Machine* best = nullptr;
+  for (auto* machine : with_room) {
+    const bool suitable = job.need.fits(machine->room()) && state::Model::allowed(job, *machine) &&
+                          !job.gang.avoided.contains(machine->id) &&
+                          state::Model::within_quota(job) &&
+                          time_for_replacement(job, fetch_time_s(job, *machine), now);
+    if (!suitable) continue;
+    if (best == nullptr || (machine->caches(job.image) && !best->caches(job.image))) best = machine;
+  }
+  return best;
+}
+
+void GangAttempts::replace_lost_tasks(state::Job& job, const state::MachineSet& with_room,
+                                      double now) {
+  auto& gang = job.gang;
+  if (now < gang.tried_at + constants::kGangRetryInterval) return;
+  gang.tried_at = now;
+  const auto lost_tasks = load_pending_gang_tasks(model_, job);
+  if (!time_for_replacement(job, kNoFetch, now)) return end(job, "time is short", now);
+  for (auto* task : lost_tasks) {
+    if (task->not_before > now) return;
+    auto* machine = machine_for_replacement(job, with_room, now);
+    if (machine == nullptr) return;
+    spdlog::info("gang {}: task {} starts again on machine {}", job.id, task->index, machine->id);
+    model_.assign(*task, *machine, gang.attempt, now);
+  }
+}
+
+// --- the end ---------------------------------------------------------------------------------
+
+void GangAttempts::end(state::Job& job, const char* reason, double now) {
+  spdlog::info("gang {} ends attempt {}: {}", job.id, job.gang.attempt, reason);
+  change_gang_state(job, GangState::ending, now);
+  for (auto* task : load_gang_tasks(model_, job)) end_gang_task(model_, *task);
+  if (job.on_machines == 0) finish(job, now);
+}
+
+void GangAttempts::finish(state::Job& job, double now) {
+  auto& gang = job.gang;
+  if (gang.completed) return complete(job, now);
+  gang.committed = false;
+  gang.broken = false;
+  gang.tried_at = state::kNever;
+  change_gang_state(job, GangState::waiting, now);
+}
+
+void GangAttempts::complete(state::Job& job, double now) {
+  for (const auto* task : load_gang_tasks(model_, job)) {
+    if (task->running_since == state::kNever) continue;
+    estimates_.learn(job.spec.job_class, job.spec.expect_s, now - task->running_since);
+    break;  // All tasks of a gang run for the same time, so one of them is enough.
+  }
+  for (const auto& [number, block] : job.blocks) {
+    // The model empties a block's list of tasks when the last of them completes. Therefore the
+    // number of tasks is taken before the loop, and the tasks are reached by their position.
+    const std::size_t task_count = block->tasks.size();
+    for (std::size_t i = 0; i < task_count; ++i) {
+      auto& task = block->tasks[i];
+      if (task.phase == state::Phase::planned) model_.unplan(task);
+      if (task.phase != state::Phase::done) model_.complete(task);
+    }
+  }
+  change_gang_state(job, GangState::done, now);
+}
+
+}  // namespace elmstall::placement
--- /dev/null
+++ b/src/placement/gang_claims.cpp
@@ -0,0 +1,149 @@
+#include "placement/gang_claims.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <map>
+#include <string>
+
+#include "config/constants.hpp"
+#include "placement/eligibility.hpp"
+#include "placement/gang_tasks.hpp"
+#include "placement/preemption.hpp"
+
+namespace elmstall::placement {
+
+using GangState = state::Gang::State;
+
+void GangClaims::begin_round() {
+  budget_.reset();
+  if (reservation_ == kNoReservation) return;
+  auto* job = model_.job_by_serial(reservation_);
+  if (job == nullptr || job->gang.state != GangState::claiming) {
+    reservation_ = kNoReservation;
+    return;
+  }
+  unplan_tasks(model_, load_gang_tasks(model_, *job));
+}
+
+void GangClaims::release_reservation(const state::Job& job) {
+  if (has_reservation(job)) reservation_ = kNoReservation;
+}
+
+void GangClaims::advance(state::Job& job, const state::MachineSet& with_room, double now) {
+  const auto tasks = load_gang_tasks(model_, job);
+  const double longest_s =
+      has_reservation(job) ? constants::kGangReserveMax : constants::kGangClaimMax;
+  if (lost_place(job, tasks, now) || now > job.gang.since + longest_s) return give_up(job, now);
+  if (has_reservation(job)) return extend_reservation(job, tasks, with_room, now);
+  if (places_are_free(tasks)) start_on_claimed_places(job, tasks, now);
+}
+
+bool GangClaims::lost_place(const state::Job& job, const std::vector<state::Task*>& tasks,
+                            double now) const {
+  return std::any_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
+    if (task->phase == state::Phase::planned) return !is_usable(*task->machine, now, settings_);
+    // Only a reservation may have tasks without a place.
+    return !has_reservation(job);
+  });
+}
+
+void GangClaims::give_up(state::Job& job, double now) {
+  unplan_tasks(model_, load_gang_tasks(model_, job));
+  auto& gang = job.gang;
+  if (has_reservation(job)) {
+    reservation_ = kNoReservation;
+    gang.claim_after = now + constants::kGangReserveMax;
+  }
+  gang.zone_chosen_at = state::kNever;
+  change_gang_state(job, GangState::waiting, now);
+}
+
+// --- claims by preemption --------------------------------------------------------------------
+
+bool GangClaims::claim_by_preemption(state::Job& job, const std::vector<state::Task*>& tasks,
+                                     double now) {
+  if (!budget_.try_consume(settings_, model_, job, now)) return false;
+  job.searched_at = now;
+  const auto places =
+      place_gang_by_preemption(job, tasks.size(), sites_.preemptible_sites(job, now));
+  if (!places) return false;
+  std::vector<state::Task*> victims;
+  for (const auto& place : *places) {
+    const auto need = job.need * static_cast<double>(place.tasks);
+    const auto chosen = choose_victims(job, *place.machine, need, now);
+    if (!chosen) return false;
+    victims.insert(victims.end(), chosen->begin(), chosen->end());
+  }
+  const double restart_after = now + constants::kPreemptPause;
+  for (auto* victim : victims)
+    stop_task(model_, *victim, StopMode::with_checkpoint, now, restart_after);
+  put_tasks_in_places(job, tasks, *places, [&](state::Task& task, state::Machine& machine) {
+    model_.plan(task, machine);
+  });
+  change_gang_state(job, GangState::claiming, now);
+  spdlog::info("gang {} takes the room of {} lesser tasks", job.id, victims.size());
+  return true;
+}
+
+bool GangClaims::places_are_free(const std::vector<state::Task*>& tasks) {
+  std::map<const state::Machine*, sched::Amount> need_by_machine;
+  for (const auto* task : tasks) need_by_machine[task->machine] += task->job->need;
+  return std::all_of(need_by_machine.begin(), need_by_machine.end(), [](const auto& entry) {
+    const auto& [machine, need] = entry;
+    return need.fits(machine->capacity - use_without_planned(*machine));
+  });
+}
+
+void GangClaims::start_on_claimed_places(state::Job& job, const std::vector<state::Task*>& tasks,
+                                         double now) {
+  GangPlaces places;
+  for (const auto* task : tasks) places.push_back({task->machine, 1});
+  unplan_tasks(model_, tasks);
+  attempts_.start(job, tasks, places, now);
+}
+
+// --- the reservation -------------------------------------------------------------------------
+
+void GangClaims::reserve(state::Job& job, std::size_t task_count, const GangSites& sites,
+                         double now) {
+  if (reservation_ != kNoReservation || now < job.submitted + constants::kGangReserveAfter ||
+      now < job.gang.claim_after || sites.machines.empty())
+    return;
+  reservation_ = job.serial;
+  change_gang_state(job, GangState::claiming, now);
+  spdlog::info("gang {} of {} tasks keeps what room there is", job.id, task_count);
+}
+
+void GangClaims::extend_reservation(state::Job& job, const std::vector<state::Task*>& tasks,
+                                    const state::MachineSet& with_room, double now) {
+  const auto sites = sites_.free_sites(job, with_room);
+  if (gang_within_quota(job, tasks.size())) {
+    if (const auto places = place_gang_in_free_room(job, tasks.size(), sites)) {
+      release_reservation(job);
+      return attempts_.start(job, tasks, *places, now);
+    }
+  }
+  choose_gang_zone(settings_, job, sites, now);
+  plan_reserved_places(job, tasks, sites);
+}
+
+void GangClaims::plan_reserved_places(const state::Job& job, const std::vector<state::Task*>& tasks,
+                                      const GangSites& sites) {
+  const auto required_zone = job.spec.together ? job.zone_choice : std::string();
+  const auto zone_limit = job.spec.spread ? sched::spread_limit(job.spec.tasks) : job.spec.tasks;
+  auto next = tasks.begin();
+  for (std::size_t i = 0; i < sites.machines.size() && next != tasks.end(); ++i) {
+    auto& machine = *sites.machines[i];
+    if (!required_zone.empty() && machine.zone != required_zone) continue;
+    const auto slots = sites.sites[i].free_slots;
+    for (std::size_t taken = 0; taken < slots && next != tasks.end(); ++taken) {
+      const auto in_zone = job.per_zone.find(machine.zone);
+      const bool zone_is_full = in_zone != job.per_zone.end() && in_zone->second >= zone_limit;
+      if (zone_is_full || !state::Model::within_quota(job)) break;
+      model_.plan(**next++, machine);
+    }
+  }
+}
+
+}  // namespace elmstall::placement
--- /dev/null
+++ b/src/placement/gang_claims.hpp
@@ -0,0 +1,69 @@
+/// @file
+/// Claims of gangs: places that are planned for a gang's tasks before an attempt starts there. A
+/// claim holds places for all tasks while preempted work leaves. A reservation is a claim that
+/// holds the places there are, though they do not suffice yet; at most one gang has one at a time.
+/// Nothing of a claim is recorded. Runs on the controller's event loop; times are seconds of its
+/// steady clock.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "placement/gang_attempts.hpp"
+#include "placement/gang_sites.hpp"
+#include "placement/preemption_search_budget.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::placement {
+
+/// Owner of all claims.
+class GangClaims {
+ public:
+  GangClaims(const config::Settings& settings, state::Model& model, const GangSiteFinder& sites,
+             GangAttempts& attempts)
+      : settings_(settings), model_(model), sites_(sites), attempts_(attempts) {}
+
+  /// Starts a new round of decisions, with a new budget of searches. The places of the reservation
+  /// are given up until its gang's turn comes, so that work of higher precedence chooses first.
+  void begin_round();
+  /// Claims places for all tasks of the gang by preempting lesser work; false if that is not
+  /// possible, or not to be tried now.
+  bool claim_by_preemption(state::Job& job, const std::vector<state::Task*>& tasks, double now);
+  /// Gives the reservation to the gang if it has waited long enough and the reservation is free.
+  void reserve(state::Job& job, std::size_t task_count, const GangSites& sites, double now);
+  /// Takes a gang in state `claiming` one step further: it starts when all its places have become
+  /// free, and gives its claim up when that takes too long or a place is lost.
+  void advance(state::Job& job, const state::MachineSet& with_room, double now);
+  /// Forgets the reservation if it belongs to this gang.
+  void release_reservation(const state::Job& job);
+
+ private:
+  [[nodiscard]] bool has_reservation(const state::Job& job) const {
+    return reservation_ == job.serial;
+  }
+  /// Whether the claim has lost a place, for example with its machine.
+  [[nodiscard]] bool lost_place(const state::Job& job, const std::vector<state::Task*>& tasks,
+                                double now) const;
+  /// Whether the preempted work has left all places that are planned for the tasks.
+  [[nodiscard]] static bool places_are_free(const std::vector<state::Task*>& tasks);
+  /// Starts the gang on the places it has claimed.
+  void start_on_claimed_places(state::Job& job, const std::vector<state::Task*>& tasks, double now);
+  /// Starts the gang if there is room for all its tasks, else reserves the room there is.
+  void extend_reservation(state::Job& job, const std::vector<state::Task*>& tasks,
+                          const state::MachineSet& with_room, double now);
+  void plan_reserved_places(const state::Job& job, const std::vector<state::Task*>& tasks,
+                            const GangSites& sites);
+  void give_up(state::Job& job, double now);
+
+  /// `reservation_` when no gang has one; serial numbers of jobs begin at 1.
+  static constexpr std::uint64_t kNoReservation = 0;
+
+  const config::Settings& settings_;
+  state::Model& model_;
+  const GangSiteFinder& sites_;
+  GangAttempts& attempts_;
+  PreemptionSearchBudget budget_;
+  std::uint64_t reservation_ = kNoReservation;  ///< serial number of the gang that holds it
+};
+
+}  // namespace elmstall::placement
--- /dev/null
+++ b/src/placement/gang_sites.cpp
@@ -0,0 +1,153 @@
+#include "placement/gang_sites.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "placement/eligibility.hpp"
+#include "placement/preemption.hpp"
+
+namespace elmstall::placement {
+
+namespace {
+
+/// Tasks. Bound of the slots counted on one machine, because the smallest task may need next to
+/// nothing.
+constexpr std::size_t kMaxCountedSlots = 1000;
+/// Slots. What it costs to put the first task on an empty machine: half a slot, so that it decides
+/// only between machines that are otherwise alike.
+constexpr double kEmptyMachineWaste = 0.5;
+
+/// Whether a task of another image is fetching it there, which would slow down a fetch for the job.
+bool fetches_other_image(const state::Job& job, const state::Machine& machine) {
+  return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const state::Task* task) {
+    return task->phase == state::Phase::assigned && task->state == wire::TaskState::fetching &&
+           task->job->image != job.image;
+  });
+}
+
+sched::GangRequest make_request(const state::Job& job, std::size_t task_count) {
+  sched::GangRequest request;
+  request.tasks = task_count;
+  request.together = job.spec.together;
+  request.zone_limit = job.spec.spread ? sched::spread_limit(job.spec.tasks) : 0;
+  return request;
+}
+
+std::optional<GangPlaces> to_places(const GangSites& sites,
+                                    const std::optional<std::vector<sched::GangShare>>& shares) {
+  if (!shares) return std::nullopt;
+  GangPlaces places;
+  for (const auto& share : *shares) places.push_back({sites.machines[share.site], share.tasks});
+  return places;
+}
+
+}  // namespace
+
+void GangSites::add(state::Machine& machine, sched::GangSite site) {
+  site.machine = machines.size();
+  machines.push_back(&machine);
+  sites.push_back(std::move(site));
+}
+
+double GangSiteFinder::slots_of_smallest_task(const sched::Amount& room) const {
+  const auto slots = sched::slots_in(room, model_.least_need());
+  return static_cast<double>(std::min(kMaxCountedSlots, slots));
+}
+
+std::optional<sched::GangSite> GangSiteFinder::describe(const state::Job& job,
+                                                        const state::Machine& machine) const {
+  if (!state::Model::allowed_kind(job, machine)) return std::nullopt;
+  sched::GangSite site;
+  site.zone = machine.zone;
+  const auto room = machine.room();
+  site.free_slots = sched::slots_in(room, job.need);
+  site.avoid = job.gang.avoided.contains(machine.id);
+  site.cached = machine.caches(job.image);
+  site.fetching = fetches_other_image(job, machine);
+  // Gangs should leave the room that arrays and services could use to them, and should not begin
+  // to use empty machines. Therefore the slots that such work would lose count as waste.
+  const auto taken = std::min<std::size_t>(site.free_slots, job.spec.tasks);
+  const auto room_left = room - job.need * static_cast<double>(taken);
+  const double slots_left = slots_of_smallest_task(room_left);
+  site.inviting = slots_left > 0;
+  site.waste =
+      slots_of_smallest_task(room) - slots_left + (machine.tasks.empty() ? kEmptyMachineWaste : 0);
+  return site;
+}
+
+GangSites GangSiteFinder::free_sites(const state::Job& job,
+                                     const state::MachineSet& with_room) const {
+  GangSites found;
+  for (auto* machine : with_room) {
+    auto site = describe(job, *machine);
+    if (site && site->free_slots > 0) found.add(*machine, std::move(*site));
+  }
+  return found;
+}
+
+GangSites GangSiteFinder::preemptible_sites(const state::Job& job, double now) const {
+  GangSites found;
+  for (const auto& [id, machine] : model_.machines()) {
+    if (!is_usable(*machine, now, settings_)) continue;
+    auto site = describe(job, *machine);
+    if (!site) continue;
+    sched::Amount room = machine->room();
+    // The work of a whole gang is lost with any of its tasks. A gang with several tasks on this
+    // machine is counted once for each of them here, which overstates the cost.
+    double lost_s = 0;
+    for (const auto* task : machine->tasks) {
+      if (!may_preempt(job, *task)) continue;
+      room += task->job->need;
+      lost_s += lost_work_s(*task, now);
+    }
+    const auto all_slots = sched::slots_in(room, job.need);
+    if (all_slots == 0) continue;
+    site->extra_slots = all_slots - std::min(all_slots, site->free_slots);
+    site->extra_cost = site->extra_slots == 0 ? 0 : lost_s / static_cast<double>(site->extra_slots);
+    found.add(*machine, std::move(*site));
+  }
+  return found;
+}
+
+std::optional<GangPlaces> place_gang_in_free_room(const state::Job& job, std::size_t task_count,
+                                                  const GangSites& sites) {
+  return to_places(
+      sites, sched::place_gang(sites.sites, make_request(job, task_count), /*displace=*/false));
+}
+
+std::optional<GangPlaces> place_gang_by_preemption(const state::Job& job, std::size_t task_count,
+                                                   const GangSites& sites) {
+  return to_places(
+      sites, sched::place_gang(sites.sites, make_request(job, task_count), /*displace=*/true));
+}
+
+void put_tasks_in_places(state::Job& job, const std::vector<state::Task*>& tasks,
+                         const GangPlaces& places,
+                         const std::function<void(state::Task&, state::Machine&)>& put) {
+  auto next = tasks.begin();
+  for (const auto& place : places) {
+    if (job.spec.together) job.zone_choice = place.machine->zone;
+    for (std::size_t i = 0; i < place.tasks; ++i) put(**next++, *place.machine);
+  }
+}
+
+bool gang_within_quota(const state::Job& job, std::size_t task_count) {
+  if (job.team == nullptr) return false;
+  const auto count = static_cast<double>(task_count);
+  return sched::within_limit_count(*job.team, *job.team_usage, job.need, count) >= count;
+}
+
+void choose_gang_zone(const config::Settings& settings, state::Job& job, const GangSites& sites,
+                      double now) {
+  if (!job.spec.together || job.spec.zone) return;
+  auto& gang = job.gang;
+  // A new choice after each look would provision some machines in every zone and enough in none.
+  if (!job.zone_choice.empty() && now < gang.zone_chosen_at + constants::kGangZonePatience) return;
+  auto zone = sched::zone_with_most_room(sites.sites);
+  if (zone.empty()) zone = settings.zones[job.serial % settings.zones.size()];
+  job.zone_choice = std::move(zone);
+  gang.zone_chosen_at = now;
+}
+
+}  // namespace elmstall::placement
--- /dev/null
+++ b/src/placement/gang_sites.hpp
@@ -0,0 +1,80 @@
+/// @file
+/// Finds machines for all tasks of a gang at once: describes the machines that come into question
+/// and hands them to the pure placement algorithm in sched/gang_placement.hpp. Runs on the
+/// controller's event loop; times are seconds of its steady clock.
+#pragma once
+
+#include <functional>
+#include <optional>
+#include <vector>
+
+#include "sched/gang_placement.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::placement {
+
+/// Machines on which tasks of a gang could run. Both vectors have the same length and order.
+struct GangSites {
+  std::vector<state::Machine*> machines;
+  std::vector<sched::GangSite> sites;
+
+  void add(state::Machine& machine, sched::GangSite site);
+};
+
+/// A machine and the number of the gang's tasks that go there.
+struct GangPlace {
+  state::Machine* machine = nullptr;
+  std::size_t tasks = 0;
+};
+using GangPlaces = std::vector<GangPlace>;
+
+/// Describes machines from a gang's point of view.
+class GangSiteFinder {
+ public:
+  GangSiteFinder(const config::Settings& settings, state::Model& model)
+      : settings_(settings), model_(model) {}
+
+  /// The machines with free room for at least one task, out of `with_room`.
+  [[nodiscard]] GangSites free_sites(const state::Job& job,
+                                     const state::MachineSet& with_room) const;
+  /// All usable machines with room for at least one task, counting the room that preemption could
+  /// make there.
+  [[nodiscard]] GangSites preemptible_sites(const state::Job& job, double now) const;
+
+ private:
+  /// The machine as a site, without the room that preemption could make; empty if the gang may not
+  /// run on this kind of machine.
+  [[nodiscard]] std::optional<sched::GangSite> describe(const state::Job& job,
+                                                        const state::Machine& machine) const;
+  /// How many of the smallest other tasks there is room for.
+  [[nodiscard]] double slots_of_smallest_task(const sched::Amount& room) const;
+
+  const config::Settings& settings_;
+  state::Model& model_;
+};
+
+/// Places for `task_count` tasks of the gang in free room; empty if there is not enough.
+[[nodiscard]] std::optional<GangPlaces> place_gang_in_free_room(const state::Job& job,
+                                                                std::size_t task_count,
+                                                                const GangSites& sites);
+/// Places for `task_count` tasks of the gang in free room and in room that preemption has to make;
+/// empty if there is not enough.
+[[nodiscard]] std::optional<GangPlaces> place_gang_by_preemption(const state::Job& job,
+                                                                 std::size_t task_count,
+                                                                 const GangSites& sites);
+
+/// Calls `put` for each task, in order, with the machine of its place. A gang whose tasks must
+/// stay together is bound to the zone of these places.
+void put_tasks_in_places(state::Job& job, const std::vector<state::Task*>& tasks,
+                         const GangPlaces& places,
+                         const std::function<void(state::Task&, state::Machine&)>& put);
+
+/// Whether so many tasks of the gang fit into its team's quota together.
+[[nodiscard]] bool gang_within_quota(const state::Job& job, std::size_t task_count);
+
+/// Chooses the zone for which machines are provisioned, for a gang whose tasks must stay together:
+/// the one with the most room. The choice is kept for `constants::kGangZonePatience`.
+void choose_gang_zone(const config::Settings& settings, state::Job& job, const GangSites& sites,
+                      double now);
+
+}  // namespace elmstall::placement
--- /dev/null
+++ b/src/placement/job_queues.cpp
@@ -0,0 +1,164 @@
+#include "placement/job_queues.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "placement/eligibility.hpp"
+
+namespace elmstall::placement {
+
+sched::Eligible JobQueues::eligibility() {
+  return [this](sched::TaskId task, const std::string& worker) {
+    const auto* job = model_.job_of(task);
+    const auto* machine = model_.find_machine(worker);
+    return job != nullptr && machine != nullptr && may_ever_run(*job, *machine);
+  };
+}
+
+sched::Group& JobQueues::group_of(const state::Machine& machine) {
+  return groups_[group_name(machine)];
+}
+
+void JobQueues::remove_worker(const state::Machine& machine) {
+  const auto found = groups_.find(group_name(machine));
+  if (found != groups_.end()) found->second.remove_worker(machine.id);
+}
+
+void JobQueues::settle_inboxes() {
+  const auto eligible = eligibility();
+  for (auto& [name, group] : groups_) group.settle_inbox(eligible);
+}
+
+// --- entering and leaving the queues ---------------------------------------------------------
+
+sched::Group* JobQueues::shortest_group_for(sched::TaskId task) {
+  const auto eligible = eligibility();
+  sched::Group* shortest = nullptr;
+  for (auto& [name, group] : groups_) {
+    if (shortest != nullptr && group.mean() >= shortest->mean()) continue;
+    const auto& workers = group.workers();
+    const bool has_machine = std::any_of(workers.begin(), workers.end(), [&](const auto& worker) {
+      return eligible(task, worker.first);
+    });
+    if (has_machine) shortest = &group;
+  }
+  return shortest;
+}
+
+void JobQueues::push(const state::Job& job, const std::vector<state::Task*>& tasks, double now) {
+  if (tasks.empty()) return;
+  auto* group = shortest_group_for(tasks.front()->id);
+  // While no machine may run the tasks they stay outside the queues and are tried again later.
+  if (group == nullptr) return;
+  const auto position = queue_position(settings_, estimates_, job, now);
+  std::vector<sched::Queued> entries;
+  for (auto* task : tasks) {
+    task->listed = true;
+    entries.push_back(position.entry(task->id));
+  }
+  group->push_block(entries, eligibility());
+}
+
+JobQueues::Enqueued JobQueues::enqueue_block(state::Job& job, state::Block& block, double now) {
+  Enqueued result;
+  std::vector<state::Task*> unqueued;
+  for (auto& task : block.tasks) {
+    if (task.phase != state::Phase::pending) continue;
+    ++result.pending;
+    if (task.listed) continue;
+    if (task.not_before <= now) {
+      unqueued.push_back(&task);
+    } else {
+      result.complete = false;
+    }
+  }
+  push(job, unqueued, now);
+  const bool some_left = std::any_of(unqueued.begin(), unqueued.end(),
+                                     [](const state::Task* task) { return !task->listed; });
+  if (some_left) result.complete = false;
+  return result;
+}
+
+bool JobQueues::enqueue_job(state::Job& job, double now) {
+  Enqueued total;
+  const auto add_block = [&](state::Block& block) {
+    const auto enqueued = enqueue_block(job, block, now);
+    total.pending += enqueued.pending;
+    total.complete = total.complete && enqueued.complete;
+  };
+  for (const auto& [number, block] : job.blocks) add_block(*block);
+  // The blocks of a large job are brought into memory only as they are needed.
+  while (total.pending < constants::kWindowTasks && job.next_block < job.block_count) {
+    const auto number = job.next_block++;
+    if (!job.blocks.contains(number)) add_block(model_.load_block(job, number, nullptr));
+  }
+  return total.complete && job.next_block >= job.block_count;
+}
+
+void JobQueues::enqueue_open_jobs(double now) {
+  auto& open = model_.open();
+  for (auto it = open.begin(); it != open.end();) {
+    auto& job = **it;
+    const bool over = job.cancelled || job.all_done();
+    const bool settled = over || (!is_placed_directly(job) && enqueue_job(job, now));
+    it = settled ? open.erase(it) : std::next(it);
+  }
+}
+
+void JobQueues::dequeue(state::Task& task) {
+  if (!std::exchange(task.listed, false)) return;
+  for (auto& [name, group] : groups_) {
+    if (group.remove(task.id)) break;
+  }
+}
+
+// --- order -----------------------------------------------------------------------------------
+
+void JobQueues::reorder_and_balance(double now) {
+  if (now < next_reorder_) return;
+  next_reorder_ = now + constants::kReorderInterval;
+  // All tasks of a job have the same position, so it is computed once per job, by serial number.
+  std::map<std::uint64_t, QueuePosition> positions;
+  const auto update_entry = [&](sched::Queued& entry) {
+    const auto* job = model_.job_of(entry.id);
+    if (job == nullptr) return;
+    auto found = positions.find(job->serial);
+    if (found == positions.end()) {
+      const auto position = queue_position(settings_, estimates_, *job, now);
+      found = positions.emplace(job->serial, position).first;
+    }
+    entry = found->second.entry(entry.id);
+  };
+  const auto eligible = eligibility();
+  for (auto& [name, group] : groups_) {
+    if (group.queued() == 0) continue;
+    group.reorder(update_entry);
+    moves_ += group.balance(settings_.tuning.threshold_tasks, eligible);
+  }
+}
+
+// --- reading ---------------------------------------------------------------------------------
+
+std::optional<sched::Queued> JobQueues::next_for(const state::Machine& machine,
+                                                 const TaskFilter& may_take) {
+  const auto own_name = group_name(machine);
+  if (auto own_task = groups_[own_name].next(machine.id, may_take)) return own_task;
+  std::vector<const sched::Group*> others;
+  for (const auto& [name, group] : groups_) {
+    if (name != own_name && group.queued() > 0) others.push_back(&group);
+  }
+  std::stable_sort(others.begin(), others.end(),
+                   [](const auto* a, const auto* b) { return a->mean() > b->mean(); });
+  for (const auto* group : others) {
+    if (auto other_task = group->lend(may_take)) return other_task;
+  }
+  return std::nullopt;
+}
+
+bool JobQueues::empty() const {
+  return std::none_of(groups_.begin(), groups_.end(),
+                      [](const auto& entry) { return entry.second.queued() > 0; });
+}
+
+}  // namespace elmstall::placement
--- /dev/null
+++ b/src/placement/job_queues.hpp
@@ -0,0 +1,80 @@
+/// @file
+/// The queues of the groups of like machines: pending tasks of flexible jobs enter them block by
+/// block, are kept in order, and are balanced between machines by equation (1) of docs/design.md.
+/// Tasks that are placed directly (services, gangs, arrays that stay together) are never queued.
+/// Runs on the controller's event loop; times are seconds of its steady clock.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "placement/queue_position.hpp"
+#include "placement/run_time_estimates.hpp"
+#include "sched/group.hpp"
+#include "state/model.hpp"
+
+namespace elmstall::placement {
+
+/// Owner of all queues.
+class JobQueues {
+ public:
+  /// Decides whether a queued task may be taken.
+  using TaskFilter = std::function<bool(sched::TaskId)>;
+
+  JobQueues(const config::Settings& settings, state::Model& model,
+            const RunTimeEstimates& estimates)
+      : settings_(settings), model_(model), estimates_(estimates) {}
+
+  /// The group that the machine belongs to; it is created when there is none.
+  [[nodiscard]] sched::Group& group_of(const state::Machine& machine);
+  /// Takes the machine's queue away; its tasks return to the inbox of the group.
+  void remove_worker(const state::Machine& machine);
+  /// Offers tasks that had no eligible machine to those that have come meanwhile.
+  void settle_inboxes();
+
+  /// Puts the pending tasks of all open jobs into the queues. Jobs with nothing left to put there
+  /// are no longer open afterwards.
+  void enqueue_open_jobs(double now);
+  /// Takes the task out of its queue, if it is in one.
+  void dequeue(state::Task& task);
+  /// Sorts all queues anew and balances each group, once per `constants::kReorderInterval`.
+  void reorder_and_balance(double now);
+
+  /// The task that the machine should start next: one of its own group, or else of the other
+  /// group with the longest mean wait. The task stays in its queue.
+  [[nodiscard]] std::optional<sched::Queued> next_for(const state::Machine& machine,
+                                                      const TaskFilter& may_take);
+  [[nodiscard]] bool empty() const;
+
+  [[nodiscard]] const std::map<std::string, sched::Group>& groups() const { return groups_; }
+  /// Tasks that balancing has moved between machines so far.
+  [[nodiscard]] std::size_t moves() const { return moves_; }
+
+ private:
+  /// What was found when a block or a job was put into the queues.
+  struct Enqueued {
+    std::size_t pending = 0;  ///< pending tasks, whether they are queued or not
+    bool complete = true;     ///< all of them are queued
+  };
+
+  /// Whether a machine, given by its name, may ever run a task.
+  [[nodiscard]] sched::Eligible eligibility();
+  Enqueued enqueue_block(state::Job& job, state::Block& block, double now);
+  /// Returns true when all pending tasks of the job are queued.
+  bool enqueue_job(state::Job& job, double now);
+  void push(const state::Job& job, const std::vector<state::Task*>& tasks, double now);
+  /// The group with the lowest mean wait that has a machine for the task; null if there is none.
+  [[nodiscard]] sched::Group* shortest_group_for(sched::TaskId task);
+
+  const config::Settings& settings_;
+  state::Model& model_;
+  const RunTimeEstimates& estimates_;
+  std::map<std::string, sched::Group> groups_;
+  std::size_t moves_ = 0;
+  double next_reorder_ = state::kNever;
+};
+
+}  // namespace elmstall::placement
--- a/src/placement/preemption.hpp
+++ b/src/placement/preemption.hpp
@@ -1,34 +1,42 @@
-// Which work may be stopped to make room for other work, and what that costs.
+/// @file
+/// The order of precedence between jobs: which work may be preempted (stopped to make room for
+/// other work), and what that costs. Guarantees go before priorities between teams; within a team
+/// priorities alone count (docs/design.md, "Preemption"). All functions are free of side effects
+/// and run on the controller's event loop; times are seconds of its steady clock.
 #pragma once
 
 #include <optional>
 #include <vector>
 
+// Callers outside the package find `stop_task` by this header.
+#include "placement/task_stop.hpp"
 #include "state/model.hpp"
 
 namespace elmstall::placement {
 
-/// The job's next task lies within its team's guarantee.
-[[nodiscard]] bool guaranteed(const state::Job& job);
-/// Priority first, then guaranteed work; higher goes first.
+/// Whether the job's next task lies within the guarantee of its team.
+[[nodiscard]] bool is_guaranteed(const state::Job& job);
+
+/// Rank of the job: by priority, and within one priority guaranteed work first. Higher goes first.
 [[nodiscard]] int precedence(const state::Job& job);
-/// Whether this task may be stopped for the job's sake.
-[[nodiscard]] bool may_stop(const state::Job& job, const state::Task& victim);
-/// Seconds of work that are lost by stopping it; of a gang, by all its tasks.
-[[nodiscard]] double lost_work(const state::Task& victim, double now);
-/// The cheapest tasks whose end leaves room for `need` on the machine; none if
-/// there is no such set.
-[[nodiscard]] std::optional<std::vector<state::Task*>> victims(const state::Job& job,
-                                                               const state::Machine& machine,
-                                                               const sched::Amount& need,
-                                                               double now);
-/// Some work runs that the job might displace.
-[[nodiscard]] bool anything_lesser(const config::Settings& settings, const state::Model& model,
-                                   const state::Job& job);
-
-/// Stops a task, with time to save where that keeps work; it is not started
-/// again before `not_before`. A gang is stopped whole.
-void stop_task(state::Model& model, state::Task& task, bool save, double now,
-               double not_before = state::kNever);
+
+/// Whether the task may be stopped to make room for the job.
+[[nodiscard]] bool may_preempt(const state::Job& job, const state::Task& victim);
+
+/// Seconds of work that are lost when the task is stopped. A gang is stopped whole, so for a task
+/// of a gang the work of all its tasks counts.
+[[nodiscard]] double lost_work_s(const state::Task& victim, double now);
+
+/// The tasks on the machine that lose the least work and whose end leaves room for `need`. Empty
+/// when the job may not preempt enough there.
+[[nodiscard]] std::optional<std::vector<state::Task*>> choose_victims(const state::Job& job,
+                                                                      const state::Machine& machine,
+                                                                      const sched::Amount& need,
+                                                                      double now);
+
+/// Whether any work that the job might preempt is on machines: a cheap test that comes before a
+/// search through all machines. It may be true although no search succeeds.
+[[nodiscard]] bool has_preemptible_work(const config::Settings& settings, const state::Model& model,
+                                        const state::Job& job);
 
 }  // namespace elmstall::placement
--- a/src/placement/run_time_estimates.hpp
+++ b/src/placement/run_time_estimates.hpp
@@ -1,5 +1,7 @@
-// Learned run times: owners' estimates are often wrong, on some days all in
-// one direction.
+/// @file
+/// Corrections of the run times that owners expect of their tasks, learned per class of jobs. Such
+/// estimates are often wrong, and on some days all of them in the same direction. Kept in memory
+/// only; runs on the controller's event loop.
 #pragma once
 
 #include <algorithm>
@@ -10,23 +12,34 @@
 
 namespace elmstall::placement {
 
+/// Running average, for each class of jobs, of the actual to the expected run time.
 class RunTimeEstimates {
  public:
+  /// Takes in the run time of a completed task, in seconds. Nothing is learned unless both times
+  /// are positive.
   void learn(const std::string& job_class, double expected_s, double actual_s) {
     if (expected_s <= 0 || actual_s <= 0) return;
-    const double ratio = std::clamp(actual_s / expected_s, 0.1, 10.0);
-    auto& known = ratios_.try_emplace(job_class, 1.0).first->second;
-    known += constants::kLearnRate * (ratio - known);
+    const double ratio = std::clamp(actual_s / expected_s, kMinRatio, kMaxRatio);
+    auto& average = average_ratios_.try_emplace(job_class, kInitialRatio).first->second;
+    average += constants::kLearnRate * (ratio - average);
   }
-  /// Seconds that a task of this class with this estimate is likely to run.
+
+  /// Seconds that a task of this class with this expected run time is likely to take.
   [[nodiscard]] double run_time(const std::string& job_class, double expected_s) const {
     if (expected_s <= 0) return constants::kDefaultTaskTime;
-    const auto found = ratios_.find(job_class);
-    return expected_s * (found == ratios_.end() ? 1.0 : found->second);
+    const auto found = average_ratios_.find(job_class);
+    return expected_s * (found == average_ratios_.end() ? kInitialRatio : found->second);
   }
 
  private:
-  std::map<std::string, double> ratios_;
+  /// Ratios. One measurement counts within these bounds only, so that a single absurd estimate
+  /// does not spoil the average.
+  static constexpr double kMinRatio = 0.1;
+  static constexpr double kMaxRatio = 10.0;
+  /// Ratio. Estimates are believed as long as nothing is known of the class.
+  static constexpr double kInitialRatio = 1.0;
+
+  std::map<std::string, double> average_ratios_;
 };
 
 }  // namespace elmstall::placement
