--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 
 #include "config/constants.hpp"
-#include "placement/preemption.hpp"
+#include "placement/task_stop.hpp"
 #include "reconcile/machine_loss.hpp"
 
 namespace elmstall::reconcile {
@@ -153,7 +153,7 @@
     const double remaining = context_.estimates.run_time(spec.job_class, spec.expect_s) - ran_for;
     // Whatever can't end in time is moved to another machine at once.
     if (task->job->is_service() || spec.checkpoint_every_s > 0 || remaining > time_left)
-      placement::stop_task(context_.model, *task, true, now);
+      placement::stop_task(context_.model, *task, placement::StopMode::with_checkpoint, now);
   }
 }
 
--- a/src/reconcile/job_lifecycle.cpp
+++ b/src/reconcile/job_lifecycle.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <utility>
 
-#include "placement/preemption.hpp"
+#include "placement/task_stop.hpp"
 
 namespace elmstall::reconcile {
 
@@ -81,7 +81,8 @@
     for (auto& task : block->tasks) {
       context_.planner.dequeue(task);
       if (task.phase != Phase::planned && task.phase != Phase::assigned) continue;
-      placement::stop_task(context_.model, task, false, context_.event_loop.now());
+      placement::stop_task(context_.model, task, placement::StopMode::immediate,
+                           context_.event_loop.now());
       // A checkpoint that is being written is of no use to anybody now.
       task.grace_period_s = 0;
     }
