--- /dev/null
+++ b/src/net/http_client_pool.hpp
@@ -0,0 +1,65 @@
+/// The connections of one HTTP client and the requests that wait for one of them. Private to the
+/// implementation of `HttpClient`.
+#pragma once
+
+#include <asio.hpp>
+#include <chrono>
+#include <cstddef>
+#include <deque>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "net/http_client.hpp"
+
+namespace elmstall::net {
+
+/// Assigns requests to connections. Each connection holds a reference to the pool, so that the
+/// pool outlives the client until the last request in progress has ended.
+class HttpClient::Pool : public std::enable_shared_from_this<Pool> {
+ public:
+  using Clock = std::chrono::steady_clock;
+
+  /// A request that has not been given to a connection yet.
+  struct PendingRequest {
+    std::string text;  ///< as it goes over the connection, header fields included
+    Clock::time_point deadline;
+    ReplyHandler handler;
+  };
+
+  Pool(asio::io_context& io, asio::ip::tcp::endpoint endpoint, std::size_t max_connections);
+
+  /// Queues a request and serves it from the event loop, not from inside this call.
+  void submit(PendingRequest request);
+  /// Closes idle connections, and serves no further request.
+  void shut_down();
+
+  /// Takes back a connection that can carry another request.
+  void release(std::shared_ptr<Connection> connection);
+  /// Calls `serve_pending` from the event loop.
+  void schedule_serving();
+
+  [[nodiscard]] asio::io_context& io() const { return io_; }
+  [[nodiscard]] const asio::ip::tcp::endpoint& endpoint() const { return endpoint_; }
+  [[nodiscard]] bool is_shut_down() const { return shut_down_; }
+
+  /// To be called by the constructor and the destructor of each connection.
+  void connection_created() { ++open_connections_; }
+  void connection_destroyed() { --open_connections_; }
+
+ private:
+  /// Gives pending requests to connections for as long as there are both. Requests past their
+  /// deadline are answered as never sent.
+  void serve_pending();
+  [[nodiscard]] PendingRequest take_first_pending();
+
+  asio::io_context& io_;
+  asio::ip::tcp::endpoint endpoint_;
+  std::size_t max_connections_;
+  std::size_t open_connections_ = 0;  ///< busy and idle ones
+  std::vector<std::shared_ptr<Connection>> idle_;
+  std::deque<PendingRequest> pending_;
+  bool shut_down_ = false;
+};
+
+}  // namespace elmstall::net
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,67 +1,88 @@
-// HTTP/1.1 server on one Asio loop. Knows nothing of jobs.
+/// HTTP/1.1 server on one Asio event loop. It knows nothing of jobs or of the scheduler.
+///
+/// All calls and callbacks are made on the thread that runs the `asio::io_context`.
 #pragma once
 
 #include <asio.hpp>
 #include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
-#include <string_view>
 
 namespace elmstall::net {
 
+/// A request that has arrived whole.
 struct Request {
-  std::string method;
-  std::string path;
+  std::string method;  ///< "GET", "POST", and so on
+  std::string path;    ///< request target as sent, query included
   std::string body;
 };
 
+/// What is sent in reply to a request.
 struct Response {
-  int status = 200;
+  int status = 200;  ///< HTTP status code
   std::string body;
-  int retry_after_s = 0;  ///< 0: no such header
+  int retry_after_s = 0;  ///< seconds for the `Retry-After` header; 0 leaves the header out
   std::string content_type = "application/msgpack";
-  /// The client comes back as easily over a new connection: this one may be
-  /// closed after the answer when connections run short.
+  /// The client can reconnect at little cost, so the server may close this connection after the
+  /// response when connections run short (see `ServerLimits::crowded`).
   bool yields = false;
 };
 
-/// Called once, at once or any time later on the same loop.
+/// Sends the response to one request. The handler may call it from inside, or any time later on
+/// the event loop; only the first call counts. It keeps the connection object alive, and the
+/// response is dropped when the connection or the server has been closed meanwhile.
 using Responder = std::function<void(Response)>;
+
+/// Called on the event loop for each request.
 using Handler = std::function<void(Request, Responder)>;
 
+/// Limits that protect the process against too many or too large requests.
 struct ServerLimits {
-  /// Most connections at once. A newcomer beyond them takes the place of the
-  /// one that has been waited for in vain for the longest time.
+  /// Largest number of open connections. Beyond it a new connection replaces the one that has
+  /// waited longest for a request to arrive; without such a one the new connection is closed.
   std::size_t connections = 256;
+  /// Bytes. Largest request body; larger ones get a 413.
   std::size_t body_bytes = 0;
-  /// Connections above which those that yield are closed after their answer.
+  /// Number of open connections above which those that yield are closed after their response.
   std::size_t crowded = 256;
 };
 
+/// Accepts connections and passes their requests to a handler.
+///
+/// The server and its connections share the handler. Connections, with their responders, may
+/// outlive the server for as long as the event loop runs. A request whose last bytes had been read
+/// when the server was destroyed may still be passed to the handler; after that there are none.
 class HttpServer {
  public:
-  /// Throws std::system_error when the address can't be had.
+  /// Begins to listen at once. Throws std::system_error when the address is not available.
   HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, ServerLimits limits,
              Handler handler);
+  /// Closes all connections.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
+  /// The port that the server listens on, of use when port 0 was asked for.
   [[nodiscard]] std::uint16_t port() const;
+  /// Number of open connections.
   [[nodiscard]] std::size_t connections() const;
 
  private:
-  class Session;
+  class Connection;
   struct Shared;
   void accept();
-  /// Closes connections that were idle or half sent for too long.
+  void retry_accept();
+  /// Serves a new connection if there is room for it.
+  void admit(asio::ip::tcp::socket socket);
+  /// Closes connections that were idle or half sent for too long, now and from time to time.
   void check_deadlines();
 
   std::shared_ptr<Shared> shared_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer pause_;
-  asio::steady_timer deadline_check_;
+  asio::steady_timer accept_retry_timer_;
+  asio::steady_timer deadline_check_timer_;
 };
 
 }  // namespace elmstall::net
--- /dev/null
+++ b/src/net/http_server_connection.hpp
@@ -0,0 +1,82 @@
+/// One connection of the HTTP server, and the state that all its connections share. Private to
+/// the implementation of `HttpServer`.
+#pragma once
+
+#include <array>
+#include <asio.hpp>
+#include <chrono>
+#include <cstddef>
+#include <list>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <unordered_set>
+
+#include "net/http_request_parser.hpp"
+#include "net/http_server.hpp"
+
+namespace elmstall::net {
+
+/// What the server and its connections share. Each connection holds a reference, so that this
+/// outlives the server until the last connection is gone.
+struct HttpServer::Shared {
+  ServerLimits limits;
+  Handler handler;
+  std::unordered_set<Connection*> connections;
+  /// Connections that wait for a request or for the rest of one, in the order in which they
+  /// began to wait: the one at the front has been waiting longest.
+  std::list<Connection*> awaiting_request;
+  /// Open sockets. Less than `connections.size()` while the handlers of a closed socket are
+  /// still to run, since they keep their connection object alive.
+  std::size_t open_sockets = 0;
+  bool server_destroyed = false;
+};
+
+/// Serves the requests of one client, one after the other. Lives as long as a pending operation
+/// of the socket or a responder refers to it. Runs on the server's event loop.
+class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
+ public:
+  using Clock = std::chrono::steady_clock;
+
+  Connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared);
+  ~Connection();
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
+
+  /// Begins to read the first request.
+  void start();
+  /// Closes the connection if its deadline for the next step has passed.
+  void close_if_expired(Clock::time_point now);
+  /// Closes the socket. A response that arrives later is dropped.
+  void close();
+
+ private:
+  void enter_awaiting_list();
+  void leave_awaiting_list();
+  /// Sets the deadline for the next step, which `close_if_expired` checks.
+  void expire_after(double seconds);
+
+  void await_request();
+  void read();
+  void on_bytes(std::string_view bytes);
+  /// Answers a request that can't be served, and closes the connection after the response.
+  void reject(int status, const char* text);
+  void dispatch();
+  void send(const Response& response);
+  void on_response_sent();
+
+  asio::ip::tcp::socket socket_;
+  std::shared_ptr<Shared> shared_;
+  HttpRequestParser parser_;
+  Clock::time_point deadline_;
+  std::array<char, 4096> read_buffer_{};
+  std::string write_buffer_;
+  /// The place of this connection in `Shared::awaiting_request`, valid while it is in that list.
+  std::list<Connection*>::iterator awaiting_position_;
+  bool in_awaiting_list_ = false;
+  bool request_started_ = false;  ///< some bytes of the current request have arrived
+  bool keep_alive_ = true;        ///< the connection stays open after the current response
+  bool closed_ = false;
+};
+
+}  // namespace elmstall::net
