--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -1,5 +1,5 @@
-// Framing of messages on a byte stream: a 4-byte little-endian length, then
-// the message.
+/// Framing of messages on a byte stream: each frame is a length of 4 bytes, little-endian, and
+/// then the message of that many bytes.
 #pragma once
 
 #include <cstddef>
@@ -10,26 +10,29 @@
 
 namespace elmstall::peer {
 
-/// A peer announced a message larger than any that controllers send.
+/// A frame announces a message larger than `constants::kMaxPeerMessageBytes`, which is more than
+/// controllers send. The stream can't be read any further.
 class FrameTooLarge : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// The message with its length in front.
+/// Returns the frame for a message.
 [[nodiscard]] std::string frame(std::string_view message);
 
-/// Cuts a byte stream into messages, however the bytes arrive.
+/// Cuts a byte stream into messages, in however many pieces the bytes arrive.
 class FrameReader {
  public:
+  /// Adds bytes to the end of the stream. Views that `next` returned become invalid.
   void append(std::string_view bytes);
-  /// The next whole message, or nothing until more bytes have come. The view
-  /// is valid until the next call of `append`. Throws FrameTooLarge.
+
+  /// Returns the next whole message, or nothing until more bytes have been appended. The view is
+  /// valid until the next call of `append`. Throws FrameTooLarge.
   [[nodiscard]] std::optional<std::string_view> next();
 
  private:
   std::string buffer_;
-  std::size_t consumed_ = 0;  ///< bytes at its front that were handed out
+  std::size_t consumed_ = 0;  ///< bytes at the front of the buffer that `next` has returned
 };
 
 }  // namespace elmstall::peer
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -7,6 +7,7 @@
 std::string encode(const Message& message) {
   std::ostringstream out(std::ios::binary);
   {
+    // Only the end of its life guarantees that an archive has written everything.
     cereal::PortableBinaryOutputArchive archive(out);
     archive(message);
   }
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -1,4 +1,7 @@
-// What controllers tell each other. Encoded with cereal.
+/// The messages between controllers, encoded with cereal's portable binary archive.
+///
+/// Controllers of different versions may run side by side, so the fields of a message, their order
+/// and the order of the alternatives in `Message` must not change.
 #pragma once
 
 #include <cereal/archives/portable_binary.hpp>
@@ -11,18 +14,19 @@
 
 namespace elmstall::peer {
 
-/// Sent about once a second, and when something in it changes.
+/// The state of a controller, sent to all others every `constants::kPeerHeartbeatInterval` and
+/// whenever something in it changes.
 struct Heartbeat {
-  std::string node;
-  std::uint64_t term = 0;  ///< highest term known
-  std::string leader;      ///< who holds it, if known
-  bool state_reachable = false;
-  bool leader_heard = false;
-  /// How far its copy of the records is, 0 while it is not whole. What the
-  /// records forbid at that point it never does later.
+  std::string node;              ///< name of the sender
+  std::uint64_t term = 0;        ///< highest term that the sender knows
+  std::string leader;            ///< name of that term's leader; empty if unknown
+  bool state_reachable = false;  ///< the state service answers the sender
+  bool leader_heard = false;     ///< the sender receives the leader's heartbeats
+  /// Revision up to which the sender's mirror of the records is complete; 0 while it has not been
+  /// read in full. From then on the sender does nothing that the records up to there forbid.
   std::uint64_t revision = 0;
-  /// Seconds since it last answered a heartbeat on its own, at most since its
-  /// process began.
+  /// Seconds since the sender last answered a worker's heartbeat as a zone delegate, that is
+  /// without the leader; if it never did, seconds since its process started.
   double replied_ago_s = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -30,41 +34,47 @@
   }
 };
 
-/// A worker's heartbeat that reached a node the worker can't leave for the
-/// leader; the leader's answer goes back the same way.
+/// A worker's heartbeat, forwarded to the leader by a follower because the worker can't reach the
+/// leader itself. The leader answers with a `ForwardedReply`.
 struct ForwardedHeartbeat {
-  std::string node;
-  std::uint64_t id = 0;
-  std::string body;
+  std::string node;      ///< name of the follower that forwards, and to which the reply goes
+  std::uint64_t id = 0;  ///< number that the follower gave it, to recognize the reply
+  std::string body;      ///< body of the worker's HTTP request
   template <class Archive>
   void serialize(Archive& archive) {
     archive(node, id, body);
   }
 };
+
+/// The leader's response to a `ForwardedHeartbeat`, which the follower passes on to the worker.
 struct ForwardedReply {
-  std::uint64_t id = 0;
-  int status = 0;
-  std::string body;
+  std::uint64_t id = 0;  ///< that of the forwarded heartbeat
+  int status = 0;        ///< HTTP status code
+  std::string body;      ///< body of the HTTP response
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id, status, body);
   }
 };
 
-/// The sender has recorded that this job is cancelled. The records tell too;
-/// this is sooner, and reaches those that the state service refuses.
+/// Tells that the sender has recorded the cancellation of a job. The records tell the same; this
+/// message arrives sooner, and also reaches controllers that the state service does not answer.
 struct Cancelled {
-  std::string job;
+  std::string job;  ///< id of the job
   template <class Archive>
   void serialize(Archive& archive) {
     archive(job);
   }
 };
 
+/// Any message between controllers.
 using Message = std::variant<Heartbeat, ForwardedHeartbeat, ForwardedReply, Cancelled>;
 
+/// Returns the bytes of a message, without a frame.
 [[nodiscard]] std::string encode(const Message& message);
-/// Throws std::exception on bad input.
+
+/// Reads the bytes of one message. Throws cereal::Exception, or another std::exception, when the
+/// bytes are not a message.
 [[nodiscard]] Message decode(std::string_view bytes);
 
 }  // namespace elmstall::peer
--- a/src/peer/tcp_transport.cpp
+++ b/src/peer/tcp_transport.cpp
@@ -12,12 +12,19 @@
 namespace elmstall::peer {
 namespace {
 
+/// Pause after a connection failed before it is opened again.
 constexpr auto kReconnectPause = std::chrono::milliseconds(500);
-constexpr auto kSendLimit = std::chrono::seconds(3);
+/// Longest time that connecting, or writing one batch of frames, may take.
+constexpr auto kSendTimeout = std::chrono::seconds(3);
+/// Incoming connections that are served for each peer, and beyond those. A peer that lost its
+/// connection opens another one, while this side may not have noticed the loss yet.
+constexpr std::size_t kIncomingPerPeer = 4;
+constexpr std::size_t kIncomingSpare = 4;
 
 }  // namespace
 
-/// Connection to one peer; connects when there is something to send.
+/// The connection to one peer, to which this side only writes. It connects when there is something
+/// to send, and connects again after a failure. Pending operations keep the object alive.
 class TcpTransport::Outgoing : public std::enable_shared_from_this<Outgoing> {
  public:
   Outgoing(asio::io_context& io, asio::ip::tcp::endpoint endpoint)
@@ -25,17 +32,17 @@
 
   /// Queues a frame until the next flush.
   void send(std::string text) {
-    // A peer that takes nothing must not fill our memory: the oldest message
-    // is the least worth.
     queue_.push_back(std::move(text));
-    bytes_ += queue_.back().size();
-    while (bytes_ > constants::kMaxPeerMessageBytes && queue_.size() > 1) {
-      bytes_ -= queue_.front().size();
+    queued_bytes_ += queue_.back().size();
+    // A peer that does not read must not fill the memory of this process. The oldest messages
+    // are dropped first, since newer ones supersede most of them.
+    while (queued_bytes_ > constants::kMaxPeerMessageBytes && queue_.size() > 1) {
+      queued_bytes_ -= queue_.front().size();
       queue_.pop_front();
     }
   }
 
-  /// Writes what is queued; what the socket does not take goes out later.
+  /// Writes what is queued. What the socket does not take at once is written later.
   void flush() {
     while (!busy_ && !closed_ && !queue_.empty()) {
       if (socket_.is_open()) {
@@ -48,80 +55,87 @@
 
   void close() {
     closed_ = true;
-    reset();
+    close_socket();
   }
 
  private:
   void connect() {
     start_timeout();
     socket_.async_connect(endpoint_, [self = shared_from_this()](asio::error_code error) {
-      if (error) return self->retry();
+      if (error) return self->reconnect_later();
       asio::error_code ignored;
       self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
       self->socket_.non_blocking(true, ignored);
-      self->finish();
+      self->finish_operation();
     });
   }
 
   void write() {
     take_batch();
-    // The socket's buffer nearly always has room: then no turn of the loop, no
-    // timer and no completion handler is spent on it.
+    // The socket's send buffer nearly always has room for the whole batch. A direct write then
+    // saves a turn of the event loop, a timer and a completion handler.
     asio::error_code error;
-    const auto written = socket_.write_some(asio::buffer(current_), error);
-    if (error && error != asio::error::would_block) return retry();
-    if (written < current_.size()) write_rest(written);
+    const std::size_t written = socket_.write_some(asio::buffer(batch_), error);
+    if (error && error != asio::error::would_block) return reconnect_later();
+    if (written < batch_.size()) write_rest(written);
   }
 
   void write_rest(std::size_t written) {
     start_timeout();
-    asio::async_write(socket_, asio::buffer(current_.data() + written, current_.size() - written),
+    asio::async_write(socket_, asio::buffer(batch_.data() + written, batch_.size() - written),
                       [self = shared_from_this()](asio::error_code error, std::size_t) {
-                        if (error) return self->retry();
-                        self->finish();
+                        if (error) return self->reconnect_later();
+                        self->finish_operation();
                       });
   }
 
-  /// Several frames in one write: on a small machine a packet and a system call
-  /// for each cost more than what is in them.
+  /// Moves frames from the queue to the batch that is written next. Several frames share one
+  /// write, since a packet and a system call for each cost a small machine more than the frame
+  /// itself does.
   void take_batch() {
-    current_.clear();
-    while (!queue_.empty() && (current_.empty() || current_.size() + queue_.front().size() <=
-                                                       constants::kPeerWriteBytes)) {
-      current_ += queue_.front();
-      bytes_ -= queue_.front().size();
+    const auto has_room_for = [this](const std::string& frame) {
+      return batch_.size() + frame.size() <= constants::kPeerWriteBytes;
+    };
+    batch_.clear();
+    while (!queue_.empty() && (batch_.empty() || has_room_for(queue_.front()))) {
+      batch_ += queue_.front();
+      queued_bytes_ -= queue_.front().size();
       queue_.pop_front();
     }
   }
 
-  /// Connecting, or the rest of a write, is under way.
+  /// Begins an operation that completes later: connecting, or writing the rest of a batch. After
+  /// the time-out the socket is closed, which makes the operation fail.
   void start_timeout() {
     busy_ = true;
-    timer_.expires_after(kSendLimit);
-    timer_.async_wait([self = shared_from_this(), round = ++round_](asio::error_code error) {
-      if (!error && round == self->round_) self->reset();
-    });
+    timer_.expires_after(kSendTimeout);
+    timer_.async_wait(
+        [self = shared_from_this(), operation = ++operation_](asio::error_code error) {
+          if (!error && operation == self->operation_) self->close_socket();
+        });
   }
 
-  void finish() {
-    ++round_;
+  void finish_operation() {
+    ++operation_;
     timer_.cancel();
     busy_ = false;
     flush();
   }
 
-  void reset() {
+  void close_socket() {
     asio::error_code ignored;
     socket_.close(ignored);
   }
 
-  void retry() {
-    reset();
+  /// Gives up the connection and the batch on it. After a pause the queue is flushed again.
+  void reconnect_later() {
+    close_socket();
     if (closed_) return;
     busy_ = true;
     timer_.expires_after(kReconnectPause);
-    timer_.async_wait([self = shared_from_this(), round = ++round_](asio::error_code error) {
-      if (error || round != self->round_) return;
+    const auto operation = ++operation_;
+    timer_.async_wait([self = shared_from_this(), operation](asio::error_code error) {
+      if (error || operation != self->operation_) return;
       self->busy_ = false;
       self->flush();
     });
@@ -130,14 +144,18 @@
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
   asio::ip::tcp::endpoint endpoint_;
-  std::deque<std::string> queue_;
-  std::size_t bytes_ = 0;
-  std::string current_;
-  std::uint64_t round_ = 0;
-  bool busy_ = false;  ///< connecting, writing the rest, or pausing
+  std::deque<std::string> queue_;  ///< frames, the oldest first
+  std::size_t queued_bytes_ = 0;
+  std::string batch_;  ///< the frames that are being written
+  /// Number of the present operation or pause. A timer whose cancellation came too late finds a
+  /// newer number, and does nothing.
+  std::uint64_t operation_ = 0;
+  bool busy_ = false;  ///< connecting, writing the rest of a batch, or pausing
   bool closed_ = false;
 };
 
+/// A connection that a peer has opened, and from which this side only reads. The pending read keeps
+/// the object alive; it ends when the connection does.
 class TcpTransport::Incoming : public std::enable_shared_from_this<Incoming> {
  public:
   Incoming(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared)
@@ -149,11 +167,11 @@
   Incoming& operator=(const Incoming&) = delete;
 
   void read() {
-    // Whatever has come: often several messages, hardly ever less than one.
-    socket_.async_read_some(asio::buffer(chunk_),
+    // One read often brings several messages, and hardly ever only a part of one.
+    socket_.async_read_some(asio::buffer(read_buffer_),
                             [self = shared_from_this()](asio::error_code error, std::size_t size) {
                               if (error) return;
-                              if (self->receive({self->chunk_.data(), size})) self->read();
+                              if (self->receive({self->read_buffer_.data(), size})) self->read();
                             });
   }
 
@@ -163,19 +181,20 @@
   }
 
  private:
-  /// False when the bytes can't be read: the connection ends with this object.
+  /// Passes on the messages that the bytes complete. False when the bytes are not messages; the
+  /// caller then ends the connection.
   bool receive(std::string_view bytes) {
     try {
       frames_.append(bytes);
       while (const auto message = frames_.next()) shared_->receiver(decode(*message));
       return true;
     } catch (const std::exception& problem) {
-      log_refusal(problem.what());
+      log_unreadable_message(problem.what());
       return false;
     }
   }
 
-  void log_refusal(const char* why) {
+  void log_unreadable_message(const char* why) {
     asio::error_code unknown;
     const auto peer = socket_.remote_endpoint(unknown);
     spdlog::error("a message between controllers from {} can't be read: {}",
@@ -184,7 +203,7 @@
 
   asio::ip::tcp::socket socket_;
   std::shared_ptr<Shared> shared_;
-  std::array<char, constants::kPeerReadBytes> chunk_{};
+  std::array<char, constants::kPeerReadBytes> read_buffer_{};
   FrameReader frames_;
 };
 
@@ -192,8 +211,7 @@
                            const std::vector<config::Peer>& peers, Receiver receiver)
     : shared_(std::make_shared<Shared>()), acceptor_(io) {
   shared_->receiver = std::move(receiver);
-  // A peer that lost its connection silently opens another one.
-  shared_->max_incoming = peers.size() * 4 + 4;
+  shared_->max_incoming = peers.size() * kIncomingPerPeer + kIncomingSpare;
   for (const auto& peer : peers)
     peers_[peer.name] = std::make_shared<Outgoing>(io, config::parse_endpoint(peer.endpoint));
   acceptor_.open(listen.protocol());
@@ -204,15 +222,17 @@
 }
 
 TcpTransport::~TcpTransport() {
-  shared_->closed = true;
+  shared_->transport_destroyed = true;
   for (auto& [name, peer] : peers_) peer->close();
-  for (auto* connection : std::unordered_set<Incoming*>(shared_->incoming)) connection->close();
+  // A copy, since connections remove themselves from the set as they end.
+  const auto incoming = shared_->incoming;
+  for (auto* connection : incoming) connection->close();
 }
 
 void TcpTransport::accept() {
   acceptor_.async_accept(
       [this, shared = shared_](asio::error_code error, asio::ip::tcp::socket socket) {
-        if (shared->closed || error == asio::error::operation_aborted) return;
+        if (shared->transport_destroyed || error == asio::error::operation_aborted) return;
         if (!error) {
           if (shared->incoming.size() >= shared->max_incoming) (*shared->incoming.begin())->close();
           std::make_shared<Incoming>(std::move(socket), shared)->read();
--- a/src/peer/transport.hpp
+++ b/src/peer/transport.hpp
@@ -1,4 +1,7 @@
-// Messages between controllers. None is relied upon: all may be lost.
+/// The transport for messages between controllers, as the rest of the program sees it.
+///
+/// Delivery is best effort: any message may be lost, and no rule of docs/design.md relies on one
+/// to arrive. There is no acknowledgement, and errors are not reported.
 #pragma once
 
 #include <functional>
@@ -8,16 +11,24 @@
 
 namespace elmstall::peer {
 
+/// Sends messages to the other controllers. All calls are made on the event loop's thread.
 class Transport {
  public:
   virtual ~Transport() = default;
-  /// Both only queue the message; `flush` sends what is queued.
+
+  /// Queues a message for every other controller. Nothing is sent before `flush`.
   virtual void broadcast(const Message& message) = 0;
+
+  /// Queues a message for the controller with this name; for an unknown name it does nothing.
+  /// Nothing is sent before `flush`.
   virtual void send(const std::string& node, const Message& message) = 0;
-  /// To be called after each batch of commands.
+
+  /// Sends what is queued. To be called after each batch of commands, so that the messages of one
+  /// batch share packets.
   virtual void flush() = 0;
 };
 
+/// Called on the event loop's thread for each message that arrives.
 using Receiver = std::function<void(Message)>;
 
 }  // namespace elmstall::peer
