--- a/src/clients/cloud_client.cpp
+++ b/src/clients/cloud_client.cpp
@@ -5,9 +5,13 @@
 namespace elmstall::clients {
 namespace {
 
-/// The decoded body of a 200; nothing otherwise.
+/// Connections to the cloud at once.
+constexpr std::size_t kMaxConnections = 4;
+
+/// The decoded body of a response with status 200. Nothing for any other response, and for a body
+/// that can't be decoded.
 template <typename Decode>
-auto decoded(const net::Reply& reply, Decode&& decode)
+auto decode_success(const net::Reply& reply, Decode&& decode)
     -> std::optional<decltype(decode(std::declval<const wire::Object&>()))> {
   if (reply.status != 200) return std::nullopt;
   try {
@@ -19,11 +23,12 @@
 
 ProvisionResult provision_result(const net::Reply& reply) {
   using Outcome = ProvisionResult::Outcome;
-  if (auto machines = decoded(reply, wire::decode_machine_names))
+  if (auto machines = decode_success(reply, wire::decode_machine_names))
     return {Outcome::ok, std::move(*machines)};
   switch (reply.status) {
     case 503:
-      // Two kinds of 503: nothing to be had, or the interface is in fault.
+      // The cloud uses 503 both when it has no such machine and when its interface is faulty; only
+      // the text of the body tells which.
       return {reply.body.find("no capacity") != std::string::npos ? Outcome::no_capacity
                                                                   : Outcome::unavailable,
               {}};
@@ -39,13 +44,13 @@
 }  // namespace
 
 CloudClient::CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint)
-    : client_(io, endpoint, 4) {}
+    : client_(io, endpoint, kMaxConnections) {}
 
 void CloudClient::machine_types(
     std::function<void(std::optional<std::vector<wire::MachineType>>)> done) {
   client_.request("GET", "/flavors", {}, constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) {
-                    done(decoded(reply, wire::decode_machine_types));
+                    done(decode_success(reply, wire::decode_machine_types));
                   });
 }
 
@@ -55,7 +60,7 @@
   if (!since.empty()) path += "&since=" + since;
   client_.request("GET", path, {}, constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) {
-                    done(decoded(reply, wire::decode_cloud_page));
+                    done(decode_success(reply, wire::decode_cloud_page));
                   });
 }
 
--- a/src/clients/cloud_client.hpp
+++ b/src/clients/cloud_client.hpp
@@ -1,12 +1,20 @@
+/// The cloud's interface over HTTP.
 #pragma once
 
 #include <asio.hpp>
+#include <functional>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "clients/cloud.hpp"
 #include "net/http_client.hpp"
 
 namespace elmstall::clients {
 
+/// Sends each call as one HTTP request, with `constants::kCloudTimeout` as its time-out, and does
+/// not repeat it. A response that can't be decoded counts as a failure, or as unknown for rentals.
+/// Runs on the thread of the io_context, which must outlive this object.
 class CloudClient : public Cloud {
  public:
   CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint);
--- a/src/clients/worker_rpc.hpp
+++ b/src/clients/worker_rpc.hpp
@@ -1,6 +1,8 @@
-// What the rest of the program needs to command workers directly.
+/// Command RPCs: commands that a controller sends to a worker directly, instead of with the answer
+/// to the worker's next heartbeat.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <optional>
 #include <string>
@@ -10,21 +12,29 @@
 
 namespace elmstall::clients {
 
+/// Outcome of one command RPC.
 struct CommandResult {
   enum class Outcome : std::uint8_t {
-    done,     ///< executed
-    refused,  ///< nothing was executed: token or epoch did not match
-    never,    ///< certainly not executed: the worker was not reached
-    unknown,  ///< may have been executed, or may yet be
+    done,      ///< the worker has executed the commands
+    refused,   ///< the worker has executed none of them: token or epoch did not match
+    not_sent,  ///< the worker was not reached, and certainly executes none of them
+    unknown,   ///< the worker may have executed them, or may yet execute them
   };
   Outcome outcome = Outcome::unknown;
-  /// The worker's heartbeat after `done` or `refused`.
+  /// What the worker reports of itself after `done` or `refused`.
   std::optional<wire::WorkerHeartbeat> heartbeat;
 };
 
+/// Sends commands to workers. All calls and callbacks are made on the event loop's thread.
 class WorkerRpc {
  public:
   virtual ~WorkerRpc() = default;
+
+  /// Sends commands to the worker at `addr` (`ADDRESS:PORT`). The worker compares the fencing
+  /// token and the epoch before it executes any of them (docs/design.md, rules 2 and 3).
+  ///
+  /// `done` is called once, later, and never from inside this call. It may be called after its
+  /// receiver has been destroyed, unless it was wrapped by a `runtime::CommandScope`.
   virtual void send_commands(const std::string& addr, std::uint64_t token, std::uint64_t epoch,
                              const std::vector<wire::WorkerCommand>& commands,
                              std::function<void(CommandResult)> done) = 0;
--- a/src/clients/worker_rpc_client.cpp
+++ b/src/clients/worker_rpc_client.cpp
@@ -1,6 +1,7 @@
 #include "clients/worker_rpc_client.hpp"
 
-#include <algorithm>
+#include <stdexcept>
+#include <utility>
 
 #include "config/constants.hpp"
 #include "config/endpoint.hpp"
@@ -8,6 +9,9 @@
 namespace elmstall::clients {
 namespace {
 
+/// Path of a worker's HTTP interface that takes direct commands.
+constexpr std::string_view kCommandsPath = "/orders";
+
 CommandResult result_of(const net::Reply& reply) {
   using Outcome = CommandResult::Outcome;
   CommandResult result;
@@ -19,7 +23,7 @@
       result.outcome = Outcome::refused;
       break;
     case 0:
-      result.outcome = reply.never_sent ? Outcome::never : Outcome::unknown;
+      result.outcome = reply.never_sent ? Outcome::not_sent : Outcome::unknown;
       return result;
     default:
       return result;
@@ -27,7 +31,7 @@
   try {
     result.heartbeat = wire::decode_heartbeat(wire::Document::parse(reply.body).root());
   } catch (const wire::DecodeError&) {
-    // Executed or not, what the machine holds now is not known.
+    // Whether or not the commands were executed, the state of the worker is unknown.
     result.outcome = Outcome::unknown;
   }
   return result;
@@ -35,47 +39,47 @@
 
 }  // namespace
 
-std::shared_ptr<WorkerRpcClient::Line> WorkerRpcClient::line(const std::string& addr) {
-  auto& slot = lines_[addr];
-  if (!slot) {
-    slot = std::make_shared<Line>(io_, config::parse_endpoint(addr));
-    if (lines_.size() > max_connections_) {
-      // The one that was not needed for the longest time.
-      auto oldest = lines_.end();
-      for (auto it = lines_.begin(); it != lines_.end(); ++it) {
-        if (it->second != slot && it->second->in_use == 0 &&
-            (oldest == lines_.end() || it->second->used < oldest->second->used))
-          oldest = it;
-      }
-      auto kept = slot;
-      if (oldest != lines_.end()) lines_.erase(oldest);
-      return kept;
-    }
+std::shared_ptr<WorkerRpcClient::PooledConnection> WorkerRpcClient::connection_to(
+    const std::string& addr) {
+  auto& entry = connections_[addr];
+  if (entry) return entry;
+  entry = std::make_shared<PooledConnection>(io_, config::parse_endpoint(addr));
+  const auto connection = entry;
+  if (connections_.size() > max_connections_) close_least_recently_used(*connection);
+  return connection;
+}
+
+void WorkerRpcClient::close_least_recently_used(const PooledConnection& spared) {
+  auto oldest = connections_.end();
+  for (auto it = connections_.begin(); it != connections_.end(); ++it) {
+    const auto& connection = *it->second;
+    if (&connection == &spared || connection.rpcs_in_flight > 0) continue;
+    if (oldest == connections_.end() || connection.last_use < oldest->second->last_use) oldest = it;
   }
-  return slot;
+  if (oldest != connections_.end()) connections_.erase(oldest);
 }
 
 void WorkerRpcClient::send_commands(const std::string& addr, std::uint64_t token,
                                     std::uint64_t epoch,
                                     const std::vector<wire::WorkerCommand>& commands,
                                     std::function<void(CommandResult)> done) {
-  std::shared_ptr<Line> to;
+  std::shared_ptr<PooledConnection> connection;
   try {
-    to = line(addr);
+    connection = connection_to(addr);
   } catch (const std::invalid_argument&) {
     asio::post(io_, [done = std::move(done)] {
-      done({CommandResult::Outcome::never, std::nullopt});
+      done({CommandResult::Outcome::not_sent, std::nullopt});
     });
     return;
   }
-  ++to->in_use;
-  to->used = ++uses_;
-  to->client.request("POST", "/orders", wire::encode_direct_commands(token, epoch, commands),
-                     constants::kCommandRpcTimeout,
-                     [to, done = std::move(done)](const net::Reply& reply) {
-                       --to->in_use;
-                       done(result_of(reply));
-                     });
+  ++connection->rpcs_in_flight;
+  connection->last_use = ++use_count_;
+  connection->client.request(
+      "POST", kCommandsPath, wire::encode_direct_commands(token, epoch, commands),
+      constants::kCommandRpcTimeout, [connection, done = std::move(done)](const net::Reply& reply) {
+        --connection->rpcs_in_flight;
+        done(result_of(reply));
+      });
 }
 
 }  // namespace elmstall::clients
--- a/src/clients/worker_rpc_client.hpp
+++ b/src/clients/worker_rpc_client.hpp
@@ -1,38 +1,55 @@
+/// Command RPCs over HTTP.
 #pragma once
 
 #include <asio.hpp>
-#include <deque>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
+#include <string>
+#include <vector>
 
 #include "clients/worker_rpc.hpp"
 #include "net/http_client.hpp"
 
 namespace elmstall::clients {
 
-/// Keeps the connections of the workers it spoke to last, up to a bound.
+/// Keeps connections open to the workers that it sent commands to most recently. Runs on the
+/// thread of the io_context, which must outlive this object.
 class WorkerRpcClient : public WorkerRpc {
  public:
+  /// `max_connections` bounds the connections that are kept. It is exceeded only while that many
+  /// command RPCs are in flight.
   WorkerRpcClient(asio::io_context& io, std::size_t max_connections)
       : io_(io), max_connections_(max_connections) {}
 
+  /// As in `WorkerRpc`. An address that can't be parsed gives `not_sent`, and a response that
+  /// can't be decoded gives `unknown`.
   void send_commands(const std::string& addr, std::uint64_t token, std::uint64_t epoch,
                      const std::vector<wire::WorkerCommand>& commands,
                      std::function<void(CommandResult)> done) override;
 
  private:
-  struct Line {
-    Line(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint) : client(io, endpoint, 1) {}
+  /// The connection to one worker. A command RPC in flight holds a reference to it.
+  struct PooledConnection {
+    PooledConnection(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint)
+        : client(io, endpoint, /*max_connections=*/1) {}
     net::HttpClient client;
-    std::size_t in_use = 0;
-    std::uint64_t used = 0;
+    std::size_t rpcs_in_flight = 0;
+    std::uint64_t last_use = 0;  ///< value of `use_count_` at the newest RPC
   };
-  [[nodiscard]] std::shared_ptr<Line> line(const std::string& addr);
+
+  /// The connection to the worker at this address, opened if there is none. Throws
+  /// std::invalid_argument when the address can't be parsed.
+  [[nodiscard]] std::shared_ptr<PooledConnection> connection_to(const std::string& addr);
+  /// Closes the connection without RPCs in flight that was used least recently, but not `spared`.
+  void close_least_recently_used(const PooledConnection& spared);
 
   asio::io_context& io_;
   std::size_t max_connections_;
-  std::map<std::string, std::shared_ptr<Line>> lines_;
-  std::uint64_t uses_ = 0;
+  std::map<std::string, std::shared_ptr<PooledConnection>> connections_;  ///< by address
+  std::uint64_t use_count_ = 0;  ///< RPCs so far, which orders the connections by their last use
 };
 
 }  // namespace elmstall::clients
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -522,7 +522,7 @@
   machine->rpc_completed_at = context_.event_loop.now();
   model_.attention().insert(machine);
   const double now = context_.event_loop.now();
-  if (result.outcome == Outcome::never || result.outcome == Outcome::unknown) {
+  if (result.outcome == Outcome::not_sent || result.outcome == Outcome::unknown) {
     machine->rpc_backoff_until = now + k::kCommandRpcBackoff;
     // They may yet be carried out, minutes later. From now on every message to
     // the machine carries a higher token, which makes them void; until the
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -12,7 +12,7 @@
     world_.loop.after(2.0, [done, outcome] { done({outcome, std::nullopt}); });
   };
   const auto found = world_.workers.find(addr);
-  if (found == world_.workers.end() || world_.no_direct) return give_up(Outcome::never);
+  if (found == world_.workers.end() || world_.no_direct) return give_up(Outcome::not_sent);
   auto* worker = found->second.get();
   const auto carry_out = [worker, token, epoch,
                           commands]() -> std::optional<clients::CommandResult> {
@@ -31,7 +31,7 @@
     return give_up(Outcome::unknown);
   }
   if (lost) {
-    if (world_.random() < 0.4) return give_up(Outcome::never);
+    if (world_.random() < 0.4) return give_up(Outcome::not_sent);
     // Held on the way, and executed whenever the way is free again.
     if (world_.random() < 0.7)
       world_.loop.after(1 + 60 * world_.random(), [carry_out] { (void)carry_out(); });
@@ -39,7 +39,7 @@
   }
   world_.loop.after(0.002, [this, carry_out, done, give_up] {
     auto result = carry_out();
-    if (!result) return give_up(Outcome::never);
+    if (!result) return give_up(Outcome::not_sent);
     if (world_.on_commands) world_.on_commands();
     if (world_.lose_replies || world_.random() < world_.loss) return give_up(Outcome::unknown);
     world_.loop.after(0.002, [done, result = std::move(*result)] { done(result); });
