--- a/src/runtime/coalescing_timer.hpp
+++ b/src/runtime/coalescing_timer.hpp
@@ -1,4 +1,4 @@
-// A timer that several callers may ask for and that fires once.
+/// A timer that several callers may start and that fires once for all of them.
 #pragma once
 
 #include <utility>
@@ -8,21 +8,26 @@
 namespace elmstall::runtime {
 
 /// Runs a command once after a delay, however often it is asked for meanwhile.
+///
+/// The event loop and the queue must outlive the timer. A timer that is destroyed before it fires
+/// drops its command.
 class CoalescingTimer {
  public:
-  CoalescingTimer(EventLoop& event_loop, CommandQueue& queue) : loop_(event_loop), scope_(queue) {}
+  CoalescingTimer(EventLoop& event_loop, CommandQueue& queue)
+      : event_loop_(event_loop), scope_(queue) {}
 
-  /// Does nothing while an earlier request has not fired yet.
+  /// Posts `command` to the queue in `seconds`. While an earlier request has not fired yet this
+  /// does nothing, and the command and the delay of the earlier request hold.
   void after(double seconds, Command command) {
     if (std::exchange(armed_, true)) return;
-    loop_.after(seconds, scope_.wrap([this, command = std::move(command)] {
+    event_loop_.after(seconds, scope_.wrap([this, command = std::move(command)] {
       armed_ = false;
       command();
     }));
   }
 
  private:
-  EventLoop& loop_;
+  EventLoop& event_loop_;
   CommandScope scope_;
   bool armed_ = false;
 };
--- a/src/runtime/command_queue.hpp
+++ b/src/runtime/command_queue.hpp
@@ -1,72 +1,86 @@
-// The command queue of a controller: the one owner of all state runs commands in
-// batches, on the event loop's thread.
+/// The command queue of a controller. All state of a controller has one owner, which changes it
+/// only through commands that this queue runs one after the other on the event loop's thread, so
+/// that no lock is needed.
+///
+/// Lifetime rules:
+///  - The event loop outlives the queue, and the queue outlives every `CommandScope` on it.
+///  - A queue that is destroyed drops the commands that still wait.
+///  - A scope that is destroyed drops all its commands: those that already wait in the queue, and
+///    those of callbacks that arrive later.
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <utility>
 #include <vector>
 
 #include "runtime/event_loop.hpp"
+#include "runtime/lifetime_token.hpp"
 
 namespace elmstall::runtime {
 
+/// One step of work on the state of a controller.
 using Command = std::function<void()>;
 
-/// Commands are taken in batches: all that wait are applied, then what
-/// follows from them is decided once.
+/// Runs commands in batches: first all commands that wait, in the order in which they were
+/// posted, and then the decisions that follow from all of them together.
 class CommandQueue {
  public:
+  /// `after_batch` is called after each batch of commands.
   CommandQueue(EventLoop& event_loop, std::function<void()> after_batch)
-      : loop_(event_loop), after_batch_(std::move(after_batch)) {}
+      : event_loop_(event_loop), after_batch_(std::move(after_batch)) {}
 
+  /// Adds a command to the next batch. It never runs from inside this call; a command that is
+  /// posted by another command runs in the following batch.
   void post(Command command) {
     commands_.push_back(std::move(command));
-    if (scheduled_) return;
-    scheduled_ = true;
-    loop_.defer([this, alive = std::weak_ptr<char>(alive_)] {
-      if (!alive.expired()) drain();
+    if (batch_scheduled_) return;
+    batch_scheduled_ = true;
+    event_loop_.defer([this, lifetime = lifetime_.observe()] {
+      if (!lifetime.owner_destroyed()) run_batch();
     });
   }
 
  private:
-  void drain() {
-    scheduled_ = false;
+  void run_batch() {
+    batch_scheduled_ = false;
     std::vector<Command> batch;
     batch.swap(commands_);
     for (auto& command : batch) command();
     after_batch_();
   }
 
-  EventLoop& loop_;
+  EventLoop& event_loop_;
   std::function<void()> after_batch_;
   std::vector<Command> commands_;
-  bool scheduled_ = false;
-  std::shared_ptr<char> alive_ = std::make_shared<char>();
+  bool batch_scheduled_ = false;
+  LifetimeToken lifetime_;
 };
 
-/// Turns callbacks of I/O into commands, which are dropped once the object
-/// that holds the scope is gone.
+/// Turns callbacks of I/O and timers into commands on behalf of one object, which holds the scope
+/// as a member. A command whose scope has been destroyed is dropped, so that commands may safely
+/// refer to that object.
 class CommandScope {
  public:
   explicit CommandScope(CommandQueue& queue) : queue_(queue) {}
 
+  /// Returns a callback that posts a command, which calls `fn` with the callback's arguments. The
+  /// callback may be kept for longer than the scope and the queue exist; it then does nothing.
   template <typename Fn>
   [[nodiscard]] auto wrap(Fn fn) {
     return
-        [&queue = queue_, alive = std::weak_ptr<char>(alive_), fn = std::move(fn)](auto... args) {
-          // The queue may be gone by then as well: it outlives the scope, not the
-          // answer.
-          if (alive.expired()) return;
-          queue.post([alive, fn, ... values = std::move(args)]() mutable {
-            if (!alive.expired()) fn(std::move(values)...);
+        [&queue = queue_, lifetime = lifetime_.observe(), fn = std::move(fn)](auto... arguments) {
+          // Without its scope the callback must not touch the queue either, which may have been
+          // destroyed too.
+          if (lifetime.owner_destroyed()) return;
+          queue.post([lifetime, fn, ... values = std::move(arguments)]() mutable {
+            if (!lifetime.owner_destroyed()) fn(std::move(values)...);
           });
         };
   }
 
  private:
   CommandQueue& queue_;
-  std::shared_ptr<char> alive_ = std::make_shared<char>();
+  LifetimeToken lifetime_;
 };
 
 }  // namespace elmstall::runtime
--- /dev/null
+++ b/src/runtime/lifetime_token.hpp
@@ -0,0 +1,40 @@
+/// Detection of callbacks that arrive after the object they are meant for has been destroyed.
+#pragma once
+
+#include <memory>
+
+namespace elmstall::runtime {
+
+/// Held as a member by an object whose callbacks may run after its destruction. Each callback
+/// captures an observer and asks it before it touches the object.
+///
+/// The token says only whether the object still exists; it does not keep the object alive. The
+/// answer holds for as long as the object can't be destroyed in between, which is the case on the
+/// single thread of an event loop.
+class LifetimeToken {
+ public:
+  /// Tells whether the owner of the token has been destroyed. May be copied and may outlive it.
+  class Observer {
+   public:
+    [[nodiscard]] bool owner_destroyed() const { return mark_.expired(); }
+
+   private:
+    friend class LifetimeToken;
+    explicit Observer(const std::shared_ptr<char>& mark) : mark_(mark) {}
+    std::weak_ptr<char> mark_;
+  };
+
+  LifetimeToken() = default;
+  ~LifetimeToken() = default;
+  /// Not copyable: a copy would outlive the owner and vouch for it.
+  LifetimeToken(const LifetimeToken&) = delete;
+  LifetimeToken& operator=(const LifetimeToken&) = delete;
+
+  [[nodiscard]] Observer observe() const { return Observer(mark_); }
+
+ private:
+  /// Only its reference count matters.
+  std::shared_ptr<char> mark_ = std::make_shared<char>();
+};
+
+}  // namespace elmstall::runtime
