--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -8,12 +8,13 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "app/controller.hpp"
+#include "app/controller_process.hpp"
 #include "config/settings.hpp"
 
 namespace elmstall::app {
 namespace {
 
+/// Logs to the standard error output, at the level that the environment variable LOG_LEVEL names.
 void set_up_logging() {
   auto logger =
       std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -33,10 +34,12 @@
   }
 }
 
+/// Runs one controller. Returns only when it can't listen on its addresses; otherwise the process
+/// serves until it is killed.
 int serve(const config::Settings& settings) {
   asio::io_context io(1);
   try {
-    const Controller controller(io, settings);
+    const ControllerProcess process(io, settings);
     spdlog::info("{} {} in {} serves {}", settings.node, ELMSTALL_VERSION, settings.zone,
                  settings.api_addr);
     io.run();
--- a/src/app/controller_process.cpp
+++ b/src/app/controller_process.cpp
@@ -1,8 +1,9 @@
-#include "app/controller.hpp"
+#include "app/controller_process.hpp"
 
-#include <chrono>
-#include <random>
+#include <algorithm>
+#include <utility>
 
+#include "app/asio_event_loop.hpp"
 #include "clients/cloud_client.hpp"
 #include "clients/worker_rpc_client.hpp"
 #include "config/constants.hpp"
@@ -15,47 +16,21 @@
 namespace elmstall::app {
 namespace {
 
-/// The engine's time, chance and waiting on an Asio loop.
-class AsioEventLoop : public runtime::EventLoop {
- public:
-  explicit AsioEventLoop(asio::io_context& io) : io_(io), random_(std::random_device{}()) {}
-
-  [[nodiscard]] double now() const override {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch())
-        .count();
-  }
-  [[nodiscard]] double wall() const override {
-    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch())
-        .count();
-  }
-  [[nodiscard]] double random() override {
-    return std::uniform_real_distribution<double>(0, 1)(random_);
-  }
-  void after(double seconds, std::function<void()> fn) override {
-    auto timer = std::make_shared<asio::steady_timer>(
-        io_, std::chrono::microseconds(static_cast<long>(seconds * 1e6)));
-    timer->async_wait([timer, fn = std::move(fn)](asio::error_code error) {
-      if (!error) fn();
-    });
-  }
-  void defer(std::function<void()> fn) override { asio::post(io_, std::move(fn)); }
-  [[nodiscard]] std::string incarnation() {
-    return std::to_string(random_()) + std::to_string(random_());
-  }
-
- private:
-  asio::io_context& io_;
-  std::mt19937_64 random_;
-};
+/// Least shares of the state service's rate limits that one node may use by itself. Any node may
+/// be the leader, which needs most of the requests and of the writes. The shares of all nodes may
+/// therefore add up to more than the limits; the service refuses what exceeds them, and refused
+/// requests are retried.
+constexpr double kLeastRequestShare = 0.5;
+constexpr double kLeastWriteShare = 0.6;
 
 store::RateShare rate_share(const config::Settings& settings) {
-  // Any node may be the leader, which needs most of the writes; the service
-  // refuses what all together ask for beyond its limits, and that is retried.
   const auto nodes = static_cast<double>(settings.peers.size() + 1);
   const auto limits = settings.state_limits();
-  return {limits.rps * std::max(0.5, 1 / nodes), limits.write_rps * std::max(0.6, 1 / nodes)};
+  return {limits.rps * std::max(kLeastRequestShare, 1 / nodes),
+          limits.write_rps * std::max(kLeastWriteShare, 1 / nodes)};
 }
 
+/// Limits of the HTTP server, from the number of file descriptors that the process may open.
 net::ServerLimits server_limits(const config::Settings& settings) {
   const double inbound = settings.fd_limit * constants::kInboundSocketShare;
   return {static_cast<std::size_t>(inbound), constants::kMaxBodyBytes,
@@ -64,14 +39,16 @@
 
 }  // namespace
 
-struct Controller::Parts {
-  Parts(asio::io_context& io, config::Settings given)
-      : settings(std::move(given)),
+/// The members are declared in the order of their dependencies: the node refers to the clients
+/// above it, and the transport and the server below it call the node.
+struct ControllerProcess::Parts {
+  Parts(asio::io_context& io, config::Settings process_settings)
+      : settings(std::move(process_settings)),
         event_loop(io),
         store(io, config::parse_endpoint(settings.state_endpoint), rate_share(settings)),
         cloud(io, config::parse_endpoint(settings.cloud_endpoint)),
         worker_rpc(io, static_cast<std::size_t>(settings.fd_limit * constants::kWorkerSocketShare)),
-        node(settings, {event_loop, store, cloud, worker_rpc}, event_loop.incarnation()),
+        node(settings, {event_loop, store, cloud, worker_rpc}, event_loop.make_incarnation()),
         transport(io, config::parse_endpoint(settings.peer_addr), settings.peers,
                   [this](peer::Message message) { node.on_message(std::move(message)); }),
         server(io, config::parse_endpoint(settings.api_addr), server_limits(settings),
@@ -91,8 +68,8 @@
   net::HttpServer server;
 };
 
-Controller::Controller(asio::io_context& io, const config::Settings& settings)
+ControllerProcess::ControllerProcess(asio::io_context& io, const config::Settings& settings)
     : parts_(std::make_unique<Parts>(io, settings)) {}
-Controller::~Controller() = default;
+ControllerProcess::~ControllerProcess() = default;
 
 }  // namespace elmstall::app
--- a/src/app/controller_process.hpp
+++ b/src/app/controller_process.hpp
@@ -1,4 +1,5 @@
-// One controller on an Asio loop: engine, clients and servers put together.
+/// One controller process: the node put together with its clients, its transport to other
+/// controllers and its HTTP server, all on one Asio event loop.
 #pragma once
 
 #include <asio.hpp>
@@ -8,13 +9,17 @@
 
 namespace elmstall::app {
 
-class Controller {
+/// Wires a `controller::Node` to Asio and starts it. Everything runs on the thread that runs the
+/// io_context, which must outlive this object.
+class ControllerProcess {
  public:
-  /// Throws std::system_error when an address can't be listened on.
-  Controller(asio::io_context& io, const config::Settings& settings);
-  ~Controller();
-  Controller(const Controller&) = delete;
-  Controller& operator=(const Controller&) = delete;
+  /// Starts at once. Throws std::system_error when an address can't be listened on, and
+  /// std::invalid_argument when an address of the settings can't be parsed.
+  ControllerProcess(asio::io_context& io, const config::Settings& settings);
+  /// Ends all service at once, as the end of the process would.
+  ~ControllerProcess();
+  ControllerProcess(const ControllerProcess&) = delete;
+  ControllerProcess& operator=(const ControllerProcess&) = delete;
 
  private:
   struct Parts;
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -2,7 +2,7 @@
 // stand-ins of state service, cloud and workers.
 #include <gtest/gtest.h>
 
-#include "app/controller.hpp"
+#include "app/controller_process.hpp"
 #include "config/endpoint.hpp"
 #include "net/http_client.hpp"
 #include "support/http_fronts.hpp"
@@ -43,7 +43,7 @@
       settings_.push_back(settings);
       clients_.push_back(
           std::make_unique<net::HttpClient>(io_, config::parse_endpoint(api[i]), 16));
-      controllers_.push_back(std::make_unique<app::Controller>(io_, settings_.back()));
+      controllers_.push_back(std::make_unique<app::ControllerProcess>(io_, settings_.back()));
     }
     world_.carry = [this](std::size_t node, net::Request request, net::Responder respond) {
       clients_[node]->request(request.method, request.path, std::move(request.body), 4,
@@ -118,7 +118,7 @@
   CloudFront cloud_;
   std::vector<config::Settings> settings_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
-  std::vector<std::unique_ptr<app::Controller>> controllers_;
+  std::vector<std::unique_ptr<app::ControllerProcess>> controllers_;
 };
 
 TEST_F(EndToEnd, AJobRunsAndAControllerMayEnd) {
