--- a/src/sched/arrivals.hpp
+++ b/src/sched/arrivals.hpp
@@ -1,36 +1,43 @@
-// Rate at which demand arrives. Pure.
+/// Estimate of the rate at which demand arrives. Pure: no clock, no randomness, no I/O.
 #pragma once
 
 #include <cmath>
 
 namespace elmstall::sched {
 
+/// Exponentially weighted rate of arrivals: an arrival that lies `memory_s` seconds back has 1/e
+/// of the weight of a new one. All times are in seconds on one steady clock.
 class ArrivalRate {
  public:
-  ArrivalRate(double memory_s, double start) : memory_s_(memory_s), start_(start), last_(start) {}
+  /// `start` is the time from which arrivals are counted.
+  ArrivalRate(double memory_s, double start)
+      : memory_s_(memory_s), start_(start), updated_at_(start) {}
 
+  /// Counts an arrival of `amount`, in any unit.
   void add(double now, double amount) {
     decay(now);
-    level_ += amount;
+    weighted_sum_ += amount;
   }
 
-  /// Amount per second. Young counters are not taken for low rates.
+  /// The rate in units of `amount` per second. The sum of a counter that was started recently
+  /// covers less than its whole memory; the rate is corrected for that.
   [[nodiscard]] double per_second(double now) {
     decay(now);
-    const double seen = 1 - std::exp(-(now - start_) / memory_s_);
-    return seen <= 0 ? 0 : level_ / (memory_s_ * seen);
+    const double covered_share = 1 - std::exp(-(now - start_) / memory_s_);
+    return covered_share <= 0 ? 0 : weighted_sum_ / (memory_s_ * covered_share);
   }
 
  private:
   void decay(double now) {
-    if (now <= last_) return;
-    level_ *= std::exp(-(now - last_) / memory_s_);
-    last_ = now;
+    if (now <= updated_at_) return;
+    weighted_sum_ *= std::exp(-(now - updated_at_) / memory_s_);
+    updated_at_ = now;
   }
+
   double memory_s_;
   double start_;
-  double last_;
-  double level_ = 0;
+  double updated_at_;
+  double weighted_sum_ = 0;
 };
 
 }  // namespace elmstall::sched
--- a/src/sched/balance.hpp
+++ b/src/sched/balance.hpp
@@ -1,5 +1,13 @@
-// The balancing law of the design, after Tang et al., equation (1).
-// Pure: no clock, no randomness, no I/O.
+/// The load balancing law of the paper that the design builds on (Tang et al., equation (1); see
+/// docs/design.md). Pure: no clock, no randomness, no I/O.
+///
+/// The symbols of the paper, as they are used here:
+///  - z_i is the anticipated wait of worker i: the seconds until the tasks that are queued there or
+///    are on their way to it have been worked off.
+///  - sat(x) is x for positive x and 0 otherwise.
+///  - p_ij is the portion of its excess that worker j sends to worker i. Equation (1) sets it to
+///    sat(mean - z_i) divided by the sum of sat(mean - z_k) over all workers k other than j, where
+///    mean is the mean of z over all workers.
 #pragma once
 
 #include <cstddef>
@@ -9,29 +17,34 @@
 
 /// One worker as the balancing law sees it.
 struct WorkerLoad {
-  double z = 0;          ///< seconds of anticipated wait
-  double task_time = 1;  ///< seconds by which one task raises z
-  bool room = true;      ///< may receive tasks
+  double z = 0;          ///< anticipated wait, in seconds
+  double task_time = 1;  ///< seconds by which one more task raises z
+  bool room = true;      ///< whether the worker may receive tasks
 };
 
+/// The paper's sat(): x for positive x, and 0 otherwise.
 [[nodiscard]] inline double sat(double x) { return x > 0 ? x : 0; }
 
+/// The mean of z over all workers; 0 without workers.
 [[nodiscard]] double mean_wait(const std::vector<WorkerLoad>& workers);
 
-/// Portions p_ij by which worker `sender` hands out its excess: each other
-/// worker with room gets its shortfall below the mean over the sum of all
-/// shortfalls. All zero when nobody is below the mean.
+/// The portions p_ij of equation (1) for the worker with index j = `sender`, by index i of the
+/// receiver. Workers without room count as if they were not below the mean. The portions add up to
+/// 1, or all are 0 when no worker can receive.
 [[nodiscard]] std::vector<double> portions(const std::vector<WorkerLoad>& workers,
                                            std::size_t sender, double mean);
 
+/// A number of tasks that move from one worker to another.
 struct Transfer {
-  std::size_t from = 0;
-  std::size_t to = 0;
+  std::size_t from = 0;  ///< index of the sender
+  std::size_t to = 0;    ///< index of the receiver
   std::size_t tasks = 0;
 };
 
-/// One round: every worker above mean plus threshold sends out its excess.
-/// Anticipated load counts at the receiver at once, so that later senders of
+/// One round of balancing: every worker whose z exceeds the mean by more than `threshold_tasks`
+/// tasks sends its excess over the mean to others, in portions by equation (1) and in whole tasks.
+///
+/// Tasks count at their receiver at once (the paper's anticipated load), so that senders later in
 /// the same round do not fill the same gap again.
 [[nodiscard]] std::vector<Transfer> balance_round(std::vector<WorkerLoad> workers,
                                                   double threshold_tasks);
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -1,4 +1,5 @@
-// Places for all tasks of a gang at once. Pure: machines are numbers here.
+/// Placement of gangs: finds machines for all tasks of a gang at once, or for none.
+/// Pure: no clock, no randomness, no I/O. Machines are numbers that the caller assigns.
 #pragma once
 
 #include <cstddef>
@@ -8,43 +9,49 @@
 
 namespace elmstall::sched {
 
-/// A machine that a gang's tasks could run on.
+/// A machine that a gang's tasks could run on. A slot is room for one task of the gang.
 struct GangSite {
-  std::size_t machine = 0;  ///< the caller's number for it
+  std::size_t machine = 0;  ///< the caller's number for the machine
   std::string zone;
-  std::size_t free_slots = 0;   ///< tasks that there is room for now
-  std::size_t extra_slots = 0;  ///< and that lesser work could make room for
-  bool avoid = false;           ///< an earlier attempt got nowhere there
-  bool cached = false;          ///< has the image, or is fetching it
-  bool fetching = false;        ///< fetches another one, which would share its network
-  bool inviting = false;        ///< other work may start there soon, and fetch as well
-  double waste = 0;             ///< what others lose if the gang takes it
-  double extra_cost = 0;        ///< seconds of work lost by making room
+  std::size_t free_slots = 0;   ///< slots that are free now
+  std::size_t extra_slots = 0;  ///< further slots that preemption of lesser tasks would free
+  bool avoid = false;           ///< an earlier attempt of the gang failed to start here
+  bool cached = false;          ///< the machine has the gang's image, or is fetching it
+  bool fetching = false;        ///< the machine is fetching another image, which slows a fetch
+  /// Room would be left over for other tasks, which may start soon and slow a fetch with their own.
+  bool inviting = false;
+  /// Slots for other tasks that would be lost if the gang took this room; half a slot is added for
+  /// a machine that is empty so far.
+  double waste = 0;
+  double extra_cost = 0;  ///< seconds of work that preemption would lose for each extra slot
 };
 
-/// What is to be placed.
+/// The tasks that are to be placed.
 struct GangRequest {
   std::size_t tasks = 0;
-  bool together = false;       ///< all in one zone
-  std::size_t zone_limit = 0;  ///< tasks in one zone at most, 0: any number
+  bool together = false;       ///< all tasks must be in one zone
+  std::size_t zone_limit = 0;  ///< largest number of tasks in one zone; 0: no limit
 };
 
-/// So many tasks on one machine.
+/// The tasks that are placed on one machine.
 struct GangShare {
-  std::size_t site = 0;  ///< position among the sites
-  std::size_t tasks = 0;
-  /// Of these, tasks for which room has to be made.
-  std::size_t displacing = 0;
+  std::size_t site = 0;        ///< index among the sites
+  std::size_t tasks = 0;       ///< all tasks on this machine
+  std::size_t displacing = 0;  ///< those of them for which others must be preempted
 };
 
-/// A place for every task, or nothing. Room that is free goes before room that
-/// has to be made; then machines with the image, those whose network is free to
-/// fetch it, and those that others have the least use for.
+/// Returns machines for all tasks, or nothing if there is not room for all. `displace` allows
+/// extra slots to be used, which is done only where free slots do not suffice.
+///
+/// Machines that are not to be avoided are preferred; then those that have the image, those that
+/// can fetch it fastest, and those that other tasks have the least use for. Of several zones for a
+/// gang that must stay together, the one is chosen that requires the least preemption.
 [[nodiscard]] std::optional<std::vector<GangShare>> place_gang(const std::vector<GangSite>& sites,
                                                                const GangRequest& request,
                                                                bool displace);
 
-/// The zone with the most room, free or not, for a gang that must stay together.
+/// The zone with the most slots, free and extra ones together; empty without sites. Of use for a
+/// gang that must stay together and finds no place yet.
 [[nodiscard]] std::string zone_with_most_room(const std::vector<GangSite>& sites);
 
 }  // namespace elmstall::sched
--- a/src/sched/group.hpp
+++ b/src/sched/group.hpp
@@ -1,12 +1,13 @@
-// The lists of one group of same-type machines: per worker a queue of tasks
-// that wait there, anticipated waits z, and moves between lists by equation
-// (1). Pure and clock-free.
-//
-// Sums are kept as lists change, so that the mean, z and the longest list are
-// known without walking the group: what a decision costs does not grow with
-// the number of workers that it does not concern.
+/// The queues of one group of workers, that is of machines of one type and zone. Each worker has a
+/// list of tasks that wait for it, and tasks move between the lists by equation (1) of the paper
+/// (see sched/balance.hpp for its symbols). Pure: no clock, no randomness, no I/O.
+///
+/// Sums over the lists are kept up to date as the lists change. The mean wait, the anticipated wait
+/// z of a worker and the longest list are therefore known without a walk through the group, and the
+/// cost of a decision does not grow with the number of workers that it does not concern.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -19,89 +20,122 @@
 
 namespace elmstall::sched {
 
+/// The caller's number for a task.
 using TaskId = std::uint64_t;
 
-/// A task that waits in a list.
+/// A task that waits in a list. Lists are ordered by precedence, tier, due time and id.
 struct Queued {
   TaskId id = 0;
-  int precedence = 0;  ///< higher goes first
-  int tier = 0;        ///< then the lower: 0 can still be in time
-  double due = 0;      ///< then the earlier
-  double work_s = 0;   ///< anticipated run time
+  int precedence = 0;  ///< tasks with a higher precedence go first
+  int tier = 0;        ///< tasks with a lower tier go first; 0 while the task can still be in time
+  double due = 0;      ///< seconds on the caller's clock; tasks that are due earlier go first
+  double work_s = 0;   ///< anticipated run time in seconds
+
+  /// Whether this task goes before the other one. Of otherwise equal tasks the lower id does.
   [[nodiscard]] bool before(const Queued& other) const;
 };
 
+/// A worker with the tasks that wait for it.
 struct Worker {
-  std::vector<Queued> list;  ///< in order
-  std::size_t in_transit = 0;
-  double slots = 1;  ///< tasks of the usual size that run at once
-  bool room = false;
-  /// Tasks that wait there or are on their way, per slot.
+  std::vector<Queued> list;    ///< in the order in which the tasks are to start
+  std::size_t in_transit = 0;  ///< tasks that are assigned to it and not yet seen in its heartbeats
+  double slots = 1;            ///< tasks of the usual size that run at once
+  bool room = false;           ///< whether another task could start now
+
+  /// Tasks that wait for the worker or are on their way to it, per slot.
   [[nodiscard]] double load() const {
     return static_cast<double>(list.size() + in_transit) / slots;
   }
 };
 
-/// May this worker ever run this task.
+/// Tells whether a worker may run a task, now or later.
 using Eligible = std::function<bool(TaskId, const std::string& worker)>;
 
+/// The lists of a group, and its inbox, which holds the tasks that no worker of the group could run
+/// when they arrived. A task may be queued only once. Workers are identified by their names.
 class Group {
  public:
-  /// Adds the worker or updates what is known of it.
+  /// Adds a worker, or updates what is known of it. Its list stays as it is.
   void set_worker(const std::string& name, std::size_t in_transit, double slots, bool room);
-  /// Its list goes back to the inbox.
+  /// Removes a worker. The tasks of its list move to the inbox.
   void remove_worker(const std::string& name);
   [[nodiscard]] const std::map<std::string, Worker>& workers() const { return workers_; }
   [[nodiscard]] const std::vector<Queued>& inbox() const { return inbox_; }
 
-  /// A block goes whole to the worker with the lowest z that may run it, as
-  /// the paper's blocks go to one node; balancing spreads it.
+  /// Adds a block of tasks to the list of one worker, the one with the lowest z that is eligible
+  /// for all of them, or else to the inbox. The blocks of the paper go to one node likewise;
+  /// balancing spreads their tasks later.
   void push_block(const std::vector<Queued>& block, const Eligible& eligible);
-  /// Gives inbox tasks to workers that have come meanwhile.
+  /// Moves tasks from the inbox to the lists of workers that have joined meanwhile.
   void settle_inbox(const Eligible& eligible);
+  /// Removes a task from the list that it is in. False if it is in none.
   bool remove(TaskId id);
-  /// Commands every list anew after `update` has changed its tasks.
+  /// Calls `update` for every task, which may change all of it but its id, and sorts all lists.
   void reorder(const std::function<void(Queued&)>& update);
 
+  /// Mean anticipated run time of the queued tasks in seconds; `constants::kDefaultTaskTime` if
+  /// there are none.
   [[nodiscard]] double task_time() const;
-  /// Mean z of the group; without workers, the wait its inbox stands for.
+  /// Mean z of the group, in seconds, tasks of the inbox included. For a group without workers, the
+  /// time that one worker would need for the inbox and one task more.
   [[nodiscard]] double mean() const;
+  /// The anticipated wait of a worker in seconds.
   [[nodiscard]] double z(const Worker& worker) const { return worker.load() * task_time(); }
 
-  /// One round of equation (1). Returns the number of tasks moved.
+  /// Moves tasks between lists by one round of equation (1), with a threshold in tasks. Returns the
+  /// number of tasks that were moved.
   std::size_t balance(double threshold_tasks, const Eligible& eligible);
 
-  /// The first task of the worker's list that can start, or, when its list is
-  /// empty, the first startable one of the longest list.
+  /// The task that the worker should start next: the first startable one of its own list, or else
+  /// of the longest list that has one, or else of the inbox. Nothing for an unknown worker, or if
+  /// no task can start. The task stays in its list.
   [[nodiscard]] std::optional<Queued> next(const std::string& worker,
                                            const std::function<bool(TaskId)>& startable) const;
-  /// The first startable task of the longest list, for a worker of another group.
+  /// The task that a worker of another group should start next: the first startable one of the
+  /// longest list that has one, or else of the inbox. The task stays in its list.
   [[nodiscard]] std::optional<Queued> lend(const std::function<bool(TaskId)>& startable) const;
 
+  /// Number of tasks in all lists and in the inbox.
   [[nodiscard]] std::size_t queued() const { return queued_; }
-  /// Visits all tasks that wait.
+  /// Calls `visit` for every queued task. `visit` must not change the group.
   void each(const std::function<void(const Queued&)>& visit) const;
 
  private:
   using Workers = std::map<std::string, Worker>;
-  /// Longest first, then by name: two runs must decide alike.
-  struct Longer {
+  using Startable = std::function<bool(TaskId)>;
+
+  /// Orders workers by the length of their lists, longest first, and then by name, so that equal
+  /// groups always come to equal decisions.
+  struct LongestListFirst {
     bool operator()(const Workers::value_type* a, const Workers::value_type* b) const;
   };
 
-  static void insert(std::vector<Queued>& list, const Queued& task);
-  /// Every change of a worker goes through this, which keeps the sums right.
-  void change(Workers::value_type& worker, const std::function<void(Worker&)>& apply);
-  void count(const Queued& task, int sign);
-  [[nodiscard]] std::optional<Queued> longest(const Workers::value_type* except,
-                                              const std::function<bool(TaskId)>& startable) const;
-
-  Workers workers_;
+  /// Inserts a task at its place in an ordered list.
+  static void insert_in_order(std::vector<Queued>& list, const Queued& task);
+  /// Applies a change to a worker. Every change must be made through this function, which keeps
+  /// `total_load_` and `workers_with_tasks_` up to date.
+  void change_worker(Workers::value_type& worker, const std::function<void(Worker&)>& change);
+  /// Keep `total_work_s_` and `queued_` up to date when a task joins or leaves the group.
+  void count_in(const Queued& task);
+  void count_out(const Queued& task);
+  /// The worker with the lowest z that is eligible for all tasks of a block, or null.
+  [[nodiscard]] Workers::value_type* least_loaded_worker_for(const std::vector<Queued>& block,
+                                                             const Eligible& eligible);
+  /// Moves up to `limit` tasks that `receiver` may run from one list to the other. Returns how
+  /// many.
+  std::size_t move_tasks(Workers::value_type& sender, Workers::value_type& receiver,
+                         std::size_t limit, const Eligible& eligible);
+  /// The first startable task of the longest list that has one, or else of the inbox. The list of
+  /// the worker `excluded`, which may be null, is left out.
+  [[nodiscard]] std::optional<Queued> first_of_longest_list(const Workers::value_type* excluded,
+                                                            const Startable& startable) const;
+
+  Workers workers_;  ///< by name
   std::vector<Queued> inbox_;
-  std::set<Workers::value_type*, Longer> waiting_;  ///< workers with a list
-  std::map<TaskId, Workers::value_type*> where_;    ///< null: in the inbox
-  double load_ = 0;                                 ///< sum over the workers
-  double work_ = 0;                                 ///< sum over all that wait
+  std::set<Workers::value_type*, LongestListFirst> workers_with_tasks_;
+  std::map<TaskId, Workers::value_type*> worker_of_task_;  ///< null for a task in the inbox
+  double total_load_ = 0;                                  ///< sum of the workers' loads
+  double total_work_s_ = 0;                                ///< sum of `work_s` of all queued tasks
   std::size_t queued_ = 0;
 };
 
--- a/src/sched/resources.hpp
+++ b/src/sched/resources.hpp
@@ -1,8 +1,10 @@
-// Amounts that tasks take of machines and of their team's limits.
+/// Amounts of resources: what tasks need, what machines have, and what teams may use.
+/// Pure: no clock, no randomness, no I/O.
 #pragma once
 
 #include <algorithm>
 #include <cmath>
+#include <cstddef>
 #include <map>
 #include <string>
 
@@ -10,6 +12,7 @@
 
 namespace elmstall::sched {
 
+/// An amount of each resource. The single resources are called dimensions below.
 struct Amount {
   double cpus = 0;
   double gpus = 0;
@@ -28,64 +31,76 @@
     return {a.cpus * factor, a.gpus * factor, a.memory_gb * factor};
   }
 
-  /// Sums of decimal amounts are off in the last digits.
+  /// Tolerance of comparisons, since sums of decimal amounts are off in their last digits.
   static constexpr double kSlack = 1e-6;
+
+  /// Whether this amount is at most `room` in every dimension.
   [[nodiscard]] bool fits(const Amount& room) const {
     return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
            memory_gb <= room.memory_gb + kSlack;
   }
-  /// Largest share of `whole` that this takes in any dimension.
+
+  /// The largest share of `whole` that this amount takes in any dimension; `kUnbounded` where
+  /// `whole` has nothing of what this amount needs.
   [[nodiscard]] double share_of(const Amount& whole) const {
-    const auto part = [](double a, double b) { return a <= 0 ? 0.0 : b <= 0 ? 1e9 : a / b; };
+    const auto share = [](double part, double total) {
+      if (part <= 0) return 0.0;
+      return total <= 0 ? kUnbounded : part / total;
+    };
     return std::max(
-        {part(cpus, whole.cpus), part(gpus, whole.gpus), part(memory_gb, whole.memory_gb)});
+        {share(cpus, whole.cpus), share(gpus, whole.gpus), share(memory_gb, whole.memory_gb)});
   }
+
+  /// Stands for a share or a number of slots without a bound.
+  static constexpr double kUnbounded = 1e9;
 };
 
-/// The lesser of both in each dimension.
+/// The smaller of both amounts in each dimension.
 [[nodiscard]] inline Amount smaller(const Amount& a, const Amount& b) {
   return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
 }
 
-/// How many such tasks fit into the room.
+/// How many tasks that need `need` each fit into `room`.
 [[nodiscard]] inline std::size_t slots_in(const Amount& room, const Amount& need) {
-  double most = 1e9;
-  const auto part = [&most](double there, double each) {
-    if (each > 0) most = std::min(most, std::floor((there + Amount::kSlack) / each));
+  double slots = Amount::kUnbounded;
+  const auto bound_by = [&slots](double available, double per_task) {
+    if (per_task > 0) slots = std::min(slots, std::floor((available + Amount::kSlack) / per_task));
   };
-  part(room.cpus, need.cpus);
-  part(room.gpus, need.gpus);
-  part(room.memory_gb, need.memory_gb);
-  return static_cast<std::size_t>(std::max(0.0, most));
+  bound_by(room.cpus, need.cpus);
+  bound_by(room.gpus, need.gpus);
+  bound_by(room.memory_gb, need.memory_gb);
+  return static_cast<std::size_t>(std::max(0.0, slots));
 }
 
-/// True if `used` stays within the team's hard limit. 0 means no limit.
+/// Whether `used` is within the team's hard limit. A limit of 0 means that there is none.
 [[nodiscard]] inline bool within_limit(const config::Team& team, const Amount& used) {
   return (team.cpus_max <= 0 || used.cpus <= team.cpus_max + Amount::kSlack) &&
          (team.gpus_max <= 0 || used.gpus <= team.gpus_max + Amount::kSlack);
 }
 
-/// How many of `most` tasks fit into the team's limit beside `used`.
+/// How many of `most` tasks that need `need` each fit into the team's hard limit, in addition to
+/// what the team uses already.
 [[nodiscard]] inline double within_limit_count(const config::Team& team, const Amount& used,
                                                const Amount& need, double most) {
-  const auto part = [&most](double limit, double taken, double each) {
-    if (limit > 0 && each > 0)
-      most = std::min(most, std::max(0.0, std::floor((limit - taken + Amount::kSlack) / each)));
+  const auto bound_by = [&most](double limit, double taken, double per_task) {
+    if (limit <= 0 || per_task <= 0) return;
+    const double fitting = std::floor((limit - taken + Amount::kSlack) / per_task);
+    most = std::min(most, std::max(0.0, fitting));
   };
-  part(team.cpus_max, used.cpus, need.cpus);
-  part(team.gpus_max, used.gpus, need.gpus);
+  bound_by(team.cpus_max, used.cpus, need.cpus);
+  bound_by(team.gpus_max, used.gpus, need.gpus);
   return most;
 }
 
-/// True if the team has a guarantee and `used` lies within it. A guarantee of
-/// 0 in one dimension means none there; with none at all nothing is guaranteed.
+/// Whether the team has a guarantee and `used` is within it. A dimension with a guarantee of 0 is
+/// not compared; a team without any guarantee is never within it.
 [[nodiscard]] inline bool within_guarantee(const config::Team& team, const Amount& used) {
   if (team.cpus <= 0 && team.gpus <= 0) return false;
   return (team.cpus <= 0 || used.cpus <= team.cpus + Amount::kSlack) &&
          (team.gpus <= 0 || used.gpus <= team.gpus + Amount::kSlack);
 }
 
-/// Largest number of tasks in one zone of a spread job.
+/// Largest number of a spread job's tasks that may be in one zone: half of them, rounded up.
 [[nodiscard]] inline std::size_t spread_limit(std::size_t tasks) { return (tasks + 1) / 2; }
 
 }  // namespace elmstall::sched
--- a/src/sched/scaling_plan.cpp
+++ b/src/sched/scaling_plan.cpp
@@ -2,31 +2,45 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
 
 namespace elmstall::sched {
 namespace {
 
-int whole(double machines) { return static_cast<int>(std::ceil(machines - 1e-6)); }
+enum class Kind : std::uint8_t { ordinary, spot };
 
-int total(const std::vector<Pool>& pools, bool spot) {
+Kind kind_of(const Pool& pool) { return pool.spot ? Kind::spot : Kind::ordinary; }
+
+/// Sums of demands are off in their last digits, which must not cost a machine.
+constexpr double kRoundingSlack = 1e-6;
+
+int whole_machines(double machines) {
+  return static_cast<int>(std::ceil(machines - kRoundingSlack));
+}
+
+int total_machines(const std::vector<Pool>& pools, Kind kind) {
   int sum = 0;
   for (const auto& pool : pools) {
-    if (pool.spot == spot) sum += pool.alive + pool.booting;
+    if (kind_of(pool) == kind) sum += pool.alive + pool.booting;
   }
   return sum;
 }
 
-/// Spreads `count` machines over the open pools of a kind, emptiest first.
-int distribute(const std::vector<Pool>& pools, bool spot, int count, std::vector<int>& extra) {
+/// Adds `count` machines one by one to the smallest pool of the kind that is not blocked, in
+/// `extra`, which has one number for each pool. Returns how many could not be added.
+int distribute(const std::vector<Pool>& pools, Kind kind, int count, std::vector<int>& extra) {
+  const auto size = [&](std::size_t pool) {
+    return pools[pool].alive + pools[pool].booting + extra[pool];
+  };
+  const std::size_t none = pools.size();
   while (count > 0) {
-    std::size_t best = pools.size();
+    std::size_t smallest = none;
     for (std::size_t i = 0; i < pools.size(); ++i) {
-      if (pools[i].spot != spot || pools[i].blocked) continue;
-      const auto size = [&](std::size_t k) { return pools[k].alive + pools[k].booting + extra[k]; };
-      if (best == pools.size() || size(i) < size(best)) best = i;
+      if (kind_of(pools[i]) != kind || pools[i].blocked) continue;
+      if (smallest == none || size(i) < size(smallest)) smallest = i;
     }
-    if (best == pools.size()) break;
-    ++extra[best];
+    if (smallest == none) break;
+    ++extra[smallest];
     --count;
   }
   return count;
@@ -36,17 +50,18 @@
 
 std::vector<ScaleOut> plan_scale_out(const std::vector<Pool>& pools, const Demand& demand) {
   std::vector<int> extra(pools.size(), 0);
-  const int ordinary_have = total(pools, false);
-  const int spot_have = total(pools, true);
-  const int ordinary_want = whole(demand.ordinary + demand.headroom);
-  distribute(pools, false, std::max(0, ordinary_want - ordinary_have), extra);
+  const int ordinary_have = total_machines(pools, Kind::ordinary);
+  const int spot_have = total_machines(pools, Kind::spot);
+  const int ordinary_want = whole_machines(demand.ordinary + demand.headroom);
+  distribute(pools, Kind::ordinary, std::max(0, ordinary_want - ordinary_have), extra);
 
-  // What ordinary machines have left over serves flexible work too.
-  const double left = std::max(0.0, std::max(ordinary_have, ordinary_want) - demand.ordinary);
-  int missing = std::max(0, whole(demand.flexible - left) - spot_have);
-  missing = distribute(pools, true, missing, extra);
-  // No spot to be had: the work still has to be done.
-  distribute(pools, false, missing, extra);
+  // Ordinary machines that ordinary demand leaves free serve flexible demand too.
+  const double ordinary_free =
+      std::max(0.0, std::max(ordinary_have, ordinary_want) - demand.ordinary);
+  int missing = std::max(0, whole_machines(demand.flexible - ordinary_free) - spot_have);
+  missing = distribute(pools, Kind::spot, missing, extra);
+  // Where no spot machines are to be had, the work is done by ordinary ones.
+  distribute(pools, Kind::ordinary, missing, extra);
 
   std::vector<ScaleOut> scale_outs;
   for (std::size_t i = 0; i < pools.size(); ++i) {
@@ -56,14 +71,15 @@
 }
 
 Surplus surplus(const std::vector<Pool>& pools, const Demand& demand) {
-  const int ordinary_have = total(pools, false);
-  const int spot_have = total(pools, true);
-  const double left = std::max(0.0, ordinary_have - demand.ordinary - demand.headroom);
+  const int ordinary_have = total_machines(pools, Kind::ordinary);
+  const int spot_have = total_machines(pools, Kind::spot);
+  const double ordinary_free = std::max(0.0, ordinary_have - demand.ordinary - demand.headroom);
   Surplus result;
-  result.spot = std::max(0, spot_have - whole(std::max(0.0, demand.flexible - left)));
-  const int all_want =
-      whole(demand.ordinary + demand.headroom + std::max(0.0, demand.flexible - spot_have));
-  result.ordinary = std::max(0, ordinary_have - all_want);
+  result.spot =
+      std::max(0, spot_have - whole_machines(std::max(0.0, demand.flexible - ordinary_free)));
+  const int ordinary_needed = whole_machines(demand.ordinary + demand.headroom +
+                                             std::max(0.0, demand.flexible - spot_have));
+  result.ordinary = std::max(0, ordinary_have - ordinary_needed);
   return result;
 }
 
--- a/src/sched/scaling_plan.hpp
+++ b/src/sched/scaling_plan.hpp
@@ -1,44 +1,50 @@
-// How many machines of which zone and kind are wanted. Pure.
+/// Fleet sizing: how many machines of which zone and kind to rent, and how many could be given
+/// back. Pure: no clock, no randomness, no I/O. All functions treat one machine type at a time.
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <vector>
 
 namespace elmstall::sched {
 
-/// What one pool (type x zone x kind) has, in machines.
+/// The machines of one type, zone and kind (ordinary or spot).
 struct Pool {
   std::string type;
   std::string zone;
   bool spot = false;
-  double price = 0;
-  int alive = 0;    ///< up and usable
-  int booting = 0;  ///< rented, not up yet
-
-  bool blocked = false;  ///< no capacity lately, or the cloud does not answer
+  double price = 0;      ///< of one machine, as the cloud states it
+  int alive = 0;         ///< machines that are up and usable
+  int booting = 0;       ///< machines that are rented, or requested, and not up yet
+  bool blocked = false;  ///< the cloud had no capacity lately, so none is asked for at present
 };
 
-/// Demand of one machine type, in machines' worth.
+/// Demand for one machine type, in machines.
 struct Demand {
-  double ordinary = 0;  ///< work that must not run on spot machines
-  double flexible = 0;  ///< work that may
-  double headroom = 0;  ///< ordinary room kept free for starts
+  double ordinary = 0;  ///< for tasks that must not run on spot machines
+  double flexible = 0;  ///< for tasks that may run on either kind
+  double headroom = 0;  ///< ordinary machines to keep free for tasks that must start at once
 };
 
+/// Machines to rent for one pool.
 struct ScaleOut {
-  std::size_t pool = 0;
+  std::size_t pool = 0;  ///< index of the pool
   int count = 0;
 };
 
-/// Machines to rent now. Pools are those of one type.
+/// The machines to rent now, so that the pools meet the demand. Flexible demand is met by free
+/// ordinary machines first, then by spot machines, and by further ordinary machines where no spot
+/// machines are to be had.
 [[nodiscard]] std::vector<ScaleOut> plan_scale_out(const std::vector<Pool>& pools,
                                                    const Demand& demand);
 
-/// Machines that could be returned of ordinary and spot kind.
+/// Numbers of machines, by kind, that the demand does not need.
 struct Surplus {
   int ordinary = 0;
   int spot = 0;
 };
+
+/// The machines that could be given back.
 [[nodiscard]] Surplus surplus(const std::vector<Pool>& pools, const Demand& demand);
 
 }  // namespace elmstall::sched
