--- a/src/clients/worker_rpc_client.cpp
+++ b/src/clients/worker_rpc_client.cpp
@@ -44,7 +44,7 @@
   auto& entry = connections_[addr];
   if (entry) return entry;
   entry = std::make_shared<PooledConnection>(io_, config::parse_endpoint(addr));
-  const auto connection = entry;
+  auto connection = entry;
   if (connections_.size() > max_connections_) close_least_recently_used(*connection);
   return connection;
 }
