--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -1,5 +1,6 @@
-// Every constant of the project, with its unit and the reason for its value.
-// What a deployment may change comes from the settings file, not from here.
+/// Every constant of the project, with its unit and the reason for its value. The groups are the
+/// packages that use the constants. What a deployment may change comes from the settings file, and
+/// what an operator may change from the properties file, not from here.
 #pragma once
 
 #include <cstddef>
@@ -7,335 +8,379 @@
 
 namespace elmstall::constants {
 
-// --- protocol limits -------------------------------------------------------
-/// Bytes. Largest request body, and largest response to workers and users.
-inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
-/// Bytes. Largest body taken from the state service or cloud: a page is 512
-/// KiB, but a watch has no size limit, so this only stops a runaway peer.
-inline constexpr std::size_t kMaxReplyBytes = std::size_t{8} * 1024 * 1024;
-/// Bytes. Largest block of header fields taken from a client.
-inline constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
-/// Levels. Deepest nesting of a message; the protocol needs four.
+// --- wire: limits of the protocols -------------------------------------------------------------
+/// Levels. Deepest nesting of a message; the protocols need four.
 inline constexpr std::size_t kMaxDepth = 16;
 /// Tasks. Most tasks of one job.
 inline constexpr std::uint64_t kMaxTasks = 100'000;
-/// Seconds. A worker drops the response to a heartbeat after this long.
-inline constexpr double kHeartbeatReplyTimeout = 4.0;
-/// Machines per rental request.
-inline constexpr int kMaxMachinesPerProvision = 50;
-/// Machines per request to delete some.
-inline constexpr std::size_t kMaxTerminationsPerRequest = 100;
-/// Entries per page asked of the state service and of the cloud list.
-inline constexpr int kStatePage = 1000;
-inline constexpr int kCloudPage = 500;
-/// Bytes. Largest transaction; kept below the 64 KiB of the protocol.
-inline constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
+/// Bytes. Longest name in a message: of a machine, a job class, a team or an image.
+inline constexpr std::size_t kMaxNameBytes = 200;
+/// Bytes. Longest job id.
+inline constexpr std::size_t kMaxJobIdBytes = 40;
 
-// --- network ---------------------------------------------------------------
-/// Seconds. A connection that stays silent this long while a request is half
-/// sent is closed; users give up after 5 s.
+// --- net: HTTP servers and clients -------------------------------------------------------------
+/// Bytes. Largest body that is read from the state store or the cloud. A page has 512 KiB at most,
+/// but the answer to a watch has no size limit; this one only stops a faulty server.
+inline constexpr std::size_t kMaxReplyBytes = std::size_t{8} * 1024 * 1024;
+/// Bytes. Largest block of header fields that is read from a client.
+inline constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
+/// Seconds. A connection is closed if it stays silent for this long in the middle of a request.
+/// Users give up after 5 s.
 inline constexpr double kRequestReadTimeout = 6.0;
-/// Seconds. An idle kept-alive connection; users poll every 5 s.
+/// Seconds. A kept-alive connection without a request is closed after this time. Users poll every
+/// 5 s.
 inline constexpr double kIdleTimeout = 60.0;
-/// Seconds. Interval at which connections past their deadline are looked for:
-/// a timer for each would be set three times in every request.
+/// Seconds. Interval at which the connections that are past their deadline are looked for. A timer
+/// for each connection would have to be set three times in every request.
 inline constexpr double kDeadlineCheckInterval = 1.0;
-/// Share of the socket limit that inbound connections may take; the rest is
-/// for workers that are sent commands (`kWorkerSocketShare`), the state service
-/// (10), the cloud (4), peers (5 each) and what is being closed.
+
+// --- app: limits of the process ----------------------------------------------------------------
+/// Bytes. Largest request body that is read, and largest answer to workers and users.
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
+/// Share of the socket limit that inbound connections may use. The rest is for command RPCs to
+/// workers (`kWorkerSocketShare`), the state store (10 sockets), the cloud (4), the other
+/// controllers (5 each) and connections that are being closed.
 inline constexpr double kInboundSocketShare = 0.8;
-/// Share of those above which workers' connections are closed after their
-/// answer: a fleet may be larger than what one controller has sockets, and a
-/// heartbeat takes its own for milliseconds only. What is left is for readiness,
-/// users, and workers that all come at once.
+/// Share of the inbound connections above which the connections of workers are closed after each
+/// answer. There may be more workers than one controller has sockets, and a heartbeat occupies its
+/// socket for a few milliseconds only. The remaining sockets are for readiness checks, for users,
+/// and for many workers that connect at the same moment.
 inline constexpr double kCrowdedShare = 0.7;
-/// Seconds. Longest wait for an answer of the state service: users wait 5 s
-/// for a submission, which leaves room for a read-back and a second try.
+/// Share of the socket limit that connections to workers may use.
+inline constexpr double kWorkerSocketShare = 0.08;
+
+// --- store: client of the state store ----------------------------------------------------------
+/// Connections to the state store for ordinary requests, and for watches.
+inline constexpr std::size_t kStateConnections = 8;
+inline constexpr std::size_t kWatchConnections = 2;
+/// Seconds. Longest wait for an answer of the state store. Users wait 5 s for the answer to a
+/// submission, which leaves time to read the record back and to try a second time.
 inline constexpr double kStateTimeout = 1.5;
+/// Seconds. Interval at which requests that wait for the rate limit are tried again.
+inline constexpr double kStateQueueInterval = 0.02;
+/// Seconds. Added to the time for which a watch is held open, before it counts as lost.
+inline constexpr double kWatchGrace = 2.0;
+/// Entries per page that is requested from the state store.
+inline constexpr int kStatePage = 1000;
+/// Jobs. Number of final states that are remembered in memory; older ones are read from the state
+/// store when a user asks.
+inline constexpr std::size_t kFinalCache = 20'000;
+
+// --- store: sizes of records -------------------------------------------------------------------
+/// Share of a value that is filled with entries. The sizes of entries are estimated by upper
+/// bounds; the rest is for the frame around them.
+inline constexpr double kSlotFill = 0.95;
+/// Bytes. Upper bound of what the numbers of a job's record take as JSON beyond their shortest
+/// form.
+inline constexpr std::size_t kJsonNumberSlack = 32;
+/// Bytes. Size of a block's record as JSON without its tasks.
+inline constexpr std::size_t kBlockFrameBytes = 80;
+/// Bytes. Size of one task in a block's record as JSON.
+inline constexpr std::size_t kTaskRecordBytes = 40;
+/// Tasks. Most tasks of one block. A change of one task writes its whole block.
+inline constexpr std::uint32_t kMaxBlockTasks = 32;
+
+// --- clients: cloud and command RPCs -----------------------------------------------------------
 /// Seconds. Longest wait for an answer of the cloud.
 inline constexpr double kCloudTimeout = 8.0;
-/// Seconds. How long a watch is held open by the state service.
-inline constexpr double kWatchHold = 10.0;
-/// Seconds. Grace on top of the hold before a watch counts as lost.
-inline constexpr double kWatchGrace = 2.0;
+/// Entries per page that is requested from the cloud's machine list.
+inline constexpr int kCloudPage = 500;
+/// Seconds. Longest wait for a worker's answer to a command RPC: well above the slowest round trip
+/// between zones, and well below a short lease.
+inline constexpr double kCommandRpcTimeout = 2.0;
 
-// --- leadership ------------------------------------------------------------
-/// Seconds. Life of the state lease on `lead`. Short, because a worker's
-/// lease may be 10 s and must be renewed by the next leader in time; long
-/// enough for several renewals to get lost.
+// --- state: group commit -----------------------------------------------------------------------
+/// Bytes. Largest transaction, below the limit of the protocol of 64 KiB.
+inline constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
+/// Seconds. Shortest interval between two commits of the leader. At this interval they stay far
+/// below the changes that the state store accepts, which leaves room for the changes that users'
+/// requests make.
+inline constexpr double kCommitInterval = 0.12;
+/// Seconds. Pause after a commit that the state store refused. It is short because the leader
+/// competes with the submissions of all nodes for the same rate, and because the start of every
+/// task waits for this commit.
+inline constexpr double kCommitRetry = 0.08;
+/// Seconds. Pause after a transaction that the state store called malformed whatever its size.
+inline constexpr double kCommitRejectedPause = 1.0;
+/// Smallest share of the limits to which transactions are reduced while the state store calls
+/// them too large.
+inline constexpr double kCommitScaleMin = 0.25;
+/// Transactions. Number of accepted ones after which a reduced share is doubled again.
+inline constexpr int kCommitScaleRegain = 200;
+/// Share of a value of the ledger log that may still be valid when its slot is overwritten; valid
+/// entries are copied into the new value. With a third, copying is cheap, and the log has three
+/// times the size of the valid entries, which is what a takeover has to read.
+inline constexpr double kSlotCarry = 0.33;
+/// Slots that the ledger log gets before the first one is overwritten.
+inline constexpr std::size_t kSlotsFirst = 8;
+
+// --- peer: connections between controllers -----------------------------------------------------
+/// Bytes. Largest message between controllers.
+inline constexpr std::size_t kMaxPeerMessageBytes = std::size_t{256} * 1024;
+/// Bytes. Messages between controllers are written together up to this size, and read in pieces of
+/// at most this size. A forwarded heartbeat takes some hundred bytes.
+inline constexpr std::size_t kPeerWriteBytes = std::size_t{16} * 1024;
+inline constexpr std::size_t kPeerReadBytes = std::size_t{8} * 1024;
+
+// --- config: time limits of leases, see Settings -----------------------------------------------
+/// Seconds. Subtracted from the leader lease W for timer steps and for the time it takes to kill a
+/// task. Nothing is subtracted for the time that an answer is under way: a worker's lease counts
+/// from the moment when it sent the heartbeat, which lies before the moment of the answer, however
+/// late that arrives.
+inline constexpr double kLeaderLeaseMargin = 1.5;
+/// Ratio. Steady clocks run at rates that differ by at most 0.05%; doubled for safety.
+inline constexpr double kDrift = 0.001;
+/// Seconds. Added to every wait for the end of a lease, for timer steps.
+inline constexpr double kLeaseMargin = 0.5;
+/// Seconds. A worker ignores the answer to a heartbeat that arrives later than this.
+inline constexpr double kHeartbeatReplyTimeout = 4.0;
+/// Seconds. Used if the settings do not say how long a gang's task waits on its machine for the
+/// other tasks, and how soon it notices that one of them is gone.
+inline constexpr double kGangWaitDefault = 30.0;
+inline constexpr double kGangPeerDefault = 8.0;
+
+// --- election and controller: leadership -------------------------------------------------------
+/// Seconds. Life of the state store's lease to which the leader's record is bound. It is short
+/// because the lease of a worker may be 10 s only and the next leader must renew it in time; it is
+/// long enough that several renewals may be lost.
 inline constexpr double kLeadLease = 3.0;
-/// Seconds. Interval of lease renewals and of term confirmations.
+/// Seconds. Interval at which leases of the state store are renewed and the term is confirmed.
 inline constexpr double kRenewInterval = 0.8;
-/// Seconds. Spread of the moment at which followers start an election.
+/// Seconds. Followers start an election at a random moment within this time.
 inline constexpr double kElectionJitter = 0.1;
-/// Candidacies remembered by a node that is not elected: the transaction of one
-/// that was given up can be applied only while its lease of `kLeadLease` lives,
-/// in which a dozen others fit at `kStateRetry`.
+/// Candidacies that a node remembers while it is not elected. The transaction of an abandoned
+/// candidacy can be applied only as long as its lease lives (`kLeadLease`), and no more than a
+/// dozen candidacies begin in that time at one every `kStateRetry`.
 inline constexpr std::size_t kCandidaciesKept = 12;
-/// Seconds. Taken off W for timer steps and the time it takes to kill a task.
-/// Not for the way of an answer: a lease counts from the sending of the heartbeat,
-/// which lies before the moment of the answer, however late that arrives.
-inline constexpr double kLeaderLeaseMargin = 1.5;
-/// Seconds. Oldest knowledge of cancellations on which a task is started, unless
-/// nobody reaches the state service: a read index is requested every second
-/// (`kProbeInterval`) and may take a slow answer or two to come.
+/// Seconds. Greatest age of the knowledge of cancellations with which the leader starts a task,
+/// unless no controller reaches the state store (rule 1). A read index is requested every second
+/// (`kProbeInterval`), and one or two of the answers may be slow.
 inline constexpr double kStartKnowledge = 4.0;
-/// Ratio. Steady clocks drift apart by at most 0.05%; doubled here.
-inline constexpr double kDrift = 0.001;
-/// Seconds. Added to any wait for a lease to run out, for timer steps.
-inline constexpr double kLeaseMargin = 0.5;
-/// Bits of a token below the term, left for per-machine fences.
+/// Bits of a fencing token below the term. They count the fences of one machine.
 inline constexpr int kTokenFenceBits = 20;
 
-// --- peer network --------------------------------------------------------------------
-/// Seconds. Interval of heartbeats between controllers.
-inline constexpr double kPeerHeartbeatInterval = 0.8;
-/// Seconds. A peer not heard from for this long counts as unreachable.
-inline constexpr double kPeerSilence = 2.6;
-/// Bytes. Largest message between controllers.
-inline constexpr std::size_t kMaxPeerMessageBytes = std::size_t{256} * 1024;
-/// Bytes. Messages between controllers that are written together at most, and
-/// read at once; a forwarded heartbeat takes some hundred.
-inline constexpr std::size_t kPeerWriteBytes = std::size_t{16} * 1024;
-inline constexpr std::size_t kPeerReadBytes = std::size_t{8} * 1024;
-/// Seconds. Interval at which forwarded heartbeats and their answers are sent: each
-/// packet costs a small machine more than the heartbeat in it, and workers send theirs
-/// half a second apart at the least.
-inline constexpr double kForwardInterval = 0.05;
-/// Seconds. A worker that comes back within this time after a redirect could
-/// not reach the leader; its heartbeat is then forwarded over the peer network.
-inline constexpr double kRedirectMemory = 12.0;
-/// Seconds. Longest wait for the leader's answer to a forwarded heartbeat; the
-/// worker gives up after 4 s.
-inline constexpr double kForwardTimeout = 3.4;
-
-// --- zone delegates --------------------------------------------------------------
-/// Seconds. Life of the state lease on a zone delegate's record.
+// --- election: zone delegates ------------------------------------------------------------------
+/// Seconds. Life of the state store's lease to which a zone delegate's record is bound.
 inline constexpr double kDelegationLease = 4.0;
-/// Seconds taken off that life: a zone delegate falls silent before its record
-/// can be gone.
+/// Seconds. Subtracted from that life, so that a zone delegate stops answering heartbeats before
+/// its record can have disappeared.
 inline constexpr double kDelegationMargin = 0.5;
-/// Seconds. Oldest knowledge of cancellations a zone delegate may act on.
+/// Seconds. Greatest age of the knowledge of cancellations with which a zone delegate answers
+/// heartbeats.
 inline constexpr double kDelegationKnowledge = 5.0;
-/// Seconds. A machine that comes back within this time after it was sent away
-/// found no other controller: each of a handful costs it a time-out of 4 s and
-/// a pause of 1 s.
+/// Seconds. A machine that returns within this time after it was turned away has found no other
+/// controller. Each of the few controllers that it tries costs it a time-out of 4 s and a pause of
+/// 1 s.
 inline constexpr double kTurnedAwayMemory = 40.0;
-/// Seconds. How long the leader must be heard again before the delegation ends.
+/// Seconds. A delegation ends once the leader has been heard again for this long.
 inline constexpr double kDelegationEnd = 1.5;
 
-// --- gangs -------------------------------------------------------------------------
-/// Seconds. How long workers let a gang's task wait for the others, and how soon
-/// they notice that one is gone, where the settings don't tell.
-inline constexpr double kGangWaitDefault = 30.0;
-inline constexpr double kGangPeerDefault = 8.0;
-/// Seconds. Pause between two searches of places for one gang: each walks through
-/// all machines with room.
-inline constexpr double kGangRetryInterval = 0.25;
-/// Seconds. How long places are kept while lesser work makes room: it saves for
-/// some seconds, and says so late.
-inline constexpr double kGangClaimMax = 15.0;
-/// Seconds. A gang that has waited this long keeps the places there are, so that
-/// smaller work does not take them one by one for ever; and how long at most,
-/// and again after as long, for its share may stand idle meanwhile.
-inline constexpr double kGangReserveAfter = 10.0;
-inline constexpr double kGangReserveMax = 60.0;
-/// Seconds. Machines are rented in one zone for this long before another is tried.
-inline constexpr double kGangZonePatience = 20.0;
-/// Seconds. Pause of a task that a machine refused.
-inline constexpr double kGangRefusedPause = 0.5;
-/// Seconds. What must be left of the others' wait for a replacement to be worth
-/// it: a commit, a command, and the heartbeats that tell.
-inline constexpr double kGangReplaceMargin = 3.0;
-/// Seconds. What a machine must live beyond the time to save, for the commands
-/// to reach all machines.
-inline constexpr double kGangCheckpointMargin = 2.0;
-/// Seconds. A stop with time to save is told again after this long.
-inline constexpr double kStopRepeat = 1.0;
-
-// --- engine ------------------------------------------------------------------
-/// Seconds. Interval of the engine's periodic work.
+// --- controller: work of a node ----------------------------------------------------------------
+/// Seconds. Interval of a node's periodic work.
 inline constexpr double kTickInterval = 0.25;
-/// Seconds. Longest a user's request waits for a read index or a commit.
-inline constexpr double kUserDeadline = 4.0;
-/// Seconds. Longest a poll waits; users give up after 2 s.
-inline constexpr double kPollDeadline = 1.5;
-/// Seconds. What users are told to wait before trying again.
-inline constexpr int kRetryAfter = 1;
-/// Seconds. Pause before a watch is opened again, so that changes come in
-/// batches: each opened watch costs a request of the state service's rate.
+/// Seconds. Interval of the leader's decisions. Whatever happens in between is decided together.
+inline constexpr double kDecideInterval = 0.05;
+/// Seconds. Time for which the state store is asked to hold a watch open.
+inline constexpr double kWatchHold = 10.0;
+/// Seconds. Pause before a watch is opened again, on the leader and on other nodes. Every watch
+/// costs one request of the state store's rate, so changes should come in batches.
 inline constexpr double kWatchPauseLeader = 0.02;
 inline constexpr double kWatchPauseFollower = 0.1;
-/// Seconds. Pause after the state service did not serve a request.
+/// Seconds. Pause after a request that the state store did not serve.
 inline constexpr double kStateRetry = 0.3;
-/// Share of the state service's requests that read indexes of all nodes
-/// together may take: one serves every poll that waits, and the rest is
-/// for commits, watches and lease renewals.
+/// Share of the state store's requests that the read indexes of all nodes together may use. One
+/// read index serves all polls that wait for it; the rest is for commits, watches and renewals of
+/// leases.
 inline constexpr double kReadIndexShare = 0.3;
-/// Seconds. A node proves at least this often that it reaches the state service.
+/// Seconds. A node checks at least this often that it reaches the state store.
 inline constexpr double kProbeInterval = 1.0;
-/// Seconds. Without the state service for this long a node calls itself
-/// unready, unless the others see the same; each removal by the balancer
-/// doubles its pause, so short faults are sat out.
+/// Seconds. A node that has not reached the state store for this long reports that it is not
+/// ready, unless the other nodes do not reach it either. Shorter faults are waited out, because
+/// the load balancer doubles its pause every time it removes a node.
 inline constexpr double kUnreadyAfter = 4.0;
-/// Seconds. Pause before the machine types are asked for again.
+/// Seconds. Pause before the machine types are requested from the cloud again.
 inline constexpr double kTypesRetry = 1.0;
-/// Jobs. Final states remembered in memory; older ones are read when asked.
-inline constexpr std::size_t kFinalCache = 20'000;
-/// Commands in one response, so that it stays far below 64 KiB.
-inline constexpr std::size_t kMaxCommands = 200;
 
-// --- ledger log -----------------------------------------------------------------
-/// Share of a value that is filled; estimates of sizes are upper bounds, and
-/// the rest is for the frame around the entries.
-inline constexpr double kSlotFill = 0.95;
-/// Share of a value that may be live when it is overwritten: what is live is
-/// carried along. A third keeps carrying cheap and the log at three times the
-/// live records, which is what a takeover reads.
-inline constexpr double kSlotCarry = 0.33;
-/// Least share of the limits that transactions are cut down to when the state
-/// service calls them too large, and how many accepted ones it takes to double
-/// that share again.
-inline constexpr double kCommitScaleMin = 0.25;
-inline constexpr int kCommitScaleRegain = 200;
-/// Seconds. Pause after a transaction that was called malformed, whatever its size.
-inline constexpr double kCommitRejectedPause = 1.0;
-/// Bytes. What numbers may take as JSON beyond their shortest form.
-inline constexpr std::size_t kJsonNumberSlack = 32;
-/// Bytes. Frame of a block's record around its tasks, as JSON.
-inline constexpr std::size_t kBlockFrameBytes = 80;
-/// Values that the log has before it begins to overwrite.
-inline constexpr std::size_t kSlotsFirst = 8;
-/// Seconds between two commits of the leader: together they stay far below the
-/// changes that the state service takes, with room for users' own.
-inline constexpr double kCommitInterval = 0.12;
-/// Seconds. Pause after a refused commit: short, for acceptances of all nodes
-/// compete for the same rate, and every start waits for this one.
-inline constexpr double kCommitRetry = 0.08;
+// --- controller: messages to other controllers -------------------------------------------------
+/// Seconds. Interval of the heartbeats between controllers.
+inline constexpr double kPeerHeartbeatInterval = 0.8;
+/// Seconds. A controller that was not heard from for this long counts as unreachable.
+inline constexpr double kPeerSilence = 2.6;
+/// Seconds. Interval at which forwarded heartbeats of workers and the answers to them are sent.
+/// Every packet costs a small machine more than the heartbeat in it, and a worker sends its
+/// heartbeats at least half a second apart.
+inline constexpr double kForwardInterval = 0.05;
+/// Seconds. A worker that returns within this time after it was redirected could not reach the
+/// leader. Its heartbeats are then forwarded to the leader.
+inline constexpr double kRedirectMemory = 12.0;
+/// Seconds. Longest wait for the leader's answer to a forwarded heartbeat. The worker gives up
+/// after 4 s (`kHeartbeatReplyTimeout`).
+inline constexpr double kForwardTimeout = 3.4;
 
-// --- direct commands ---------------------------------------------------------------
-/// Seconds. Longest wait for a worker's answer to commands: a good deal above the
-/// slowest round trip between zones, a good deal below a short lease.
-inline constexpr double kCommandRpcTimeout = 2.0;
-/// Seconds. After a command RPC that failed the machine gets its commands with the
-/// answers to its heartbeats for this long.
+// --- controller: commands to workers -----------------------------------------------------------
+/// Seconds. After a failed command RPC the machine gets its commands with the answers to its
+/// heartbeats for this long.
 inline constexpr double kCommandRpcBackoff = 6.0;
-/// Command RPCs in flight at once, and takeover command RPCs begun per tick: they
-/// share the processor with the heartbeats.
+/// Command RPCs that may be under way at the same time, and command RPCs without commands that are
+/// begun in each tick after a takeover. They compete with the heartbeats for the processor.
 inline constexpr std::size_t kCommandRpcsMax = 48;
 inline constexpr std::size_t kSynchronizationsPerTick = 24;
-/// Share of the socket limit for connections to workers.
-inline constexpr double kWorkerSocketShare = 0.08;
-/// Share of a lease after which a machine that shows no effect of what it was
-/// told, though its heartbeats arrive, counts as unresponsive.
+/// Share of a lease. A machine whose heartbeats arrive, but show no effect of the commands that it
+/// was sent this long ago, counts as unresponsive.
 inline constexpr double kUnresponsiveShare = 0.7;
-/// Leases after which a machine that stays unresponsive is returned to the cloud.
-inline constexpr double kUnresponsiveLeases = 3.0;
 
-// --- overload ------------------------------------------------------------------
-/// Requests in progress: first limit, and the bounds it moves in.
+// --- controller: failures of tasks -------------------------------------------------------------
+/// Jobs. A machine is quarantined when tasks of this many different jobs have failed on it.
+inline constexpr int kMachineErrorLimit = 2;
+/// Machines. A job is held responsible when its tasks have failed on this many machines.
+inline constexpr int kJobErrorMachines = 3;
+/// Seconds. First and longest pause before a failed task is tried again.
+inline constexpr double kErrorBackoff = 2.0;
+inline constexpr double kErrorBackoffMax = 60.0;
+
+// --- dispatch: commands for a worker -----------------------------------------------------------
+/// Commands. Most commands in one message, which keeps it far below 64 KiB.
+inline constexpr std::size_t kMaxCommands = 200;
+/// Seconds. A command to stop a task with a grace period is repeated after this time.
+inline constexpr double kStopRepeat = 1.0;
+
+// --- api: users' requests ----------------------------------------------------------------------
+/// Seconds. Longest time for which a user's request waits for a read index or a commit.
+inline constexpr double kUserDeadline = 4.0;
+/// Seconds. Longest time for which a poll waits. Users give up after 2 s.
+inline constexpr double kPollDeadline = 1.5;
+/// Seconds. The time after which users are told to try again.
+inline constexpr int kRetryAfter = 1;
+/// Requests. The self-adjusting limit of requests in progress: its initial value and its bounds.
 inline constexpr double kLimitStart = 64;
 inline constexpr double kLimitMin = 8;
 inline constexpr double kLimitMax = 400;
-/// Seconds. Times below this say nothing about load.
+/// Seconds. Shorter times of requests are counted as this long, because differences below it do
+/// not indicate load.
 inline constexpr double kLimitFloor = 0.02;
-/// Ratio of a request's time to the best one that is still no overload.
+/// Ratio of a request's recent time to the shortest one. Up to this ratio there is no overload.
 inline constexpr double kLimitTolerance = 4.0;
-/// Ratio by which the best time is let go with every measurement.
+/// Ratio by which the remembered shortest time grows with every measurement, so that it is slowly
+/// forgotten.
 inline constexpr double kLimitForget = 1.002;
 
-// --- scheduling ----------------------------------------------------------------
-/// Tasks' worth of time by which z must exceed the mean before a list sends
-/// out its excess: the threshold of the paper (section IV-A).
+// --- placement: queues of tasks ----------------------------------------------------------------
+/// Tasks. A list sends out its excess when its anticipated wait z exceeds the mean of its group by
+/// the time of this many tasks: the threshold of the paper (section IV-A).
 inline constexpr double kThresholdTasks = 10.0;
-/// Seconds. Run time assumed for a class before any estimate is known.
+/// Seconds. Run time that is assumed for a job class while there is no estimate.
 inline constexpr double kDefaultTaskTime = 60.0;
-/// Weight of a new measurement in learned averages.
+/// Weight of a new measurement in moving averages.
 inline constexpr double kLearnRate = 0.2;
-/// Seconds. Interval at which lists are ordered anew: deadlines draw near.
+/// Seconds. Interval at which the lists are sorted again, because deadlines come closer.
 inline constexpr double kReorderInterval = 1.0;
-/// Seconds. Stands for the aim of work that has none; goes last of its rank.
+/// Seconds. Completion objective that is assumed for work without one; such work is the last of
+/// its priority.
 inline constexpr double kNoAim = 1e6;
-/// Share of a job's remaining work, in seconds of one task after the other,
-/// by which the job is put behind others: small jobs first gets more of them
-/// done in time when there is not room for all.
+/// Weight with which a job's remaining work, in seconds of one task after the other, moves the job
+/// back in the lists. If there is not room for all jobs, then more of them meet their objective
+/// when the small ones go first.
 inline constexpr double kSmallFirst = 1.0;
-/// Seconds. A job that has waited this long without beginning goes first of
-/// its rank, whatever its size: users expect the largest to begin within four
-/// minutes, and machines may first have to be rented and booted for it.
+/// Seconds. A job that has waited this long without any start becomes the first of its priority,
+/// whatever its size. Users expect even the largest jobs to begin within four minutes, and
+/// machines may have to be rented and booted before.
 inline constexpr double kBeginWithin = 150.0;
-/// Seconds. Interval at which every machine is looked at for what only time
-/// changes.
+/// Seconds. Interval at which every machine is reviewed for what changes with time alone.
 inline constexpr double kReviewInterval = 1.0;
-/// Seconds. Interval of decisions: what happens meanwhile is decided together.
-inline constexpr double kDecideInterval = 0.05;
-/// Seconds. Pause of a job for which stopping others made no room, and
-/// searches for such room in one round: each walks through all machines.
-inline constexpr double kDisplaceInterval = 1.0;
-inline constexpr int kDisplaceSearches = 4;
-/// Share of its aim by which late work's next aim lies later, and how often.
+/// Work that can no longer meet its objective gets a later one: each step adds this share of the
+/// objective, up to this number of steps.
 inline constexpr double kTierStep = 0.5;
 inline constexpr int kMaxTier = 8;
-/// Tasks of one job that act as an unrecorded delegate lists at once; a job of 100,000 tasks gets
+/// Tasks. Most tasks of one job that stand in lists at the same time. A job of 100,000 tasks gets
 /// its blocks as they are needed.
 inline constexpr std::size_t kWindowTasks = 256;
-/// Bytes of a block record that one task may take, as JSON.
-inline constexpr std::size_t kTaskRecordBytes = 40;
-/// Tasks of one block at most: a change of one task writes its whole block.
-inline constexpr std::uint32_t kMaxBlockTasks = 32;
-/// Seconds. Pause of a task that made room for another, so that whatever else
-/// goes wrong, tasks can't displace each other at the speed of the commits.
+
+// --- placement: preemption ---------------------------------------------------------------------
+/// Seconds. Pause of a job for which preemption could not make room.
+inline constexpr double kDisplaceInterval = 1.0;
+/// Searches for room by preemption in one round of decisions; each looks at all machines.
+inline constexpr int kDisplaceSearches = 4;
+/// Seconds. Pause of a task that was stopped to make room for another one. Whatever else goes
+/// wrong, tasks then can't preempt each other at the rate of the commits.
 inline constexpr double kPreemptPause = 1.0;
-/// Failures of different jobs after which a machine is quarantined.
-inline constexpr int kMachineErrorLimit = 2;
-/// Machines on which a job's tasks fail before the job is blamed.
-inline constexpr int kJobErrorMachines = 3;
-/// Seconds. First pause before a failed task is tried again, and the longest.
-inline constexpr double kErrorBackoff = 2.0;
-inline constexpr double kErrorBackoffMax = 60.0;
 
-// --- fleet -----------------------------------------------------------------------
-/// Multiple of `ready_s` after which a machine that has not come up is given
-/// up; boots usually take up to 1.5 times that.
-inline constexpr double kBootGiveUp = 3.0;
-/// Seconds. Interval of fleet decisions and of reading the machine list.
+// --- placement: gangs --------------------------------------------------------------------------
+/// Seconds. Pause between two searches for places for a gang; each looks at all machines with room.
+inline constexpr double kGangRetryInterval = 0.25;
+/// Seconds. Longest time for which places are kept while lesser work is stopped to make room. Such
+/// work takes some seconds to write its checkpoints, and it is reported late that it has ended.
+inline constexpr double kGangClaimMax = 15.0;
+/// Seconds. A gang that has waited this long keeps the free places that there are, so that smaller
+/// work does not take one after the other for ever.
+inline constexpr double kGangReserveAfter = 10.0;
+/// Seconds. Longest time for which it keeps them, since they stay unused meanwhile, and the time
+/// after which it may keep places again.
+inline constexpr double kGangReserveMax = 60.0;
+/// Seconds. Machines for a gang are rented in one zone for this long before another zone is tried.
+inline constexpr double kGangZonePatience = 20.0;
+/// Seconds. Pause of a gang's task that a machine refused.
+inline constexpr double kGangRefusedPause = 0.5;
+/// Seconds. A lost task of a gang is replaced only if the others will wait at least this much
+/// longer than the replacement needs to fetch its image: for a commit, a command, and the
+/// heartbeats that report the result.
+inline constexpr double kGangReplaceMargin = 3.0;
+/// Seconds. How much longer than its checkpoint takes a machine must live for a gang to write one,
+/// so that the commands can reach all machines.
+inline constexpr double kGangCheckpointMargin = 2.0;
+
+// --- autoscaler: provision and terminate -------------------------------------------------------
+/// Seconds. Interval of the autoscaler's decisions.
 inline constexpr double kAutoscaleInterval = 1.0;
-/// Share of the cloud's rate that rentals may take; lists and deletions need
+/// Seconds. Interval at which the cloud's machine list is read.
+inline constexpr double kListInterval = 5.0;
+/// Machines. Most machines of one provision request.
+inline constexpr int kMaxMachinesPerProvision = 50;
+/// Machines. Most machines of one request to terminate some.
+inline constexpr std::size_t kMaxTerminationsPerRequest = 100;
+/// Share of the cloud's request rate that provision requests may use. Lists and terminations need
 /// the rest.
 inline constexpr double kProvisionRateShare = 0.6;
-inline constexpr double kListInterval = 5.0;
-/// Seconds. Work that is bound to a zone and has waited this long gets machines
-/// of that zone, however many stand idle elsewhere.
-inline constexpr double kZonePatience = 3.0;
-/// Seconds. Deletions are gathered for this long: each request counts against
-/// the cloud's rate, and takes up to a hundred names.
+/// Seconds. Terminations are collected for this long, because every request counts against the
+/// cloud's rate and one may name up to a hundred machines.
 inline constexpr double kTerminationInterval = 1.0;
-/// Seconds. The pause after `no capacity`, doubled up to the maximum.
+/// Multiple of `ready_s`. A machine that has not come up after this time is given up. Boots
+/// usually take up to 1.5 times `ready_s`.
+inline constexpr double kBootGiveUp = 3.0;
+/// Leases. A machine that stays unresponsive for this long is terminated.
+inline constexpr double kUnresponsiveLeases = 3.0;
+/// Seconds. First and longest pause after the cloud had no capacity; it doubles every time.
 inline constexpr double kNoCapacityPause = 10.0;
 inline constexpr double kNoCapacityPauseMax = 40.0;
-/// Seconds. Memory of the rate at which flexible work arrives; and the time
-/// after a takeover for which arrivals tell nothing, for users then catch up.
+
+// --- autoscaler: size of the fleet -------------------------------------------------------------
+/// Seconds. Work that is bound to a zone and has waited this long gets machines in that zone,
+/// however many are idle in other zones.
+inline constexpr double kZonePatience = 3.0;
+/// Seconds. Time over which the arrival rate of flexible work is measured.
 inline constexpr double kArrivalMemory = 90.0;
+/// Seconds. Arrivals in this time after a takeover are not counted, because users then repeat what
+/// they could not submit before.
 inline constexpr double kArrivalSettle = 10.0;
-/// Seconds of arrivals after which their rate is worth acting upon.
+/// Seconds. The arrival rate is used only after arrivals were counted for this long.
 inline constexpr double kArrivalLearn = 15.0;
-/// Machines, and share of the ordinary work there is, kept free for services
-/// that must start sooner than a machine boots.
+/// Room that is kept free for services, which must start sooner than a machine boots: a number of
+/// machines, and a share of the ordinary work that there is.
 inline constexpr double kHeadroomMachines = 0.5;
 inline constexpr double kHeadroomShare = 0.1;
-/// Boots. Work whose aim leaves less time than this beyond its run is rented
-/// for ahead of its arrival; other work can wait for a machine.
+/// Boot times. Machines are rented ahead of its arrival for work whose objective leaves less than
+/// this beyond its run time. Other work can wait for a machine.
 inline constexpr double kUrgentBoots = 1.5;
-/// Share of the expected change of demand that is acted upon.
+/// Share of the expected change of demand for which machines are rented in advance.
 inline constexpr double kForesight = 1.0;
-/// Share of `ready_s` for which an idle machine is kept: a new one would be
-/// paid for that long before it runs anything. Measured: shorter loses starts,
-/// longer loses money (docs/measurements.md).
+/// Share of `ready_s` for which an idle machine is kept. A new machine would be paid for that long
+/// before it runs anything. According to measurements a shorter time delays starts and a longer
+/// one costs more money (docs/measurements.md).
 inline constexpr double kIdleShare = 0.75;
-/// Machines for which that share holds. Larger fleets keep idle ones for less,
-/// by the root of their size, as chance evens out; but never less than this
-/// part, for a rental costs 60 s at least.
+/// Machines. Size of the fleet up to which that share applies. Larger fleets keep idle machines
+/// for a shorter time, by the square root of their size, because random changes of demand weigh
+/// less in them.
 inline constexpr double kIdleFleet = 30;
+/// Smallest factor by which that time is shortened; a rental costs at least 60 s.
 inline constexpr double kIdleScaleMin = 0.45;
 
 }  // namespace elmstall::constants
--- a/src/config/endpoint.hpp
+++ b/src/config/endpoint.hpp
@@ -1,4 +1,4 @@
-// Network addresses as settings files write them.
+/// Network addresses as the settings file writes them.
 #pragma once
 
 #include <asio.hpp>
@@ -6,8 +6,8 @@
 
 namespace elmstall::config {
 
-/// Parses `ADDRESS:PORT` with a numeric IP address. Throws std::invalid_argument,
-/// whose text names what is wrong.
+/// Parses `ADDRESS:PORT`, where ADDRESS is a numeric IP address. Throws std::invalid_argument if
+/// the text is not of that form; its message quotes the text and names the problem.
 [[nodiscard]] asio::ip::tcp::endpoint parse_endpoint(std::string_view text);
 
 }  // namespace elmstall::config
--- a/src/config/properties.cpp
+++ b/src/config/properties.cpp
@@ -12,26 +12,62 @@
 namespace elmstall::config {
 namespace {
 
-/// Keys as written, with dots, whatever their nesting.
-void collect(const Poco::Util::AbstractConfiguration& source, const std::string& prefix,
-             std::vector<std::string>& keys) {
+/// Appends all keys below the prefix to the list, as they are written in the file, with dots. The
+/// library splits keys at the dots into a tree.
+void collect_keys(const Poco::Util::AbstractConfiguration& source, const std::string& prefix,
+                  std::vector<std::string>& keys) {
   Poco::Util::AbstractConfiguration::Keys names;
   source.keys(prefix, names);
   if (names.empty() && !prefix.empty()) keys.push_back(prefix);
   for (const auto& name : names) {
     std::string key = prefix;
     if (!key.empty()) key += '.';
-    collect(source, key.append(name), keys);
+    collect_keys(source, key.append(name), keys);
   }
 }
 
-std::string shown(double value) {
+/// The number without trailing zeros.
+std::string format_number(double value) {
   std::string text = std::to_string(value);
   text.erase(text.find_last_not_of('0') + 1);
   if (text.back() == '.') text.pop_back();
   return text;
 }
 
+using PropertyFile = Poco::AutoPtr<Poco::Util::PropertyFileConfiguration>;
+
+PropertyFile open_file(const std::filesystem::path& file) {
+  if (!std::ifstream(file)) throw SettingsError(file.string() + ": cannot be read");
+  try {
+    return {new Poco::Util::PropertyFileConfiguration(file.string())};
+  } catch (const Poco::Exception& error) {
+    throw SettingsError(file.string() + ": " + error.displayText());
+  }
+}
+
+/// The property with this key. Throws SettingsError, which begins with `where`, if there is none.
+const Property& find_property(const std::string& key, const std::string& where) {
+  const auto& known = properties();
+  const auto found = std::find_if(known.begin(), known.end(),
+                                  [&](const Property& property) { return property.key == key; });
+  if (found == known.end()) throw SettingsError(where + ": there is no such property");
+  return *found;
+}
+
+/// Reads the property's value. Throws SettingsError, which begins with `where`, if the text is no
+/// number or the number is out of range.
+double parse_value(const Property& property, const std::string& text, const std::string& where) {
+  double value = 0;
+  if (!Poco::NumberParser::tryParseFloat(text, value))
+    throw SettingsError(where + ": must be a number");
+  // Written this way so that a value that is not a number is refused as well.
+  if (!(value >= property.low && value <= property.high)) {
+    throw SettingsError(where + ": must lie between " + format_number(property.low) + " and " +
+                        format_number(property.high));
+  }
+  return value;
+}
+
 }  // namespace
 
 const std::vector<Property>& properties() {
@@ -55,30 +91,14 @@
 }
 
 Tuning load_properties(const std::filesystem::path& file) {
-  if (!std::ifstream(file)) throw SettingsError(file.string() + ": cannot be read");
-  Poco::AutoPtr<Poco::Util::PropertyFileConfiguration> source;
-  try {
-    source = new Poco::Util::PropertyFileConfiguration(file.string());
-  } catch (const Poco::Exception& error) {
-    throw SettingsError(file.string() + ": " + error.displayText());
-  }
+  const auto source = open_file(file);
   std::vector<std::string> keys;
-  collect(*source, "", keys);
+  collect_keys(*source, "", keys);
   Tuning tuning;
   for (const auto& key : keys) {
-    const auto& known = properties();
-    const auto found = std::find_if(known.begin(), known.end(),
-                                    [&](const Property& one) { return one.key == key; });
-    if (found == known.end())
-      throw SettingsError(file.string() + ": " + key + ": there is no such property");
-    double value = 0;
-    if (!Poco::NumberParser::tryParseFloat(source->getString(key), value))
-      throw SettingsError(file.string() + ": " + key + ": must be a number");
-    if (!(value >= found->low && value <= found->high)) {
-      throw SettingsError(file.string() + ": " + key + ": must lie between " + shown(found->low) +
-                          " and " + shown(found->high));
-    }
-    tuning.*(found->field) = value;
+    const std::string where = file.string() + ": " + key;
+    const auto& property = find_property(key, where);
+    tuning.*(property.field) = parse_value(property, source->getString(key), where);
   }
   return tuning;
 }
--- a/src/config/properties.hpp
+++ b/src/config/properties.hpp
@@ -1,4 +1,5 @@
-// Operators' own settings, beyond the platform's file: Java-style properties.
+/// The operators' own settings, beside the platform's settings file: a file of Java-style
+/// properties. Its keys are described in docs/operations.md.
 #pragma once
 
 #include <filesystem>
@@ -9,30 +10,32 @@
 
 namespace elmstall::config {
 
-/// What operators may tune. The defaults are the project's own constants.
+/// What operators may tune. The constants of which these are the defaults tell the units and what
+/// each value does.
 struct Tuning {
-  double threshold_tasks = constants::kThresholdTasks;
-  double idle_share = constants::kIdleShare;
-  double headroom_machines = constants::kHeadroomMachines;
-  double headroom_share = constants::kHeadroomShare;
-  double foresight = constants::kForesight;
-  double small_first = constants::kSmallFirst;
-  double requests_max = constants::kLimitMax;
+  double threshold_tasks = constants::kThresholdTasks;      ///< tasks
+  double idle_share = constants::kIdleShare;                ///< share of a machine's boot time
+  double headroom_machines = constants::kHeadroomMachines;  ///< machines
+  double headroom_share = constants::kHeadroomShare;        ///< share of the ordinary work
+  double foresight = constants::kForesight;                 ///< share of the expected change
+  double small_first = constants::kSmallFirst;              ///< weight
+  double requests_max = constants::kLimitMax;               ///< requests in progress
 };
 
-/// One key, for documentation and checks.
+/// One key of the file: its name, the values it accepts, and the member it sets.
 struct Property {
   std::string key;
   std::string unit;
-  double low = 0;
-  double high = 0;
+  double low = 0;   ///< smallest accepted value
+  double high = 0;  ///< largest accepted value
   double Tuning::*field = nullptr;
   std::string meaning;
 };
+/// All keys that a file may contain.
 [[nodiscard]] const std::vector<Property>& properties();
 
-/// Throws SettingsError, which names file and key, for what is unreadable, unknown
-/// or out of range.
+/// Reads a file; keys that it lacks keep their defaults. Throws SettingsError, which names the file
+/// and the key, if the file can't be read, a key is unknown or a value is out of range.
 [[nodiscard]] Tuning load_properties(const std::filesystem::path& file);
 
 }  // namespace elmstall::config
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,5 @@
-// The platform's settings file, and the operators' own properties.
+/// The settings of one node: the platform's settings file (TOML), and the operators' own
+/// properties. The keys of both files are described in docs/operations.md.
 #pragma once
 
 #include <filesystem>
@@ -11,88 +12,93 @@
 
 namespace elmstall::config {
 
-/// A settings file that can't be used. The text names file and key.
+/// A settings file or properties file that can't be used. The text names the file, the key and the
+/// problem. The only error type of this package, except that parse_endpoint() throws
+/// std::invalid_argument.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// Another controller.
 struct Peer {
   std::string name;
-  std::string zone;
-  std::string endpoint;
+  std::string zone;      ///< empty: not stated
+  std::string endpoint;  ///< `ADDRESS:PORT` for messages between controllers
 };
 
-/// Limits and guarantees of a team; 0 means none.
+/// Guarantees and limits of a team; 0 means that there is none.
 struct Team {
   std::string name;
-  double cpus = 0;
-  double cpus_max = 0;
-  double gpus = 0;
-  double gpus_max = 0;
+  double cpus = 0;      ///< guaranteed
+  double cpus_max = 0;  ///< limit
+  double gpus = 0;      ///< guaranteed
+  double gpus_max = 0;  ///< limit
 };
 
-/// What the users aim at for one class of jobs.
+/// A service-level objective for one class of jobs.
 struct Objective {
-  std::string kind;
+  std::string kind;  ///< which event of a job it is about, for example `finished`
   std::string job_class;
-  double within_s = 0;
-  double share = 0;
+  double within_s = 0;  ///< seconds from the submission to the event
+  double share = 0;     ///< share of the jobs that should meet it
 };
 
-/// What the state service takes.
+/// Limits of the state store, for all nodes together.
 struct StateLimits {
-  double rps = 0;
-  double write_rps = 0;  ///< puts and deletes a second
-  double value_kb = 0;
+  double rps = 0;                  ///< requests per second
+  double write_rps = 0;            ///< puts and deletes per second
+  double value_kb = 0;             ///< size of one value as JSON, KiB
   int transaction_writes_max = 0;  ///< puts and deletes in one transaction
 };
 
+/// The settings of one node. They do not change while it runs.
 struct Settings {
-  std::string node;
-  std::string zone;
-  std::string api_addr;
-  std::string peer_addr;
+  std::string node;       ///< name of this node
+  std::string zone;       ///< zone in which it runs
+  std::string api_addr;   ///< `ADDRESS:PORT` that serves users and workers
+  std::string peer_addr;  ///< `ADDRESS:PORT` for messages between controllers
   std::vector<Peer> peers;
   std::string cloud_endpoint;
-  std::string state_endpoint;
+  std::string state_endpoint;  ///< of the state store
   std::vector<std::string> zones;
-  double skew_s = 0;
+  double skew_s = 0;  ///< bound on the difference of wall clocks that the deployment states
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double heartbeat_interval_s = 0;
-  double lease_s = 0;
+  double heartbeat_interval_s = 0;  ///< seconds between two heartbeats of a worker
+  double lease_s = 0;               ///< life of a worker's lease, seconds
+  /// Seconds from the acceptance of a cancellation until all tasks of the job must have stopped.
   double cancel_s = 0;
-  /// How long a gang's task waits for the others, and how soon it notices that
-  /// one is gone.
-  double gang_wait_s = 0;
-  double gang_peer_s = 0;
-  /// The limits that the records are partitioned by.
+  double gang_wait_s = 0;  ///< how long a gang's task waits on its machine for the others, seconds
+  double gang_peer_s = 0;  ///< how soon a gang's task notices that another one is gone, seconds
+  /// The limits now. They determine how jobs are divided into blocks.
   StateLimits state;
-  /// Limits that come into force at some later moment, without notice.
+  /// Limits that come into force at some later moment without notice.
   std::optional<StateLimits> state_next;
-  double cloud_rps = 0;
-  double list_lag_s = 0;
-  double cores = 0;
-  double memory_mb = 0;
-  int fd_limit = 0;
-  Tuning tuning;  ///< the operators' own
+  double cloud_rps = 0;   ///< requests per second that the cloud accepts
+  double list_lag_s = 0;  ///< how far the cloud's machine list may be behind, seconds
+  double cores = 0;       ///< processor cores that this process may use
+  double memory_mb = 0;   ///< memory that this process may use
+  int fd_limit = 0;       ///< file descriptors that this process may open
+  Tuning tuning;          ///< the operators' own properties
 
+  /// The team with this name, or null.
   [[nodiscard]] const Team* team(const std::string& name) const;
-  /// What every request keeps to: the smaller of the limits now and to come.
+  /// The limits that every request keeps to: the smaller ones of those now and those to come.
   [[nodiscard]] StateLimits state_limits() const;
-  /// Seconds. How long after the sending of its last confirmed state request
-  /// a leader may still answer heartbeats, so that a cancellation it could not
-  /// hear of is honoured in time: renewals end by then, and the workers'
-  /// leases `lease_s` later.
+  /// The leader lease W, in seconds (rule 5): how long a leader may answer heartbeats after it sent
+  /// the last request to the state store that was confirmed. A cancellation that the leader can't
+  /// learn of is thereby honoured in time: no lease is renewed after W, and the last lease of a
+  /// worker expires `lease_s` later.
   [[nodiscard]] double leader_lease_s() const;
-  /// Seconds after which a lease that nobody renewed is certainly over.
+  /// Seconds after which a worker's lease that nobody renewed has certainly expired.
   [[nodiscard]] double lease_over_s() const;
   /// Seconds without a heartbeat after which a machine counts as silent.
   [[nodiscard]] double silent_after_s() const;
 };
 
-/// Throws SettingsError.
+/// Reads the settings file; `tuning` keeps its defaults. Throws SettingsError if the file can't be
+/// read, or a value is missing or out of range.
 [[nodiscard]] Settings load_settings(const std::filesystem::path& file);
 
 }  // namespace elmstall::config
