--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -1,8 +1,8 @@
-// The cloud's interface: machine types, rentals and the machine list.
+/// The cloud's interface: machine types, provision and termination of machines, the machine list.
+/// All decode functions throw DecodeError.
 #pragma once
 
 #include <cstdint>
-#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -11,46 +11,52 @@
 
 namespace elmstall::wire {
 
-/// A kind of machine that the cloud rents out.
+/// A type of machine that the cloud rents out. Prices are in the cloud's own unit; the program only
+/// compares them with each other.
 struct MachineType {
   std::string name;
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
-  double cache_gb = 0;
-  double fetch_gb_per_s = 0;
-  double price = 0;
-  double spot_price = 0;
-  double ready_s = 0;
+  double cache_gb = 0;        ///< local storage for images
+  double fetch_gb_per_s = 0;  ///< rate at which a machine fetches an image; 0: not stated
+  double price = 0;           ///< of an ordinary machine
+  double spot_price = 0;      ///< of a spot machine
+  double ready_s = 0;         ///< usual time from the request until the machine is up
   std::vector<std::string> zones;
 };
-/// Throws DecodeError.
+/// Reads the cloud's answer, or the machine types as they are stored.
 [[nodiscard]] std::vector<MachineType> decode_machine_types(const Object& object);
+/// Writes the machine types in the form of the cloud's answer.
 [[nodiscard]] std::string encode_machine_types(const std::vector<MachineType>& machine_types);
 
 /// A machine as the cloud lists it.
 struct CloudMachine {
   enum class State : std::uint8_t { booting, running, failed };
   std::string id;
-  std::string addr;
+  std::string addr;  ///< empty while it has none
   std::string type;
   std::string zone;
   bool spot = false;
   State state = State::booting;
-  double age_s = 0;
+  double age_s = 0;  ///< seconds since it was rented
 };
 /// One page of the machine list.
 struct CloudPage {
   std::vector<CloudMachine> machines;
-  bool truncated = false;
+  bool truncated = false;  ///< more pages follow
 };
-/// Throws DecodeError.
+/// Reads one page of the machine list.
 [[nodiscard]] CloudPage decode_cloud_page(const Object& object);
-/// A rental request under a name that is never used again.
+
+/// A request to provision `count` machines. The cloud executes requests with the same name only
+/// once, so a request that got no answer can be repeated (rule 9).
 [[nodiscard]] std::string encode_provision_request(std::string_view name, std::string_view type,
                                                    std::string_view zone, bool spot, int count);
-/// Names of machines, to be deleted or just rented.
+
+/// A list of machine ids: those to terminate, or those that were just provisioned.
 [[nodiscard]] std::string encode_machine_names(const std::vector<std::string>& machines);
+/// Reads such a list.
 [[nodiscard]] std::vector<std::string> decode_machine_names(const Object& object);
 
 }  // namespace elmstall::wire
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -7,8 +7,10 @@
 namespace elmstall::wire {
 namespace {
 
+/// The text of an object that is known to be text.
 std::string_view view(const Object& object) { return {object.via.str.ptr, object.via.str.size}; }
 
+/// Throws DecodeError if the value, or one inside it, is of a kind that the protocols forbid.
 void check(const Object& object) {
   switch (object.type) {
     case msgpack::type::BIN:
@@ -88,12 +90,18 @@
   return find(key) == nullptr ? fallback : flag(key);
 }
 
-std::pair<const Object*, const Object*> elements(const Object* object, std::string_view what) {
+Elements elements(const Object* object, std::string_view what) {
   if (object == nullptr) return {nullptr, nullptr};
   if (object->type != msgpack::type::ARRAY) throw DecodeError(field_error(what, "is not a list"));
   return {object->via.array.ptr, object->via.array.ptr + object->via.array.size};
 }
 
+std::vector<std::string> texts(const Object* object, std::string_view what) {
+  std::vector<std::string> values;
+  for (const auto& item : elements(object, what)) values.push_back(as_text(item, what));
+  return values;
+}
+
 std::string as_text(const Object& object, std::string_view what) {
   if (object.type != msgpack::type::STR) throw DecodeError(field_error(what, "is not text"));
   return std::string(view(object));
@@ -124,8 +132,8 @@
   try {
     std::size_t offset = 0;
     const auto size = bytes.size();
-    // Containers can't have more members than the message has bytes: a
-    // forged length must not make us allocate for it.
+    // No container can have more members than the message has bytes. The limits prevent that a
+    // forged length makes the decoder allocate memory for members that do not exist.
     const msgpack::unpack_limit limit(size, size, size, size, size, constants::kMaxDepth);
     msgpack::unpack(document.handle_, bytes.data(), size, offset, nullptr, nullptr, limit);
     if (offset != size) throw DecodeError("trailing bytes");
@@ -171,6 +179,17 @@
   packer_.pack_nil();
   return *this;
 }
+Packer& Packer::texts(const std::vector<std::string>& values) {
+  list(values.size());
+  for (const auto& value : values) text(value);
+  return *this;
+}
+Packer& Packer::text_or_null(const std::optional<std::string>& value) {
+  return value ? text(*value) : null();
+}
+Packer& Packer::number_or_null(const std::optional<double>& value) {
+  return value ? number(*value) : null();
+}
 Packer& Packer::raw(std::string_view packed) {
   buffer_.write(packed.data(), packed.size());
   return *this;
@@ -182,8 +201,8 @@
 
 namespace {
 
-/// Most bytes that the text takes between its quotes: whoever counts may write
-/// characters beyond ASCII as escapes of six bytes for two or three.
+/// Upper bound of the bytes that the text takes between its quotes. The state store may count
+/// characters beyond ASCII as escapes of six bytes, where UTF-8 has two or three bytes.
 std::size_t escaped_size(std::string_view text) {
   constexpr unsigned char first_printable = 0x20;
   constexpr unsigned char first_beyond_ascii = 0x80;
@@ -204,6 +223,8 @@
 }  // namespace
 
 std::size_t json_size(const Object& object) {
+  constexpr std::size_t longest_number = 24;  // 17 digits, sign, point and exponent
+  constexpr std::size_t longest_literal = 5;  // null, true, false
   switch (object.type) {
     case msgpack::type::STR:
       return escaped_size({object.via.str.ptr, object.via.str.size}) + 2;
@@ -220,13 +241,13 @@
     }
     case msgpack::type::FLOAT32:
     case msgpack::type::FLOAT64:
-      return 24;
+      return longest_number;
     case msgpack::type::POSITIVE_INTEGER:
       return std::to_string(object.via.u64).size();
     case msgpack::type::NEGATIVE_INTEGER:
       return std::to_string(object.via.i64).size();
     default:
-      return 5;  // null, true, false
+      return longest_literal;
   }
 }
 
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,79 +1,130 @@
-// MessagePack restricted to what the protocol allows: maps with text keys,
-// lists, text, finite numbers, booleans and null.
+/// MessagePack, restricted to what the protocols allow: maps with text keys, lists, text, finite
+/// numbers, booleans and null.
+///
+/// Decoding: Document::parse() checks a whole message, Fields reads the fields of a map, elements()
+/// those of a list. Encoding: Packer builds a message in the order of the calls.
+///
+/// DecodeError is the only error type of this package. It is thrown for every input that is not a
+/// valid message; encoding does not fail.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <msgpack.hpp>
 #include <optional>
 #include <stdexcept>
 #include <string>
 #include <string_view>
+#include <vector>
 
 namespace elmstall::wire {
 
-/// Input that breaks the protocol. The text names what is wrong.
+/// Input that is not a valid message. The text names the field and the problem.
 class DecodeError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// A decoded value of any type. It is valid only as long as the Document it belongs to.
 using Object = msgpack::object;
 
-/// Read-only access to the fields of a map. Null counts as missing.
+/// Read-only access to the fields of a map, which must outlive it. A field that is null counts as
+/// missing. All readers throw DecodeError if the field has another type.
 class Fields {
  public:
+  /// Throws DecodeError if the object is not a map.
   explicit Fields(const Object& object);
 
+  /// The field, or null if it is missing.
   [[nodiscard]] const Object* find(std::string_view key) const;
+  /// The field. Throws DecodeError if it is missing.
+  [[nodiscard]] const Object& require(std::string_view key) const;
+
+  // Each of these throws DecodeError if the field is missing.
   [[nodiscard]] std::string text(std::string_view key) const;
-  [[nodiscard]] std::optional<std::string> maybe_text(std::string_view key) const;
   [[nodiscard]] double number(std::string_view key) const;
-  [[nodiscard]] std::optional<double> maybe_number(std::string_view key) const;
   [[nodiscard]] std::uint64_t integer(std::string_view key) const;
-  [[nodiscard]] std::uint64_t integer_or(std::string_view key, std::uint64_t fallback) const;
   [[nodiscard]] bool flag(std::string_view key) const;
+
+  // Each of these returns nothing, or the fallback, if the field is missing.
+  [[nodiscard]] std::optional<std::string> maybe_text(std::string_view key) const;
+  [[nodiscard]] std::optional<double> maybe_number(std::string_view key) const;
+  [[nodiscard]] std::uint64_t integer_or(std::string_view key, std::uint64_t fallback) const;
   [[nodiscard]] bool flag_or(std::string_view key, bool fallback) const;
-  [[nodiscard]] const Object& require(std::string_view key) const;
 
  private:
   const Object& object_;
 };
 
-/// Elements of a list; null or missing reads as empty.
-[[nodiscard]] std::pair<const Object*, const Object*> elements(const Object* object,
-                                                               std::string_view what);
+/// The elements of a list, for a range-based `for`. Valid only as long as the Document.
+struct Elements {
+  const Object* first = nullptr;
+  const Object* last = nullptr;  ///< one past the last element
+
+  [[nodiscard]] const Object* begin() const { return first; }
+  [[nodiscard]] const Object* end() const { return last; }
+  [[nodiscard]] std::size_t size() const { return static_cast<std::size_t>(last - first); }
+  /// The element at this position, which must be less than size().
+  [[nodiscard]] const Object& operator[](std::size_t position) const { return first[position]; }
+};
+
+/// The elements of a list; a null pointer gives none. Throws DecodeError, which names `what`, if
+/// the object is not a list.
+[[nodiscard]] Elements elements(const Object* object, std::string_view what);
+/// The texts of a list; a null pointer gives none. Throws DecodeError, which names `what`, if the
+/// object is not a list of texts.
+[[nodiscard]] std::vector<std::string> texts(const Object* object, std::string_view what);
+/// The value as text. Throws DecodeError, which names `what`, if it is something else.
 [[nodiscard]] std::string as_text(const Object& object, std::string_view what);
+/// The value as a count. Throws DecodeError, which names `what`, if it is not a whole number or
+/// is negative.
 [[nodiscard]] std::uint64_t as_integer(const Object& object, std::string_view what);
+/// The value as a number. Throws DecodeError, which names `what`, if it is something else.
 [[nodiscard]] double as_number(const Object& object, std::string_view what);
 
-/// One whole message, checked in full before anything is read from it.
+/// One whole message. It is checked in full before anything can be read from it.
 class Document {
  public:
-  /// Throws DecodeError on trailing bytes, binary data, deep nesting, keys that
-  /// are not text and numbers that are not finite.
+  /// Throws DecodeError if the bytes are not MessagePack, and also for trailing bytes, binary data,
+  /// nesting deeper than constants::kMaxDepth, keys that are not text, and numbers that are not
+  /// finite.
   static Document parse(std::string_view bytes);
+  /// The message's outermost value.
   [[nodiscard]] const Object& root() const { return handle_.get(); }
+  /// The fields of the outermost value. Throws DecodeError if that is not a map.
   [[nodiscard]] Fields fields() const { return Fields(handle_.get()); }
 
  private:
   msgpack::object_handle handle_;
 };
 
-/// Builds one message.
+/// Builds one message. Maps and lists are announced with their size, and their content follows by
+/// as many calls; the sizes are not checked.
 class Packer {
  public:
   Packer() : packer_(buffer_) {}
+  /// Begins a map with this number of fields. For each, call key() and add one value.
   Packer& map(std::size_t size);
+  /// Begins a list with this number of elements.
   Packer& list(std::size_t size);
+  /// Adds the name of the next field of a map.
   Packer& key(std::string_view name) { return text(name); }
   Packer& text(std::string_view value);
   Packer& integer(std::uint64_t value);
   Packer& number(double value);
   Packer& flag(bool value);
   Packer& null();
-  /// Splices in a value that is packed already.
+  /// Adds a list of texts.
+  Packer& texts(const std::vector<std::string>& values);
+  /// Adds the text, or null if there is none.
+  Packer& text_or_null(const std::optional<std::string>& value);
+  /// Adds the number, or null if there is none.
+  Packer& number_or_null(const std::optional<double>& value);
+  /// Adds a value that is packed already, unchecked.
   Packer& raw(std::string_view packed);
+  /// Adds a decoded value.
   Packer& object(const Object& value);
+  /// The bytes of the message.
   [[nodiscard]] std::string take() const { return {buffer_.data(), buffer_.size()}; }
 
  private:
@@ -81,8 +132,10 @@
   msgpack::packer<msgpack::sbuffer> packer_;
 };
 
-/// Size of a packed value when rendered as JSON, as the limits count it.
+/// Upper bound of the size of the value when it is written as JSON, in bytes. The state store's
+/// limits are counted that way.
 [[nodiscard]] std::size_t json_size(const Object& object);
+/// The value as MessagePack.
 [[nodiscard]] std::string pack_object(const Object& object);
 
 }  // namespace elmstall::wire
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -1,6 +1,7 @@
 #include "wire/jobs.hpp"
 
 #include <algorithm>
+#include <array>
 
 #include "config/constants.hpp"
 #include "wire/names.hpp"
@@ -19,12 +20,46 @@
                                          {"done", JobState::done},
                                          {"withdrawn", JobState::cancelled}}};
 
+/// What each task needs, in the order in which it is written.
+constexpr std::array<AmountField<JobSpec>, 3> kNeeds{{
+    {"cores", &JobSpec::cpus},
+    {"cards", &JobSpec::gpus},
+    {"ram_gb", &JobSpec::memory_gb},
+}};
+/// Sizes and times of the image and of the run, in the order in which they are written.
+constexpr std::array<AmountField<JobSpec>, 4> kRunAmounts{{
+    {"pull_gb", &JobSpec::image_gb},
+    {"expect_s", &JobSpec::expect_s},
+    {"mark_every_s", &JobSpec::checkpoint_every_s},
+    {"mark_s", &JobSpec::checkpoint_s},
+}};
+constexpr std::size_t kJobFields = 20;
+
+std::string checked_text(const Fields& fields, std::string_view key) {
+  auto text = fields.text(key);
+  check_text(text, key);
+  return text;
+}
+
+std::uint32_t decode_task_count(const Fields& fields) {
+  const auto tasks = fields.integer("shards");
+  if (tasks == 0 || tasks > constants::kMaxTasks)
+    throw DecodeError("field 'shards' is out of range");
+  return static_cast<std::uint32_t>(tasks);
+}
+
+std::string decode_image(const Fields& fields) {
+  auto image = fields.text("bundle");
+  if (image.size() > constants::kMaxNameBytes) throw DecodeError("field 'bundle' is too long");
+  return image;
+}
+
 }  // namespace
 
 bool valid_job_id(std::string_view id) {
-  // "always in this form": job- and digits.
   constexpr std::string_view prefix = "job-";
-  if (id.size() <= prefix.size() || id.size() > 40 || !id.starts_with(prefix)) return false;
+  if (id.size() <= prefix.size() || id.size() > constants::kMaxJobIdBytes) return false;
+  if (!id.starts_with(prefix)) return false;
   return std::all_of(id.begin() + prefix.size(), id.end(),
                      [](char c) { return c >= '0' && c <= '9'; });
 }
@@ -39,74 +74,45 @@
   const Fields fields(object);
   JobSpec job;
   job.id = decode_job_id(object);
-  job.job_class = fields.text("lane");
-  check_text(job.job_class, "lane");
-  job.team = fields.text("owner");
-  check_text(job.team, "owner");
-  job.kind = pick(kKinds, fields.text("shape"), "shape");
-  job.priority = pick(kPriorities, fields.text("rank"), "rank");
-  const auto tasks = fields.integer("shards");
-  if (tasks == 0 || tasks > constants::kMaxTasks)
-    throw DecodeError("field 'shards' is out of range");
-  job.tasks = static_cast<std::uint32_t>(tasks);
-  job.cpus = amount(fields, "cores");
-  job.gpus = amount(fields, "cards");
-  job.memory_gb = amount(fields, "ram_gb");
-  const auto [first, last] = elements(fields.find("builds"), "builds");
-  for (const auto* item = first; item != last; ++item)
-    job.types.push_back(as_text(*item, "builds"));
+  job.job_class = checked_text(fields, "lane");
+  job.team = checked_text(fields, "owner");
+  job.kind = parse_enum(kKinds, fields.text("shape"), "shape");
+  job.priority = parse_enum(kPriorities, fields.text("rank"), "rank");
+  job.tasks = decode_task_count(fields);
+  decode_amounts(fields, kNeeds, job);
+  job.types = texts(fields.find("builds"), "builds");
   job.zone = fields.maybe_text("yard");
   job.together = fields.flag("together");
   job.spread = fields.flag("scatter");
   job.spot = fields.flag("loaners");
-  job.image = fields.text("bundle");
-  if (job.image.size() > 200) throw DecodeError("field 'bundle' is too long");
-  job.image_gb = amount(fields, "pull_gb");
-  job.expect_s = amount(fields, "expect_s");
-  job.checkpoint_every_s = amount(fields, "mark_every_s");
-  job.checkpoint_s = amount(fields, "mark_s");
+  job.image = decode_image(fields);
+  decode_amounts(fields, kRunAmounts, job);
   if (fields.find("due_s") != nullptr) job.due_s = amount(fields, "due_s");
   return job;
 }
 
 void pack_job(Packer& packer, const JobSpec& job) {
-  packer.map(20);
+  packer.map(kJobFields);
   packer.key("uid").text(job.id);
   packer.key("lane").text(job.job_class);
   packer.key("owner").text(job.team);
   packer.key("shape").text(name_of(kKinds, job.kind));
   packer.key("rank").text(name_of(kPriorities, job.priority));
   packer.key("shards").integer(job.tasks);
-  packer.key("cores").number(job.cpus);
-  packer.key("cards").number(job.gpus);
-  packer.key("ram_gb").number(job.memory_gb);
+  pack_amounts(packer, kNeeds, job);
   packer.key("builds");
   if (job.types.empty()) {
     packer.null();
   } else {
-    packer.list(job.types.size());
-    for (const auto& type : job.types) packer.text(type);
-  }
-  packer.key("yard");
-  if (job.zone) {
-    packer.text(*job.zone);
-  } else {
-    packer.null();
+    packer.texts(job.types);
   }
+  packer.key("yard").text_or_null(job.zone);
   packer.key("together").flag(job.together);
   packer.key("scatter").flag(job.spread);
   packer.key("loaners").flag(job.spot);
   packer.key("bundle").text(job.image);
-  packer.key("pull_gb").number(job.image_gb);
-  packer.key("expect_s").number(job.expect_s);
-  packer.key("mark_every_s").number(job.checkpoint_every_s);
-  packer.key("mark_s").number(job.checkpoint_s);
-  packer.key("due_s");
-  if (job.due_s) {
-    packer.number(*job.due_s);
-  } else {
-    packer.null();
-  }
+  pack_amounts(packer, kRunAmounts, job);
+  packer.key("due_s").number_or_null(job.due_s);
 }
 
 std::string_view to_text(JobState state) { return name_of(kJobStates, state); }
@@ -125,7 +131,7 @@
 
 JobStatus decode_status(const Object& object) {
   const Fields fields(object);
-  return {fields.text("uid"), pick(kJobStates, fields.text("status"), "status"),
+  return {fields.text("uid"), parse_enum(kJobStates, fields.text("status"), "status"),
           fields.integer_or("done", 0), fields.integer_or("running", 0)};
 }
 
--- a/src/wire/jobs.hpp
+++ b/src/wire/jobs.hpp
@@ -1,4 +1,4 @@
-// Users' interface: submissions and the state of jobs.
+/// Users' interface: submissions and the state of jobs. All decode functions throw DecodeError.
 #pragma once
 
 #include <cstdint>
@@ -11,57 +11,62 @@
 
 namespace elmstall::wire {
 
-/// All tasks of a gang run at the same time, or none does.
-enum class JobKind : std::uint8_t { array, service, gang };
+/// What the tasks of a job have to do with each other.
+enum class JobKind : std::uint8_t {
+  array,    ///< the tasks are independent and each ends by itself
+  service,  ///< the tasks run until the job is cancelled
+  gang      ///< all tasks run at the same time, or none does
+};
+/// Priorities, the lowest first.
 enum class Priority : std::uint8_t { idle, normal, high, critical };
+/// State of a job; `done` and `cancelled` are final.
 enum class JobState : std::uint8_t { queued, running, done, cancelled };
 
-/// What a user asks for.
+/// A job as a user submits it.
 struct JobSpec {
-  std::string id;
+  std::string id;  ///< chosen by the user, see valid_job_id()
   std::string job_class;
   std::string team;
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
-  std::uint32_t tasks = 1;
-  double cpus = 0;
+  std::uint32_t tasks = 1;  ///< number of tasks
+  double cpus = 0;          ///< needed by each task, as are the two below
   double gpus = 0;
   double memory_gb = 0;
-  std::vector<std::string> types;  ///< allowed machine types; empty: any
-  std::optional<std::string> zone;
-  bool together = false;
-  bool spread = false;
-  bool spot = false;
+  std::vector<std::string> types;   ///< allowed machine types; empty: any
+  std::optional<std::string> zone;  ///< nothing: any
+  bool together = false;            ///< all tasks must run in one zone
+  bool spread = false;              ///< limits the number of tasks in each zone
+  bool spot = false;                ///< tasks may run on spot machines
   std::string image;
   double image_gb = 0;
-  double expect_s = 0;
-  double checkpoint_every_s = 0;
-  double checkpoint_s = 0;
-  std::optional<double> due_s;
+  double expect_s = 0;            ///< expected run time of a task, seconds
+  double checkpoint_every_s = 0;  ///< seconds between two checkpoints of a task
+  double checkpoint_s = 0;        ///< seconds that a checkpoint takes
+  std::optional<double> due_s;    ///< completion objective, seconds from the submission
 };
 
-/// True for ids of the form that users choose them in.
+/// True if the text has the form of a job id: `job-` and digits, at most 40 bytes.
 [[nodiscard]] bool valid_job_id(std::string_view id);
-/// The id alone, of a submission that may be malformed otherwise. Throws
-/// DecodeError.
+/// Reads only the id of a submission, whose other fields may be malformed.
 [[nodiscard]] std::string decode_job_id(const Object& object);
-/// A submission. Throws DecodeError.
+/// Reads a submission.
 [[nodiscard]] JobSpec decode_job(const Object& object);
-/// A submission as it is stored and sent; `decode_job` reads it.
+/// Adds a submission to a message or stored record, in the form that decode_job() reads.
 void pack_job(Packer& packer, const JobSpec& job);
 
 /// What a user is told of a job.
 struct JobStatus {
   std::string id;
   JobState state = JobState::queued;
-  std::uint64_t done = 0;
-  std::uint64_t running = 0;
+  std::uint64_t done = 0;     ///< number of completed tasks
+  std::uint64_t running = 0;  ///< number of assigned tasks
 };
 /// The protocol's word for the state.
 [[nodiscard]] std::string_view to_text(JobState state);
-/// The answer to a user; `with_counts`: with the numbers of tasks.
+/// Writes the answer to a user. `with_counts` adds the numbers of tasks.
 [[nodiscard]] std::string encode_status(const JobStatus& status, bool with_counts);
-/// Reads such an answer. Throws DecodeError.
+/// Reads such an answer. Numbers that it lacks become 0.
 [[nodiscard]] JobStatus decode_status(const Object& object);
 
 }  // namespace elmstall::wire
--- a/src/wire/names.cpp
+++ b/src/wire/names.cpp
@@ -1,5 +1,7 @@
 #include "wire/names.hpp"
 
+#include "config/constants.hpp"
+
 namespace elmstall::wire {
 
 double amount(const Fields& fields, std::string_view key) {
@@ -13,7 +15,7 @@
 }
 
 void check_text(const std::string& text, std::string_view field) {
-  if (text.empty() || text.size() > 200)
+  if (text.empty() || text.size() > constants::kMaxNameBytes)
     throw DecodeError("field '" + std::string(field) + "' is empty or too long");
 }
 
--- a/src/wire/names.hpp
+++ b/src/wire/names.hpp
@@ -1,53 +1,99 @@
-// Enumerations and amounts as the protocol spells them; for this package alone.
+/// Helpers for the files of this package: enumerations, numbers and optional values as the
+/// protocols write them. Other packages do not include this header.
 #pragma once
 
 #include <array>
+#include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
+#include <vector>
 
 #include "wire/codec.hpp"
 
 namespace elmstall::wire {
 
-/// The words that the protocol uses for the values of an enumeration.
+/// The word by which a protocol denotes a value of an enumeration.
+template <typename Enum>
+struct Name {
+  std::string_view text;
+  Enum value;
+};
+
+/// All words of an enumeration.
 template <typename Enum, std::size_t N>
-using Names = std::array<std::pair<std::string_view, Enum>, N>;
+using Names = std::array<Name<Enum>, N>;
 
-/// The value that the text names. Throws DecodeError.
+/// The value that the text denotes, or nothing if the text is no word of the enumeration.
 template <typename Enum, std::size_t N>
-Enum pick(const Names<Enum, N>& names, std::string_view text, std::string_view field) {
-  for (const auto& [name, value] : names) {
-    if (name == text) return value;
+std::optional<Enum> find_enum(const Names<Enum, N>& names, std::string_view text) {
+  for (const auto& name : names) {
+    if (name.text == text) return name.value;
   }
+  return std::nullopt;
+}
+
+/// The value that the text denotes. Throws DecodeError, which names the field, if there is none.
+template <typename Enum, std::size_t N>
+Enum parse_enum(const Names<Enum, N>& names, std::string_view text, std::string_view field) {
+  constexpr std::size_t quoted_length = 40;
+  if (const auto value = find_enum(names, text)) return *value;
   throw DecodeError("field '" + std::string(field) +
-                    "' has no such value: " + std::string(text.substr(0, 40)));
+                    "' has no such value: " + std::string(text.substr(0, quoted_length)));
 }
 
-/// As above, for what workers say: a word that is new to us must not cost the
-/// whole heartbeat, which would let the worker's lease run out.
+/// The value that the text denotes, or the fallback. For what workers report: a word that this
+/// program does not know must not invalidate the whole heartbeat, because the worker's lease would
+/// then run out.
 template <typename Enum, std::size_t N>
-Enum pick_or(const Names<Enum, N>& names, std::string_view text, Enum fallback) {
-  for (const auto& [name, value] : names) {
-    if (name == text) return value;
-  }
-  return fallback;
+Enum parse_enum_or(const Names<Enum, N>& names, std::string_view text, Enum fallback) {
+  return find_enum(names, text).value_or(fallback);
 }
 
-/// The word for the value.
+/// The word that denotes the value; empty if there is none.
 template <typename Enum, std::size_t N>
 std::string_view name_of(const Names<Enum, N>& names, Enum wanted) {
-  for (const auto& [name, value] : names) {
-    if (value == wanted) return name;
+  for (const auto& name : names) {
+    if (name.value == wanted) return name.text;
   }
   return {};
 }
 
-/// A number that is not negative. Throws DecodeError.
+/// Reads a number that must not be negative. Throws DecodeError if it is missing or negative.
 [[nodiscard]] double amount(const Fields& fields, std::string_view key);
-/// The same, 0 when the field is missing.
+/// Reads a number that must not be negative, or returns 0 if the field is missing.
 [[nodiscard]] double amount_or_zero(const Fields& fields, std::string_view key);
-/// Throws DecodeError when the text is empty or too long for an id.
+
+/// Whether a message may lack a field.
+enum class Presence : std::uint8_t { required, optional };
+
+/// A field that holds a number which is not negative, and the member it is read into.
+template <typename Message>
+struct AmountField {
+  std::string_view name;
+  double Message::*member;
+  Presence presence = Presence::required;
+};
+
+/// Reads the fields into the message. Throws DecodeError if one is negative, or missing though
+/// required. An optional field that is missing becomes 0.
+template <typename Message, std::size_t N>
+void decode_amounts(const Fields& fields, const std::array<AmountField<Message>, N>& table,
+                    Message& message) {
+  for (const auto& field : table) {
+    const bool required = field.presence == Presence::required;
+    message.*(field.member) =
+        required ? amount(fields, field.name) : amount_or_zero(fields, field.name);
+  }
+}
+
+/// Adds the fields of the message to the map that is being packed.
+template <typename Message, std::size_t N>
+void pack_amounts(Packer& packer, const std::array<AmountField<Message>, N>& table,
+                  const Message& message) {
+  for (const auto& field : table) packer.key(field.name).number(message.*(field.member));
+}
+
+/// Throws DecodeError if the text is empty or too long for a name.
 void check_text(const std::string& text, std::string_view field);
 
 }  // namespace elmstall::wire
--- a/src/wire/state.cpp
+++ b/src/wire/state.cpp
@@ -1,8 +1,63 @@
 #include "wire/state.hpp"
 
-#include "wire/names.hpp"
-
 namespace elmstall::wire {
+namespace {
+
+Change decode_change(const Object& object) {
+  const Fields fields(object);
+  Change change;
+  change.mod_revision = fields.integer("stamp");
+  if (auto key = fields.maybe_text("set")) {
+    change.key = std::move(*key);
+    change.value = pack_object(fields.require("value"));
+  } else {
+    change.key = fields.text("delete");
+  }
+  return change;
+}
+
+void pack_precondition(Packer& packer, const Precondition& precondition) {
+  packer.map(2);
+  packer.key("key").text(precondition.key);
+  packer.key("stamp").integer(precondition.mod_revision);
+}
+
+void pack_write(Packer& packer, const Write& write) {
+  if (!write.value) {
+    packer.map(1).key("delete").text(write.key);
+    return;
+  }
+  const bool has_lease = write.lease != 0;
+  packer.map(has_lease ? 3 : 2);
+  packer.key("set").text(write.key);
+  packer.key("value").raw(*write.value);
+  if (has_lease) packer.key("hold").integer(write.lease);
+}
+
+std::string milliseconds(double seconds) {
+  return std::to_string(static_cast<long>(seconds * 1000));
+}
+
+}  // namespace
+
+std::string entry_path(std::string_view key) { return std::string("/kv/").append(key); }
+
+std::string listing_path(std::string_view prefix, std::string_view since, int page_size) {
+  std::string path = "/kv?under=";
+  path.append(prefix).append("&most=").append(std::to_string(page_size));
+  if (!since.empty()) path.append("&since=").append(since);
+  return path;
+}
+
+std::string watch_path(std::string_view prefix, std::uint64_t since, double hold_s) {
+  std::string path = "/follow?under=";
+  path.append(prefix).append("&since=").append(std::to_string(since));
+  return path.append("&hold_ms=").append(milliseconds(hold_s));
+}
+
+std::string lease_renewal_path(std::uint64_t lease) {
+  return std::string(kLeasesPath) + "/" + std::to_string(lease) + "/renew";
+}
 
 Entry decode_entry(const Object& object) {
   const Fields fields(object);
@@ -14,9 +69,8 @@
   Listing listing;
   listing.truncated = fields.flag_or("truncated", false);
   listing.revision = fields.integer("ledger_rev");
-  const auto [first, last] = elements(&fields.require("entries"), "entries");
-  for (const auto* item = first; item != last; ++item)
-    listing.entries.push_back(decode_entry(*item));
+  for (const auto& item : elements(&fields.require("entries"), "entries"))
+    listing.entries.push_back(decode_entry(item));
   return listing;
 }
 
@@ -24,37 +78,41 @@
   const Fields fields(object);
   Changes changes;
   changes.revision = fields.integer("ledger_rev");
-  const auto [first, last] = elements(fields.find("log"), "log");
-  for (const auto* item = first; item != last; ++item) {
-    const Fields one(*item);
-    Change change;
-    change.mod_revision = one.integer("stamp");
-    if (auto key = one.maybe_text("set")) {
-      change.key = std::move(*key);
-      change.value = pack_object(one.require("value"));
-    } else {
-      change.key = one.text("delete");
-    }
-    changes.log.push_back(std::move(change));
-  }
+  for (const auto& item : elements(fields.find("log"), "log"))
+    changes.log.push_back(decode_change(item));
   return changes;
 }
 
 std::string encode_transaction(const Transaction& transaction) {
   Packer packer;
-  packer.map(2).key("guards").list(transaction.preconditions.size());
+  packer.map(2);
+  packer.key("guards").list(transaction.preconditions.size());
   for (const auto& precondition : transaction.preconditions)
-    packer.map(2).key("key").text(precondition.key).key("stamp").integer(precondition.mod_revision);
+    pack_precondition(packer, precondition);
   packer.key("writes").list(transaction.writes.size());
-  for (const auto& write : transaction.writes) {
-    if (!write.value) {
-      packer.map(1).key("delete").text(write.key);
-      continue;
-    }
-    packer.map(write.lease != 0 ? 3 : 2).key("set").text(write.key).key("value").raw(*write.value);
-    if (write.lease != 0) packer.key("hold").integer(write.lease);
-  }
+  for (const auto& write : transaction.writes) pack_write(packer, write);
   return packer.take();
 }
 
+CommitReply decode_commit_reply(const Object& object) {
+  const Fields fields(object);
+  return {fields.integer_or("ledger_rev", 0), texts(fields.find("failed"), "failed")};
+}
+
+bool names_missing_lease(std::string_view body) {
+  return body.find("no such lease") != std::string_view::npos;
+}
+
+std::uint64_t decode_revision(const Object& object) {
+  return Fields(object).integer_or("ledger_rev", 0);
+}
+
+std::string encode_lease_request(double life_s) {
+  Packer packer;
+  packer.map(1).key("life_ms").integer(static_cast<std::uint64_t>(life_s * 1000));
+  return packer.take();
+}
+
+std::uint64_t decode_lease(const Object& object) { return Fields(object).integer("hold"); }
+
 }  // namespace elmstall::wire
--- a/src/wire/state.hpp
+++ b/src/wire/state.hpp
@@ -1,4 +1,5 @@
-// The state service's interface: keys, watches and transactions.
+/// The state store's interface: keys, watches, transactions and leases. All decode functions throw
+/// DecodeError. Revisions are version numbers of the whole store; they only grow, and 0 is none.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +12,57 @@
 
 namespace elmstall::wire {
 
-/// A key with its value and the revision of its last change.
+/// Path to which transactions are sent.
+inline constexpr std::string_view kCommitPath = "/commit";
+/// Path at which leases are requested.
+inline constexpr std::string_view kLeasesPath = "/grants";
+
+/// Path of one key.
+[[nodiscard]] std::string entry_path(std::string_view key);
+/// Path of one page of the keys below `prefix`: at most `page_size` keys after the key `since`, or
+/// from the first one if `since` is empty.
+[[nodiscard]] std::string listing_path(std::string_view prefix, std::string_view since,
+                                       int page_size);
+/// Path of a watch: waits up to `hold_s` seconds for changes below `prefix` that are later than
+/// the revision `since`.
+[[nodiscard]] std::string watch_path(std::string_view prefix, std::uint64_t since, double hold_s);
+/// Path at which a lease is renewed.
+[[nodiscard]] std::string lease_renewal_path(std::uint64_t lease);
+
+/// A key with its value.
 struct Entry {
   std::string key;
-  std::string value;  ///< packed
-  std::uint64_t mod_revision = 0;
+  std::string value;               ///< MessagePack
+  std::uint64_t mod_revision = 0;  ///< modification revision: that of its last change
 };
-/// One page of keys below a prefix.
+/// Reads the answer for one key.
+[[nodiscard]] Entry decode_entry(const Object& object);
+
+/// One page of the keys below a prefix.
 struct Listing {
   std::vector<Entry> entries;
-  bool truncated = false;
-  std::uint64_t revision = 0;
+  bool truncated = false;      ///< more pages follow
+  std::uint64_t revision = 0;  ///< of the store at the moment when the page was read
 };
+/// Reads one page.
+[[nodiscard]] Listing decode_listing(const Object& object);
+
 /// A key that was set or deleted.
 struct Change {
   std::string key;
-  std::optional<std::string> value;  ///< packed; nothing: deleted
+  std::optional<std::string> value;  ///< MessagePack; nothing: the key was deleted
   std::uint64_t mod_revision = 0;
 };
-/// What a watch returns.
+/// The answer to a watch.
 struct Changes {
-  std::uint64_t revision = 0;
-  std::vector<Change> log;
+  std::uint64_t revision = 0;  ///< up to which the log is complete
+  std::vector<Change> log;     ///< in the order in which the changes were made
 };
-/// A condition of a transaction: the key has this version, 0 if it must not
-/// exist.
+/// Reads the answer to a watch.
+[[nodiscard]] Changes decode_changes(const Object& object);
+
+/// A condition of a transaction: the key's modification revision must be this one, or the key must
+/// not exist if it is 0.
 struct Precondition {
   std::string key;
   std::uint64_t mod_revision = 0;
@@ -43,18 +70,34 @@
 /// A change that a transaction makes.
 struct Write {
   std::string key;
-  std::optional<std::string> value;  ///< packed; nothing: delete
-  std::uint64_t lease = 0;           ///< 0: not attached to a lease
+  std::optional<std::string> value;  ///< MessagePack; nothing: delete the key
+  std::uint64_t lease = 0;           ///< lease to which the key is bound; 0: none
 };
-/// Applied whole or not at all.
+/// Changes that are made all together, or not at all if a precondition fails.
 struct Transaction {
   std::vector<Precondition> preconditions;
   std::vector<Write> writes;
 };
-/// These throw DecodeError.
-[[nodiscard]] Entry decode_entry(const Object& object);
-[[nodiscard]] Listing decode_listing(const Object& object);
-[[nodiscard]] Changes decode_changes(const Object& object);
 [[nodiscard]] std::string encode_transaction(const Transaction& transaction);
 
+/// The answer to a transaction.
+struct CommitReply {
+  std::uint64_t revision = 0;       ///< of the changes; 0 if none were made
+  std::vector<std::string> failed;  ///< keys whose precondition failed
+};
+/// Reads the answer to a transaction.
+[[nodiscard]] CommitReply decode_commit_reply(const Object& object);
+/// True if a refusal of a transaction says that a lease of its writes does not exist. `body` is
+/// the undecoded answer.
+[[nodiscard]] bool names_missing_lease(std::string_view body);
+
+/// Reads the store's present revision from the answer for a key that does not exist; 0 if the
+/// answer does not tell.
+[[nodiscard]] std::uint64_t decode_revision(const Object& object);
+
+/// A request for a lease that expires `life_s` seconds after its last renewal.
+[[nodiscard]] std::string encode_lease_request(double life_s);
+/// Reads the id of a new lease.
+[[nodiscard]] std::uint64_t decode_lease(const Object& object);
+
 }  // namespace elmstall::wire
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -2,7 +2,6 @@
 
 #include <array>
 #include <charconv>
-#include <tuple>
 
 #include "wire/names.hpp"
 
@@ -24,6 +23,7 @@
                                       {"incomplete", EndCause::incomplete}}};
 constexpr Names<Verb, 3> kVerbs{{{"run", Verb::run}, {"kill", Verb::stop}, {"clear", Verb::clear}}};
 
+/// Adds the field with the commands to the map that is being packed.
 void pack_commands(Packer& packer, const std::vector<WorkerCommand>& commands) {
   packer.key("orders").list(commands.size());
   for (const auto& command : commands) {
@@ -36,68 +36,78 @@
   }
 }
 
-std::pair<std::string, std::uint32_t> split_task_name(const std::string& name) {
+/// A task name, taken apart.
+struct TaskName {
+  std::string job;
+  std::uint32_t index = 0;
+};
+
+/// Takes apart what task_name() composes. Throws DecodeError if the text is no task name.
+TaskName parse_task_name(const std::string& name) {
   const auto slash = name.rfind('/');
   if (slash == std::string::npos) throw DecodeError("a task name has no number");
-  std::uint32_t index = 0;
+  TaskName parsed;
   const char* end = name.data() + name.size();
-  const auto [stop, error] = std::from_chars(name.data() + slash + 1, end, index);
+  const auto [stop, error] = std::from_chars(name.data() + slash + 1, end, parsed.index);
   if (error != std::errc() || stop != end) throw DecodeError("a task name has no number");
-  return {name.substr(0, slash), index};
+  parsed.job = name.substr(0, slash);
+  return parsed;
+}
+
+void pack_task(Packer& packer, const TaskStatus& task) {
+  const bool ended = task.state == TaskState::ended;
+  packer.map(ended ? 5 : 3);
+  packer.key("shard").text(task_name(task.job, task.index));
+  packer.key("try").integer(task.attempt);
+  packer.key("status").text(name_of(kTaskStates, task.state));
+  if (!ended) return;
+  packer.key("cause").text(name_of(kCauses, task.cause));
+  packer.key("kept").flag(task.saved);
 }
 
 TaskStatus decode_task(const Object& object) {
   const Fields fields(object);
   TaskStatus task;
-  std::tie(task.job, task.index) = split_task_name(fields.text("shard"));
+  auto name = parse_task_name(fields.text("shard"));
+  task.job = std::move(name.job);
+  task.index = name.index;
   task.attempt = fields.integer("try");
-  task.state = pick_or(kTaskStates, fields.text("status"), TaskState::other);
+  task.state = parse_enum_or(kTaskStates, fields.text("status"), TaskState::other);
   if (task.state == TaskState::ended) {
-    task.cause = pick_or(kCauses, fields.maybe_text("cause").value_or(""), EndCause::other);
+    task.cause = parse_enum_or(kCauses, fields.maybe_text("cause").value_or(""), EndCause::other);
     task.saved = fields.flag_or("kept", false);
   }
   return task;
 }
 
+WorkerCommand decode_command(const Object& object) {
+  const Fields fields(object);
+  WorkerCommand command;
+  command.verb = parse_enum(kVerbs, fields.text("verb"), "verb");
+  auto name = parse_task_name(fields.text("shard"));
+  command.job = std::move(name.job);
+  command.index = name.index;
+  command.attempt = fields.integer("try");
+  command.grace_period_s = fields.maybe_number("wind_down_s").value_or(0);
+  return command;
+}
+
 }  // namespace
 
 std::string encode_heartbeat(const WorkerHeartbeat& heartbeat) {
   Packer packer;
-  packer.map(10)
-      .key("host")
-      .text(heartbeat.machine)
-      .key("addr")
-      .text(heartbeat.addr)
-      .key("build")
-      .text(heartbeat.type);
-  packer.key("yard")
-      .text(heartbeat.zone)
-      .key("loaners")
-      .flag(heartbeat.spot)
-      .key("shift")
-      .integer(heartbeat.epoch);
-  packer.key("recall_s");
-  if (heartbeat.interruption_in_s) {
-    packer.number(*heartbeat.interruption_in_s);
-  } else {
-    packer.null();
-  }
-  packer.key("tick")
-      .integer(heartbeat.sequence)
-      .key("baton")
-      .integer(heartbeat.token)
-      .key("shards")
-      .list(heartbeat.tasks.size());
-  for (const auto& task : heartbeat.tasks) {
-    const bool ended = task.state == TaskState::ended;
-    packer.map(ended ? 5 : 3)
-        .key("shard")
-        .text(task_name(task.job, task.index))
-        .key("try")
-        .integer(task.attempt);
-    packer.key("status").text(name_of(kTaskStates, task.state));
-    if (ended) packer.key("cause").text(name_of(kCauses, task.cause)).key("kept").flag(task.saved);
-  }
+  packer.map(10);
+  packer.key("host").text(heartbeat.machine);
+  packer.key("addr").text(heartbeat.addr);
+  packer.key("build").text(heartbeat.type);
+  packer.key("yard").text(heartbeat.zone);
+  packer.key("loaners").flag(heartbeat.spot);
+  packer.key("shift").integer(heartbeat.epoch);
+  packer.key("recall_s").number_or_null(heartbeat.interruption_in_s);
+  packer.key("tick").integer(heartbeat.sequence);
+  packer.key("baton").integer(heartbeat.token);
+  packer.key("shards").list(heartbeat.tasks.size());
+  for (const auto& task : heartbeat.tasks) pack_task(packer, task);
   return packer.take();
 }
 
@@ -114,9 +124,8 @@
   heartbeat.sequence = fields.integer("tick");
   heartbeat.token = fields.integer_or("baton", 0);
   heartbeat.interruption_in_s = fields.maybe_number("recall_s");
-  const auto [first, last] = elements(fields.find("shards"), "shards");
-  for (const auto* item = first; item != last; ++item)
-    heartbeat.tasks.push_back(decode_task(*item));
+  for (const auto& item : elements(fields.find("shards"), "shards"))
+    heartbeat.tasks.push_back(decode_task(item));
   return heartbeat;
 }
 
@@ -141,16 +150,8 @@
   CommandEnvelope result;
   result.token = fields.integer_or("baton", 0);
   result.epoch = fields.integer_or("shift", 0);
-  const auto [first, last] = elements(fields.find("orders"), "orders");
-  for (const auto* item = first; item != last; ++item) {
-    const Fields one(*item);
-    WorkerCommand command;
-    command.verb = pick(kVerbs, one.text("verb"), "verb");
-    std::tie(command.job, command.index) = split_task_name(one.text("shard"));
-    command.attempt = one.integer("try");
-    command.grace_period_s = one.maybe_number("wind_down_s").value_or(0);
-    result.commands.push_back(std::move(command));
-  }
+  for (const auto& item : elements(fields.find("orders"), "orders"))
+    result.commands.push_back(decode_command(item));
   return result;
 }
 
--- a/src/wire/workers.hpp
+++ b/src/wire/workers.hpp
@@ -1,4 +1,5 @@
-// Workers' interface: heartbeats and commands.
+/// Workers' interface: heartbeats and commands. A worker is the program that runs tasks on a
+/// machine. All decode functions throw DecodeError.
 #pragma once
 
 #include <cstdint>
@@ -11,79 +12,92 @@
 
 namespace elmstall::wire {
 
-/// `gathering`: waits for the other tasks of its gang. `other`: a state that
-/// this program does not know.
-enum class TaskState : std::uint8_t { fetching, gathering, running, checkpointing, ended, other };
-/// `mates_gone`: another task of the gang is gone. `incomplete`: the gang was
-/// not complete in time.
+/// State of a task on its machine.
+enum class TaskState : std::uint8_t {
+  fetching,       ///< fetches its image
+  gathering,      ///< waits for the other tasks of its gang
+  running,        ///< runs
+  checkpointing,  ///< writes a checkpoint before it stops
+  ended,          ///< has ended; the worker reports it until it is told to clear it
+  other           ///< a state that this program does not know
+};
+
+/// Why a task ended.
 enum class EndCause : std::uint8_t {
-  none,
-  done,
-  stopped,
-  error,
-  no_room,
-  in_use,
-  unknown,
-  mates_gone,
-  incomplete,
-  other
+  none,        ///< it has not ended
+  done,        ///< it completed
+  stopped,     ///< a command stopped it
+  error,       ///< it failed
+  no_room,     ///< refused: the machine has no room for it
+  in_use,      ///< refused by the worker with the protocol's cause `in_use`
+  unknown,     ///< refused by the worker with the protocol's cause `unknown`
+  mates_gone,  ///< another task of the gang is gone
+  incomplete,  ///< the gang was not complete in time
+  other        ///< a cause that this program does not know
 };
 
 /// One task as a worker reports it.
 struct TaskStatus {
   std::string job;
-  std::uint32_t index = 0;
+  std::uint32_t index = 0;  ///< position within the job
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
-  EndCause cause = EndCause::none;
-  bool saved = false;
+  EndCause cause = EndCause::none;  ///< of a task that ended
+  bool saved = false;               ///< it saved its progress before it ended
 };
 
-/// What a worker reports of itself and its tasks.
+/// The status message of a worker.
 struct WorkerHeartbeat {
-  std::string machine;
-  std::string addr;
+  std::string machine;  ///< id of the machine
+  std::string addr;     ///< address at which the worker takes commands; empty: not stated
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t epoch = 0;
-  std::uint64_t sequence = 0;
-  std::uint64_t token = 0;
+  std::uint64_t epoch = 0;     ///< worker session; a new one begins whenever the lease expires
+  std::uint64_t sequence = 0;  ///< grows with every heartbeat of the epoch
+  std::uint64_t token = 0;     ///< highest fencing token that the worker has seen
+  /// Seconds until a spot machine is taken back; nothing without an interruption notice.
   std::optional<double> interruption_in_s;
   std::vector<TaskStatus> tasks;
 };
-/// Throws DecodeError.
+/// Reads a heartbeat.
 [[nodiscard]] WorkerHeartbeat decode_heartbeat(const Object& object);
+/// Writes a heartbeat, to forward it to the leader.
 [[nodiscard]] std::string encode_heartbeat(const WorkerHeartbeat& heartbeat);
 
-/// `stop` ends a task, `clear` removes an exited one from the heartbeats.
-enum class Verb : std::uint8_t { run, stop, clear };
+/// What a command tells a worker to do.
+enum class Verb : std::uint8_t {
+  run,   ///< start the task
+  stop,  ///< end the task
+  clear  ///< omit the ended task from further heartbeats
+};
 /// One command to a worker.
 struct WorkerCommand {
   Verb verb = Verb::run;
   std::string job;
-  std::uint32_t index = 0;
+  std::uint32_t index = 0;  ///< position of the task within the job
   std::uint64_t attempt = 0;
-  double grace_period_s = 0;
+  double grace_period_s = 0;  ///< seconds to write a checkpoint, with `stop`
 };
-/// The answer to a heartbeat.
+/// Writes the answer to a heartbeat, which renews the worker's lease.
 [[nodiscard]] std::string encode_heartbeat_reply(std::uint64_t token,
                                                  const std::vector<WorkerCommand>& commands);
-/// A command sent straight to a worker; void unless its epoch is this one.
+/// Writes a command RPC. The worker refuses it if it is in another epoch.
 [[nodiscard]] std::string encode_direct_commands(std::uint64_t token, std::uint64_t epoch,
                                                  const std::vector<WorkerCommand>& commands);
-/// What a worker reads from the answer to its heartbeat.
+/// Commands as a worker receives them, by either way.
 struct CommandEnvelope {
   std::uint64_t token = 0;
-  std::uint64_t epoch = 0;  ///< of direct commands
+  std::uint64_t epoch = 0;  ///< of a command RPC; 0 in the answer to a heartbeat
   std::vector<WorkerCommand> commands;
 };
-/// Throws DecodeError.
+/// Reads commands.
 [[nodiscard]] CommandEnvelope decode_commands(const Object& object);
-/// Sends a worker to another controller; empty: to whichever it tries next.
+/// Writes an answer that redirects a worker to the controller `node`; empty: to whichever
+/// controller the worker tries next.
 [[nodiscard]] std::string encode_redirect(std::string_view node);
 
-/// The name that users and workers know a task by.
+/// The name of a task in the protocol: job id, slash and position within the job.
 [[nodiscard]] std::string task_name(std::string_view job, std::uint32_t index);
 
 }  // namespace elmstall::wire
