--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -118,7 +118,7 @@
     const auto own = mirror_.delegations().find(settings_.node);
     transaction.preconditions = {
         {std::string(store::kTermKey), mirror_.term_revision()},
-        {key, own == mirror_.delegations().end() ? 0 : own->second.second}};
+        {key, own == mirror_.delegations().end() ? 0 : own->second.mod_revision}};
     transaction.writes = {{key, store::encode(store::DelegationRecord{settings_.zone}), lease_}};
     store_.commit(std::move(transaction),
                   scope_.wrap([this, round, fail, sent](const store::CommitResult& result) {
@@ -156,7 +156,7 @@
   const auto found = mirror_.delegations().find(settings_.node);
   if (found == mirror_.delegations().end()) return;
   wire::Transaction transaction;
-  transaction.preconditions = {{store::delegation_key(settings_.node), found->second.second}};
+  transaction.preconditions = {{store::delegation_key(settings_.node), found->second.mod_revision}};
   transaction.writes = {{store::delegation_key(settings_.node), std::nullopt, 0}};
   store_.commit(std::move(transaction), [](const store::CommitResult&) {});
 }
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -23,10 +23,9 @@
   if (mirror_.delegations().empty() && !any_delegated_) return;
   any_delegated_ = !mirror_.delegations().empty();
   for (auto& [id, machine] : model_.machines()) {
-    const bool delegated = std::any_of(mirror_.delegations().begin(), mirror_.delegations().end(),
-                                       [&zone = machine->zone](const auto& delegation) {
-                                         return delegation.second.first == zone;
-                                       });
+    const bool delegated = std::any_of(
+        mirror_.delegations().begin(), mirror_.delegations().end(),
+        [&zone = machine->zone](const auto& delegation) { return delegation.second.zone == zone; });
     // Also in the moment it ends: until now it may have answered.
     if (delegated || machine->delegated) machine->delegated_at = now;
     machine->delegated = delegated;
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -5,12 +5,24 @@
 #include "config/constants.hpp"
 
 namespace elmstall::store {
+namespace {
+
+/// Modification revision of an entry of one of the maps; 0 if there is no such entry.
+template <typename Map, typename Name>
+std::uint64_t mod_revision_in(const Map& map, const Name& name) {
+  const auto found = map.find(name);
+  return found == map.end() ? 0 : found->second.mod_revision;
+}
+
+}  // namespace
 
 void Mirror::restart() {
   listed_ = false;
   first_page_ = true;
-  revision_ = listed_revision_ = 0;
-  term_ = term_revision_ = 0;
+  revision_ = 0;
+  listed_revision_ = 0;
+  term_ = 0;
+  term_revision_ = 0;
   lead_.reset();
   types_.reset();
   jobs_.clear();
@@ -23,9 +35,9 @@
 }
 
 void Mirror::load(const wire::Listing& page) {
-  // Pages are read one after the other, so a later page may be newer. The
-  // watch starts at the first page's revision and replays what lies between;
-  // only when it has passed the last page's revision is the copy whole.
+  // The store reads every page at its own moment, so a later page may show a later revision. The
+  // watch starts at the revision of the first page and replays the changes in between; the mirror
+  // is complete only when the watch has passed the highest revision of all pages.
   if (first_page_) revision_ = page.revision;
   first_page_ = false;
   listed_revision_ = std::max(listed_revision_, page.revision);
@@ -38,7 +50,7 @@
   std::vector<Key> changed;
   for (const auto& change : changes.log) {
     auto key = parse_key(change.key);
-    // A page that was read later may hold a newer value than this change.
+    // The listing may already have delivered a newer value than this change.
     if (change.mod_revision < mod_revision_of(key)) continue;
     if (change.value) {
       put(key, *change.value, change.mod_revision);
@@ -48,13 +60,13 @@
     changed.push_back(std::move(key));
   }
   revision_ = std::max(revision_, changes.revision);
-  if (!was_loaded && loaded()) drop_ownerless_blocks();
+  if (!was_loaded && loaded()) drop_blocks_without_job();
   return changed;
 }
 
-void Mirror::drop_ownerless_blocks() {
-  // Old values of the log still speak of jobs that are over; what is said of
-  // a job counts only while its own record is there.
+void Mirror::drop_blocks_without_job() {
+  // Old values of the ledger log still contain blocks of finished jobs. A block is valid only
+  // while the record of its job exists.
   std::erase_if(blocks_, [this](const auto& entry) { return !jobs_.contains(entry.first); });
 }
 
@@ -66,18 +78,12 @@
       return lead_revision();
     case Key::Kind::types:
       return types_ ? types_->mod_revision : 0;
-    case Key::Kind::job: {
-      const auto* found = job(key.id);
-      return found == nullptr ? 0 : found->mod_revision;
-    }
-    case Key::Kind::slot: {
-      const auto found = slots_.find(key.number);
-      return found == slots_.end() ? 0 : found->second.mod_revision;
-    }
-    case Key::Kind::delegation: {
-      const auto found = delegations_.find(key.id);
-      return found == delegations_.end() ? 0 : found->second.second;
-    }
+    case Key::Kind::job:
+      return mod_revision_in(jobs_, key.id);
+    case Key::Kind::slot:
+      return mod_revision_in(slots_, key.number);
+    case Key::Kind::delegation:
+      return mod_revision_in(delegations_, key.id);
     default:
       return 0;
   }
@@ -87,31 +93,40 @@
   try {
     decode_and_put(key, packed, mod_revision);
   } catch (const wire::DecodeError& error) {
-    // A record that can't be read must not end the process, which would read
-    // it again after its restart.
+    // A record that can't be decoded must not end the process: it would meet the same record
+    // again after its restart.
     spdlog::error("a record of the state service is skipped: {}", error.what());
   }
 }
 
+void Mirror::put_job(const std::string& id, JobRecord record, std::uint64_t mod_revision) {
+  if (record.cancelled) cancelled_.insert(id);
+  jobs_[id] = {std::move(record), mod_revision};
+}
+
 void Mirror::put_slot(std::uint32_t slot, const SlotRecord& value, std::uint64_t mod_revision) {
   slots_[slot] = {mod_revision, value.number};
-  const bool whole = loaded();
-  for (const auto& entry : value.blocks) {
-    if (whole && !jobs_.contains(entry.job)) continue;
-    auto& block = blocks_[entry.job][entry.number];
-    if (block.number <= value.number) block = {value.number, slot, entry.record};
-  }
-  for (const auto& entry : value.machines) {
-    if (entry.removed) {
-      // Only while it is the latest entry: late copies of old values may still
-      // name the machine, whose end the leader then finds out anew.
-      const auto found = machines_.find(entry.id);
-      if (found != machines_.end() && found->second.number <= value.number) machines_.erase(found);
-      continue;
-    }
-    auto& machine = machines_[entry.id];
-    if (machine.number <= value.number) machine = {value.number, slot, entry.record};
+  for (const auto& entry : value.blocks) put_block(slot, value.number, entry);
+  for (const auto& entry : value.machines) put_machine(slot, value.number, entry);
+}
+
+void Mirror::put_block(std::uint32_t slot, std::uint64_t number, const BlockEntry& entry) {
+  // While the mirror is being loaded the record of the job may still come.
+  if (loaded() && !jobs_.contains(entry.job)) return;
+  auto& block = blocks_[entry.job][entry.number];
+  if (block.number <= number) block = {number, slot, entry.record};
+}
+
+void Mirror::put_machine(std::uint32_t slot, std::uint64_t number, const MachineEntry& entry) {
+  if (entry.removed) {
+    // A newer value may have recorded the machine again. And an older value that arrives after
+    // this one may bring the machine back; the leader then finds out anew that it is gone.
+    const auto found = machines_.find(entry.id);
+    if (found != machines_.end() && found->second.number <= number) machines_.erase(found);
+    return;
   }
+  auto& machine = machines_[entry.id];
+  if (machine.number <= number) machine = {number, slot, entry.record};
 }
 
 void Mirror::decode_and_put(const Key& key, const std::string& packed, std::uint64_t mod_revision) {
@@ -128,8 +143,7 @@
       types_ = Value{packed, mod_revision};
       break;
     case Key::Kind::job:
-      jobs_[key.id] = {decode_job(packed), mod_revision};
-      if (jobs_[key.id].record.cancelled) cancelled_.insert(key.id);
+      put_job(key.id, decode_job(packed), mod_revision);
       break;
     case Key::Kind::slot:
       put_slot(key.number, decode_slot(packed), mod_revision);
--- a/src/store/mirror.hpp
+++ b/src/store/mirror.hpp
@@ -1,91 +1,128 @@
-// A node's copy of the live records, kept current by a watch. Pure: the
-// owner feeds it listings and changes.
+/// A node's local replica of the records in the state store, kept current by a watch.
+///
+/// The mirror does no I/O. Its owner (controller::Node) lists the live records, feeds every page to
+/// load(), opens a watch at follow_from() and feeds every answer to apply(). All calls are made on
+/// the event loop.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
 #include <unordered_map>
+#include <vector>
 
 #include "store/records.hpp"
 
 namespace elmstall::store {
 
+/// The replica. A revision is the state store's version number: 0 stands for "none".
 class Mirror {
  public:
+  /// A value that is kept as it was stored.
   struct Value {
     std::string packed;
     std::uint64_t mod_revision = 0;
   };
+  /// The latest state of a block, and which value of the ledger log it was read from.
   struct Block {
-    std::uint64_t number = 0;  ///< of the log value that it comes from
-    std::uint32_t slot = 0;    ///< and where that value is
+    std::uint64_t number = 0;  ///< number of the value
+    std::uint32_t slot = 0;    ///< slot in which the value is stored
     BlockRecord record;
   };
+  /// The latest state of a machine, and which value of the ledger log it was read from.
   struct Machine {
-    std::uint64_t number = 0;
-    std::uint32_t slot = 0;
+    std::uint64_t number = 0;  ///< number of the value
+    std::uint32_t slot = 0;    ///< slot in which the value is stored
     MachineRecord record;
   };
+  /// A slot of the ledger log.
   struct Slot {
     std::uint64_t mod_revision = 0;
-    std::uint64_t number = 0;
+    std::uint64_t number = 0;  ///< number of the value that it holds
   };
+  /// The record of an unfinished job.
   struct Job {
     JobRecord record;
     std::uint64_t mod_revision = 0;
   };
+  /// The record by which a node is a zone delegate.
+  struct Delegation {
+    std::string zone;
+    std::uint64_t mod_revision = 0;
+  };
 
-  /// Forgets the live records; final states are kept, they never change.
+  /// Forgets the live records, before they are listed anew. Final states are kept because they
+  /// never change.
   void restart();
-  /// One page of the listing of live records.
+  /// Takes one page of the listing of live records. Pages must come in order.
   void load(const wire::Listing& page);
-  /// After the last page: changes must be followed from here.
+  /// The revision at which the watch must start after the last page.
   [[nodiscard]] std::uint64_t follow_from() const { return revision_; }
-  /// Returns the keys that changed.
+  /// Takes the changes that the watch delivered. Returns the keys whose records changed.
   std::vector<Key> apply(const wire::Changes& changes);
 
-  /// True once the watch has reached every page of the listing.
+  /// True if the mirror is complete: all pages are loaded, and the watch has passed the revision
+  /// of each of them.
   [[nodiscard]] bool loaded() const { return listed_ && revision_ >= listed_revision_; }
+  /// The revision up to which the mirror has seen all changes.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
+  /// The unfinished job with this id, or null.
   [[nodiscard]] const Job* job(const std::string& id) const;
+  /// All unfinished jobs, by id.
   [[nodiscard]] const std::map<std::string, Job>& jobs() const { return jobs_; }
-  /// Unfinished jobs that bear a cancel mark.
+  /// Ids of the unfinished jobs that were cancelled.
   [[nodiscard]] const std::set<std::string>& cancelled() const { return cancelled_; }
+  /// The blocks of a job by their number, or null if none is recorded.
   [[nodiscard]] const std::map<std::uint32_t, Block>* blocks(const std::string& id) const;
+  /// All recorded machines, by id.
   [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_; }
+  /// All slots of the ledger log, by number.
   [[nodiscard]] const std::map<std::uint32_t, Slot>& slots() const { return slots_; }
-  /// Records of a layout that this program does not read: it must not lead.
+  /// True if there are records of a layout that this program can't read. A node that sees some
+  /// must not start an election.
   [[nodiscard]] bool earlier_layout() const { return earlier_layout_; }
-  /// Zone of every node that is a zone delegate, by node.
-  [[nodiscard]] const std::map<std::string, std::pair<std::string, std::uint64_t>>& delegations()
-      const {
+  /// The zone delegates, by the name of the node.
+  [[nodiscard]] const std::map<std::string, Delegation>& delegations() const {
     return delegations_;
   }
+  /// The final state of a job if it is among those remembered in memory. Others must be read from
+  /// the state store.
   [[nodiscard]] std::optional<FinalRecord> final_state(const std::string& id) const;
+  /// Remembers a final state. The oldest is forgotten above constants::kFinalCache.
   void remember_final(const std::string& id, const FinalRecord& record);
+  /// Number of the present leadership; 0 if there never was one.
   [[nodiscard]] std::uint64_t term() const { return term_; }
+  /// Modification revision of the term's record.
   [[nodiscard]] std::uint64_t term_revision() const { return term_revision_; }
+  /// The record of the leader; nothing while its lease has expired.
   [[nodiscard]] const std::optional<LeadRecord>& lead() const { return lead_; }
+  /// Modification revision of the leader's record; 0 if there is none.
   [[nodiscard]] std::uint64_t lead_revision() const { return lead_ ? lead_revision_ : 0; }
+  /// The recorded machine types, as packed by wire::encode_machine_types().
   [[nodiscard]] const std::optional<Value>& types() const { return types_; }
+  /// What a user is told of a job, as far as the mirror knows it. The caller checks before that
+  /// the job exists.
   [[nodiscard]] wire::JobStatus status(const std::string& id) const;
 
  private:
   void put(const Key& key, const std::string& packed, std::uint64_t mod_revision);
   void decode_and_put(const Key& key, const std::string& packed, std::uint64_t mod_revision);
+  void put_job(const std::string& id, JobRecord record, std::uint64_t mod_revision);
   void put_slot(std::uint32_t slot, const SlotRecord& value, std::uint64_t mod_revision);
+  void put_block(std::uint32_t slot, std::uint64_t number, const BlockEntry& entry);
+  void put_machine(std::uint32_t slot, std::uint64_t number, const MachineEntry& entry);
   void erase(const Key& key);
-  void drop_ownerless_blocks();
+  void drop_blocks_without_job();
   [[nodiscard]] std::uint64_t mod_revision_of(const Key& key) const;
 
-  bool listed_ = false;
-  bool first_page_ = true;
-  std::uint64_t revision_ = 0;
-  std::uint64_t listed_revision_ = 0;
+  bool listed_ = false;                ///< the last page of the listing was loaded
+  bool first_page_ = true;             ///< the next page is the first of a listing
+  std::uint64_t revision_ = 0;         ///< all changes up to this revision were seen
+  std::uint64_t listed_revision_ = 0;  ///< highest revision of the loaded pages
   std::uint64_t term_ = 0;
   std::uint64_t term_revision_ = 0;
   std::optional<LeadRecord> lead_;
@@ -93,14 +130,13 @@
   std::optional<Value> types_;
   std::map<std::string, Job> jobs_;
   std::set<std::string> cancelled_;
-  std::unordered_map<std::string, std::map<std::uint32_t, Block>> blocks_;
+  std::unordered_map<std::string, std::map<std::uint32_t, Block>> blocks_;  ///< by job id
   std::map<std::string, Machine> machines_;
   std::map<std::uint32_t, Slot> slots_;
   bool earlier_layout_ = false;
-  std::map<std::string, std::pair<std::string, std::uint64_t>>
-      delegations_;  ///< zone and modification revision
+  std::map<std::string, Delegation> delegations_;
   std::unordered_map<std::string, FinalRecord> finals_;
-  std::deque<std::string> final_order_;
+  std::deque<std::string> final_order_;  ///< ids of finals_, the oldest first
 };
 
 }  // namespace elmstall::store
--- /dev/null
+++ b/src/store/record_types.hpp
@@ -0,0 +1,97 @@
+/// The records that the controllers keep in the state store, as plain value types.
+///
+/// What the leader records of tasks and machines has no keys of its own, because the store takes
+/// few changes a second: such records are entries of the ledger log (SlotRecord), of which one
+/// write carries many. See "The ledger log" in docs/design.md.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "wire/types.hpp"
+
+namespace elmstall::store {
+
+/// Number of the present leadership; every election raises it.
+struct TermRecord {
+  std::uint64_t term = 0;
+};
+
+/// Which process leads. The record is bound to a lease and disappears with it.
+struct LeadRecord {
+  std::string node;
+  std::string incarnation;  ///< name of the process, which differs after a restart of the node
+  std::uint64_t term = 0;
+};
+
+/// An accepted job that has no final state yet.
+struct JobRecord {
+  wire::JobSpec spec;
+  bool cancelled = false;  ///< true once a user has cancelled the job
+  double submitted = 0;    ///< wall clock, seconds since 1970
+};
+
+/// An unfinished task that was assigned to a machine at least once.
+struct TaskRecord {
+  std::uint32_t index = 0;  ///< position within the job
+  std::uint64_t attempt = 0;
+  std::string machine;  ///< id of the machine it is assigned to; empty if it is not assigned
+};
+
+/// The state of a block: a run of consecutive tasks of one job that are recorded together.
+struct BlockRecord {
+  std::vector<bool> done;         ///< for every task of the block whether it has completed
+  std::vector<TaskRecord> tasks;  ///< the unfinished tasks that were assigned at least once
+
+  /// Number of completed tasks.
+  [[nodiscard]] std::size_t done_count() const;
+  /// Number of tasks that are assigned to a machine.
+  [[nodiscard]] std::size_t assigned_count() const;
+};
+
+/// A machine that was rented and has not been removed from the records.
+struct MachineRecord {
+  std::string addr;
+  std::string type;
+  std::string zone;
+  bool spot = false;
+  /// The leader is about to declare the tasks of this machine lost, so no zone delegate may
+  /// answer its heartbeats any more (rule 6).
+  bool retired = false;
+};
+
+/// Declares a node to be a zone delegate of its zone. The node's name is in the key.
+struct DelegationRecord {
+  std::string zone;
+};
+
+/// The whole state of one block at the moment when a value of the ledger log was written.
+struct BlockEntry {
+  std::string job;
+  std::uint32_t number = 0;  ///< position of the block within the job
+  BlockRecord record;
+};
+
+/// The whole state of one machine at the moment when a value of the ledger log was written.
+struct MachineEntry {
+  std::string id;
+  bool removed = false;  ///< the machine is no longer recorded; `record` is then unused
+  MachineRecord record;
+};
+
+/// One value of the ledger log, as it is stored in one slot. If several values contain an entry
+/// for the same block or machine, then the entry of the value with the highest number is valid.
+struct SlotRecord {
+  std::uint64_t number = 0;  ///< every value that is written gets a higher number
+  std::vector<BlockEntry> blocks;
+  std::vector<MachineEntry> machines;
+};
+
+/// The final state of a job. It never changes once it is written.
+struct FinalRecord {
+  wire::JobState state = wire::JobState::done;  ///< `done` or `cancelled`
+  std::uint64_t tasks = 0;                      ///< number of tasks of the job
+};
+
+}  // namespace elmstall::store
