--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -173,7 +173,7 @@
   const auto key = store::delegation_key(node);
   const auto& delegations = context_.mirror.delegations();
   const auto own = delegations.find(node);
-  const std::uint64_t own_revision = own == delegations.end() ? 0 : own->second.second;
+  const std::uint64_t own_revision = own == delegations.end() ? 0 : own->second.mod_revision;
   wire::Transaction transaction;
   // The record's own revision is required as well: otherwise the transaction of an
   // earlier attempt that is applied late could attach it to that attempt's lease.
@@ -226,7 +226,7 @@
   if (own == delegations.end()) return;
   const auto key = store::delegation_key(node);
   wire::Transaction transaction;
-  transaction.preconditions = {{key, own->second.second}};
+  transaction.preconditions = {{key, own->second.mod_revision}};
   transaction.writes = {{key, std::nullopt, 0}};
   context_.store.commit(std::move(transaction), [](const store::CommitResult&) {});
 }
--- /dev/null
+++ b/src/store/record_codec.cpp
@@ -0,0 +1,72 @@
+#include "store/record_codec.hpp"
+
+namespace elmstall::store {
+
+std::string encode(const TermRecord& record) {
+  wire::Packer packer;
+  return packer.map(1).key("n").integer(record.term).take();
+}
+
+std::string encode(const LeadRecord& record) {
+  wire::Packer packer;
+  packer.map(3);
+  packer.key("node").text(record.node);
+  packer.key("inc").text(record.incarnation);
+  packer.key("term").integer(record.term);
+  return packer.take();
+}
+
+std::string encode(const JobRecord& record) {
+  wire::Packer packer;
+  packer.map(3).key("spec");
+  wire::pack_job(packer, record.spec);
+  packer.key("cancelled").flag(record.cancelled);
+  packer.key("at").number(record.submitted);
+  return packer.take();
+}
+
+std::string encode(const DelegationRecord& record) {
+  wire::Packer packer;
+  return packer.map(1).key("zone").text(record.zone).take();
+}
+
+std::string encode(const FinalRecord& record) {
+  wire::Packer packer;
+  packer.map(2);
+  packer.key("state").text(wire::to_text(record.state));
+  packer.key("tasks").integer(record.tasks);
+  return packer.take();
+}
+
+TermRecord decode_term(std::string_view packed) {
+  return {wire::Document::parse(packed).fields().integer("n")};
+}
+
+LeadRecord decode_lead(std::string_view packed) {
+  const auto document = wire::Document::parse(packed);
+  const auto fields = document.fields();
+  return {fields.text("node"), fields.text("inc"), fields.integer("term")};
+}
+
+JobRecord decode_job(std::string_view packed) {
+  const auto document = wire::Document::parse(packed);
+  const auto fields = document.fields();
+  return {wire::decode_job(fields.require("spec")), fields.flag_or("cancelled", false),
+          fields.number("at")};
+}
+
+DelegationRecord decode_delegation(std::string_view packed) {
+  return {wire::Document::parse(packed).fields().text("zone")};
+}
+
+FinalRecord decode_final(std::string_view packed) {
+  const auto document = wire::Document::parse(packed);
+  const auto fields = document.fields();
+  const bool done = fields.text("state") == wire::to_text(wire::JobState::done);
+  FinalRecord record;
+  record.state = done ? wire::JobState::done : wire::JobState::cancelled;
+  record.tasks = fields.integer_or("tasks", 0);
+  return record;
+}
+
+}  // namespace elmstall::store
