--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -1,157 +1,125 @@
-// Group commit of the leader's records to the ledger log.
-//
-// Blocks and machines are entries of the log's values ("slots"). A commit writes
-// whole new values: of each slot that is overwritten the entries that are
-// still the latest of their kind are carried along, so that the log stays
-// small, nothing has to be deleted, and a commit's cost follows bytes and not
-// the number of records touched. Every transaction is guarded by the term and
-// by the version of each slot it overwrites, so what a former leader left
-// behind in the network can't be applied.
+/// \file
+/// Group commit: writes the leader's changed records to the ledger log, many in one
+/// transaction.
+///
+/// The state store accepts few changes a second, while the leader records many starts and
+/// ends of tasks. So blocks of tasks and machines have no keys of their own in the state
+/// store: they are entries of the values of the ledger log, and the cost of a commit depends
+/// on its bytes, not on the number of records ("The ledger log" in docs/design.md).
+///
+/// The work is divided as follows:
+/// - CommitRecord: bookkeeping of one block or machine.
+/// - RecordTable: all records, and the queue of those that must be written.
+/// - LogSlots: the slots of the log, and which records each of them holds.
+/// - CommitLimits: how large a transaction may be.
+/// - TransactionBuilder: composes one transaction.
+/// - GroupCommit: sends one transaction at a time and acts on its outcome.
 #pragma once
 
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
-#include <set>
+#include <optional>
 #include <string>
-#include <vector>
 
 #include "config/settings.hpp"
 #include "runtime/coalescing_timer.hpp"
+#include "state/commit_limits.hpp"
+#include "state/commit_record.hpp"
+#include "state/log_slots.hpp"
+#include "state/record_table.hpp"
+#include "state/transaction_builder.hpp"
 #include "store/mirror.hpp"
 #include "store/state_store.hpp"
 
 namespace elmstall::state {
 
+/// The group commit of one leader in one term. It is created when a controller becomes the
+/// leader, and destroyed when it no longer is. All functions and events run on the
+/// controller's event loop.
 class GroupCommit {
  public:
-  /// One entry. `version` counts what is wanted, `written` what is known to be
-  /// in the state service.
-  struct Record {
-    enum class Kind : std::uint8_t { block, machine };
-    Kind kind = Kind::block;
-    std::string job;  ///< of a block: written only while that job's record is there
-    std::function<store::Packed()> pack;
-    std::uint64_t version = 0;
-    std::uint64_t written = 0;
-    std::uint64_t revision = 0;  ///< at which `written` was committed, 0: never
-    bool remove = false;         ///< says so once and is forgotten
-    /// Keys that must not exist when this record is written.
-    std::vector<std::string> absent;
-    [[nodiscard]] bool clean() const { return written == version; }
+  using Record = CommitRecord;
+  using Finalization = state::Finalization;
 
-    // The group commit's own.
-    std::uint64_t serial = 0;
-    std::uint64_t ticket = 0;  ///< place in the queue of changed records, 0: none
-    static constexpr std::uint32_t kNoSlot = ~0U;
-    std::uint32_t slot = kNoSlot;  ///< that holds its latest version
-    std::size_t json = 0;          ///< bytes there
-  };
-  /// The final state of a job, written together with the removal of its record.
-  struct Finalization {
-    std::string job;
-    store::FinalRecord record;
-    std::vector<Record*> blocks;
-  };
   struct Events {
+    /// The final state of the job is stored. Its block records no longer exist.
     std::function<void(const std::string& job)> finished;
+    /// Another controller has won a later term. The handler must not destroy the group commit
+    /// before it returns.
     std::function<void()> deposed;
-    /// A commit was answered; it was sent at this time.
-    std::function<void(double sent)> confirmed;
+    /// A transaction was applied, so the term was still the latest one at some time after the
+    /// transaction was sent (rule 5). `sent_at` is in seconds, by the clock of the event loop.
+    std::function<void(double sent_at)> confirmed;
   };
 
+  /// `term_revision` is the modification revision of the term's key, which every transaction
+  /// requires to be unchanged. The mirror must be loaded; its slots are taken over here.
   GroupCommit(const config::Settings& settings, runtime::EventLoop& event_loop,
               runtime::CommandQueue& queue, store::StateStore& store, const store::Mirror& mirror,
               std::uint64_t term_revision, Events events);
 
-  /// An entry that is not in the log yet.
-  Record* add(Record::Kind kind, std::string job, std::function<store::Packed()> pack);
-  /// An entry that the log has in this slot.
-  Record* restore(Record::Kind kind, std::string job, std::function<store::Packed()> pack,
+  /// Creates a record of something that is not in the log. It is clean until it is marked
+  /// dirty. `job` is empty for a machine.
+  Record* add(Record::Kind kind, std::string job, Record::PackFunction pack);
+  /// Creates a record of something that the log holds in this slot.
+  Record* restore(Record::Kind kind, std::string job, Record::PackFunction pack,
                   std::uint32_t slot);
+  /// The block or machine has changed: its present state must be written.
   void mark_dirty(Record& record);
-  /// Says that the entry is gone and forgets it; the pointer is not to be used
-  /// again. `last`: its last packed form.
+  /// The block or machine is gone. `last` is the packed entry that says so; once it is written
+  /// the record is dropped. The caller must not use the record again.
   void discard(Record& record, store::Packed last);
-  void finish(Finalization final);
-  [[nodiscard]] bool finishing(const std::string& job) const { return finals_.contains(job); }
-  /// Sends the next transaction, if there is one and none is in flight.
+  /// The job is over: its final state must be written. Has no effect if the job is finishing
+  /// already.
+  void finish(Finalization finalization);
+  /// Whether the final state of the job is still to be written.
+  [[nodiscard]] bool finishing(const std::string& job) const {
+    return finalizations_.contains(job);
+  }
+  /// Sends the next transaction, unless there is nothing to write, one is in flight or being
+  /// read back, or the last one was sent too recently. In the last case it is sent later
+  /// without a further call.
   void flush();
 
  private:
-  struct Slot {
-    std::uint64_t mod_revision = 0;
-    std::size_t json = 0;                   ///< of what is live in it
-    std::map<std::uint64_t, Record*> live;  ///< by serial
-  };
-  /// A new value of a slot.
-  struct Value {
-    std::uint32_t slot = 0;
-    std::uint64_t number = 0;
-    std::size_t json = 0;
-    std::vector<std::string> blocks;
-    std::vector<std::string> machines;
-    struct Entry {
-      std::uint64_t serial = 0;
-      std::uint64_t version = 0;
-      std::size_t json = 0;
-    };
-    std::vector<Entry> entries;
-  };
-  struct Pending {
-    wire::Transaction transaction;
-    std::vector<Value> values;
-    std::vector<std::string> finals;
-    std::size_t json = 0;
-    double sent = 0;
-  };
+  using Pending = std::shared_ptr<const PendingCommit>;
 
-  /// Bytes that a value may take, changes and values that a transaction may have.
-  [[nodiscard]] std::size_t value_limit() const;
-  [[nodiscard]] std::size_t max_writes() const;
-  [[nodiscard]] std::size_t max_values() const;
-  [[nodiscard]] std::uint32_t choose_slot(const Pending& pending) const;
-  void add_finals(Pending& pending);
-  [[nodiscard]] bool live(const Record& record, const Pending& pending) const;
-  static void require_absent(Pending& pending, const Record& record);
-  /// Puts in what is live in the slot; false if that leaves too little room.
-  bool carry(Pending& pending, Value& value);
-  void fill(Pending& pending, Value& value, std::map<std::uint64_t, Record*>::iterator& next);
-  static void put(Value& value, Record& record, store::Packed packed);
-  void add_values(Pending& pending);
-  void on_result(const std::shared_ptr<Pending>& pending, const store::CommitResult& result);
-  /// The service called it malformed: the next ones are smaller.
-  void shrink(const Pending& pending);
-  /// After many accepted ones they may be larger again.
-  void regain();
-  void read_back(const std::shared_ptr<Pending>& pending);
-  void succeed(const Pending& pending, std::uint64_t revision);
-  void settle(const Value& value, std::uint64_t revision);
-  void leave_slot(Record& record);
-  void pause(double seconds);
+  [[nodiscard]] Pending build_transaction();
+  void send(const Pending& pending);
+  void on_result(const Pending& pending, const store::CommitResult& result);
+  void on_applied(const PendingCommit& pending, std::uint64_t revision);
+  void on_conflict(const Pending& pending, const store::CommitResult& result);
+  void on_rejected(const PendingCommit& pending);
+  void note_value_stored(const SlotValue& value, std::uint64_t revision);
+  void note_finished(const std::string& job);
   void drop(Record& record);
-  void finished(const std::string& job);
 
-  const config::Settings& settings_;
+  /// Finds out whether a transaction was applied whose outcome is not known.
+  void read_back(const Pending& pending);
+  /// Reads one slot on behalf of read_back(), which starts over if the read fails.
+  void read_slot(const Pending& pending, std::uint32_t slot,
+                 std::function<void(const store::GetResult&)> done);
+  /// Reads the modification revisions of all slots of a transaction that was not applied.
+  void refresh_slots(const Pending& pending);
+  /// Sends nothing for this many seconds, then calls flush().
+  void pause(double seconds);
+
   runtime::EventLoop& loop_;
   store::StateStore& store_;
   const store::Mirror& mirror_;
   std::uint64_t term_revision_;
   Events events_;
   runtime::CommandScope scope_;
-  std::map<std::uint64_t, std::unique_ptr<Record>> records_;  ///< by serial
-  std::map<std::uint64_t, Record*> dirty_;  ///< by ticket: first come, first written
-  std::map<std::string, Finalization> finals_;
-  std::map<std::uint32_t, Slot> slots_;
-  std::uint64_t next_serial_ = 1;
-  std::uint64_t next_ticket_ = 1;
-  std::uint64_t next_number_ = 1;
-  bool busy_ = false;
-  double scale_ = 1;  ///< of the limits that transactions keep to
-  int accepted_ = 0;  ///< since that was last changed
+  RecordTable records_;
+  LogSlots slots_;
+  Finalizations finalizations_;
+  CommitLimits limits_;
+  bool busy_ = false;  ///< a transaction is in flight or read back, or a pause lasts
   runtime::CoalescingTimer wake_;
-  double next_commit_ = -1e18;
-  std::uint64_t wait_revision_ = 0;  ///< not before the mirror is this far
+  std::optional<double> next_commit_at_;  ///< not before this time; seconds of the event loop
+  /// No transaction is built before the mirror has reached this revision.
+  std::uint64_t required_mirror_revision_ = 0;
 };
 
 }  // namespace elmstall::state
