--- a/src/state/gang.cpp
+++ b/src/state/gang.cpp
@@ -4,6 +4,7 @@
 
 bool may_follow(Gang::State from, Gang::State to) {
   using State = Gang::State;
+  // A task that completes completes the gang, whatever its state.
   if (to == State::done) return from != State::done;
   switch (from) {
     case State::waiting:
@@ -21,7 +22,7 @@
     case State::done:
       return false;
   }
-  return false;
+  return false;  // reached only if memory is corrupted: the switch names every state
 }
 
 const char* to_text(Gang::State state) {
@@ -41,7 +42,7 @@
     case Gang::State::done:
       return "done";
   }
-  return "?";
+  return "invalid";  // reached only if memory is corrupted: the switch names every state
 }
 
 }  // namespace elmstall::state
