--- a/src/election/read_index.cpp
+++ b/src/election/read_index.cpp
@@ -1,56 +1,79 @@
 #include "election/read_index.hpp"
 
 #include <algorithm>
+#include <string>
+#include <utility>
 
 namespace elmstall::election {
 
-void ReadIndex::request(double patience_s, Waiter waiter) {
-  next_.push_back({loop_.now(), loop_.now() + patience_s, 0, std::move(waiter)});
-  probe();
+namespace {
+
+/// Seconds. Reported for a time that does not exist yet; older than any limit on age allows.
+constexpr double kFarPast = -1e18;
+
+}  // namespace
+
+double ReadIndex::current_as_of() const { return current_as_of_.value_or(kFarPast); }
+
+double ReadIndex::last_success() const { return last_success_.value_or(kFarPast); }
+
+void ReadIndex::request(double patience_s, Callback callback) {
+  const double now = loop_.now();
+  unsent_.push_back({now, now + patience_s, std::move(callback)});
+  send_probe();
 }
 
-void ReadIndex::probe() {
-  if (probing_ || next_.empty()) return;
-  // Polls follow each other without a pause; a request for each of them would
-  // take the state service's rate from the commits that all wait for.
+void ReadIndex::send_probe() {
+  if (probe_in_flight_ || unsent_.empty()) return;
+  // Users poll continuously. One request for each poll would use up the rate of requests that
+  // the state store accepts, which the leader's commits need.
   const double now = loop_.now();
-  if (now < next_probe_) return wake_.after(next_probe_ - now, [this] { probe(); });
-  next_probe_ = now + gap_;
-  probing_ = true;
-  std::vector<Waiting> covered;
-  covered.swap(next_);
+  if (next_probe_at_ && now < *next_probe_at_)
+    return wake_.after(*next_probe_at_ - now, [this] { send_probe(); });
+  next_probe_at_ = now + min_interval_s_;
+  probe_in_flight_ = true;
   store_.get(std::string(store::kProbeKey),
-             scope_.wrap([this, covered](const store::GetResult& result) mutable {
-               probing_ = false;
-               if (result.outcome == store::Outcome::missing) {
-                 last_success_ = loop_.now();
-                 for (auto& one : covered) {
-                   one.revision = result.revision;
-                   waiting_.push_back(std::move(one));
-                 }
-               } else {
-                 for (auto& one : covered) one.waiter(false);
-               }
-               check();
-               probe();
+             scope_.wrap([this, reads = std::exchange(unsent_, {})](
+                             const store::GetResult& result) mutable {
+               on_probe_result(std::move(reads), result);
              }));
 }
 
+void ReadIndex::on_probe_result(std::vector<PendingRead> reads, const store::GetResult& result) {
+  probe_in_flight_ = false;
+  // The key of the probe never exists. The answer that it is missing has the current revision.
+  if (result.outcome == store::Outcome::missing) {
+    last_success_ = loop_.now();
+    for (auto& read : reads) {
+      read.required_revision = result.revision;
+      awaiting_mirror_.push_back(std::move(read));
+    }
+  } else {
+    for (auto& read : reads) read.callback(false);
+  }
+  check();
+  send_probe();
+}
+
+bool ReadIndex::mirror_has_reached(std::uint64_t revision) const {
+  return mirror_.loaded() && mirror_.revision() >= revision;
+}
+
 void ReadIndex::check() {
   const double now = loop_.now();
-  std::vector<Waiting> ready;
-  std::vector<Waiting> left;
-  for (auto& one : waiting_) {
-    const bool current = mirror_.loaded() && mirror_.revision() >= one.revision;
-    (current || one.deadline <= now ? ready : left).push_back(std::move(one));
+  std::vector<PendingRead> ready;
+  std::vector<PendingRead> left;
+  for (auto& read : awaiting_mirror_) {
+    const bool is_ready = mirror_has_reached(read.required_revision) || read.deadline <= now;
+    (is_ready ? ready : left).push_back(std::move(read));
   }
-  waiting_ = std::move(left);
-  for (auto& one : ready) {
-    const bool current = mirror_.loaded() && mirror_.revision() >= one.revision;
-    if (current) current_as_of_ = std::max(current_as_of_, one.asked);
-    // Past its deadline nobody waits any more; a process that stood still must
-    // not answer with what was current before.
-    one.waiter(current && now < one.deadline);
+  awaiting_mirror_ = std::move(left);
+  for (auto& read : ready) {
+    const bool current = mirror_has_reached(read.required_revision);
+    if (current) current_as_of_ = std::max(current_as_of_.value_or(kFarPast), read.requested_at);
+    // Nobody waits any more for a read whose deadline has passed. The process may also have
+    // been suspended since the mirror became current, so that the answer would be outdated.
+    read.callback(current && now < read.deadline);
   }
 }
 
--- a/src/election/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -1,9 +1,24 @@
-// Read index: shows that the mirror is current, once for all who wait for it: one
-// cheap request tells the present revision, and answers wait until the
-// mirror has reached it.
+/// \file
+/// Linearizable read barrier for answers that a controller gives from its mirror.
+///
+/// The mirror follows the state store with a delay. An answer that is read from it may thus
+/// miss a change that was committed before the question was asked. A read index excludes that:
+/// the controller asks the state store for its current revision, waits until the mirror has
+/// reached this revision, and only then answers.
+///
+/// These rely on one ("Reads never go back" in docs/design.md):
+/// - every answer to a user that is not a final state, including 404. Final states never
+///   change, so they are answered at once.
+/// - starting a task: the leader's knowledge of cancellations must be recent (rule 1).
+/// - answering workers' heartbeats, for the leader and for zone delegates (rule 5).
+///
+/// The last two do not wait for a read index of their own. They compare current_as_of() with
+/// the clock, while the controller requests a read index at regular intervals.
 #pragma once
 
+#include <cstdint>
 #include <functional>
+#include <optional>
 #include <vector>
 
 #include "runtime/coalescing_timer.hpp"
@@ -12,52 +27,65 @@
 
 namespace elmstall::election {
 
+/// The read index of one controller. One request to the state store serves all reads that wait
+/// at that time, and successive requests keep a minimum interval. Runs on the controller's
+/// event loop; all times are in seconds, by the clock of that loop.
 class ReadIndex {
  public:
-  using Waiter = std::function<void(bool current)>;
+  /// `current` is true if the mirror holds everything that was committed before the read was
+  /// requested, and false if that could not be shown before the read's deadline.
+  using Callback = std::function<void(bool current)>;
 
-  /// `gap`: seconds between two requests, which serve all who came meanwhile.
+  /// `min_interval_s`: least time between two requests to the state store.
   ReadIndex(runtime::EventLoop& event_loop, runtime::CommandQueue& queue, store::StateStore& store,
-            const store::Mirror& mirror, double gap)
+            const store::Mirror& mirror, double min_interval_s)
       : loop_(event_loop),
         store_(store),
         mirror_(mirror),
         scope_(queue),
         wake_(event_loop, queue),
-        gap_(gap) {}
+        min_interval_s_(min_interval_s) {}
 
-  /// Calls back with true once the mirror holds all that was committed
-  /// before this call, or with false when that can't be shown in time.
-  void request(double patience_s, Waiter waiter);
-  /// To be called when the mirror moved, and now and then.
+  /// Requests a read index for one read, whose deadline is `patience_s` from now. The deadline
+  /// is looked at only once the state store has answered; a request that fails calls back with
+  /// false. The callback is never called from within this function.
+  void request(double patience_s, Callback callback);
+  /// Calls back the reads that the mirror is current for by now, and those whose deadline has
+  /// passed. To be called after every change of the mirror, and at regular intervals.
   void check();
-  /// The mirror held all that was committed before this moment.
-  [[nodiscard]] double current_as_of() const { return current_as_of_; }
-  /// When the state service last answered; the request was sent before.
-  [[nodiscard]] double last_success() const { return last_success_; }
+  /// The latest known time for which this holds: the mirror contains everything that was
+  /// committed before it. Far in the past while there is none.
+  [[nodiscard]] double current_as_of() const;
+  /// When the state store last answered a request of this read index, which was sent before
+  /// that. Far in the past if it never answered one.
+  [[nodiscard]] double last_success() const;
 
  private:
-  struct Waiting {
-    double asked = 0;
+  struct PendingRead {
+    double requested_at = 0;
     double deadline = 0;
-    std::uint64_t revision = 0;
-    Waiter waiter;
+    Callback callback;
+    std::uint64_t required_revision = 0;  ///< of the mirror; known once the state store answered
   };
-  /// Asks on behalf of all who wait, if any do and nothing is under way.
-  void probe();
+
+  /// Asks the state store for its revision on behalf of all unsent reads. Does nothing if there
+  /// are none or a request is in flight, and waits if the last one was too recent.
+  void send_probe();
+  void on_probe_result(std::vector<PendingRead> reads, const store::GetResult& result);
+  [[nodiscard]] bool mirror_has_reached(std::uint64_t revision) const;
 
   runtime::EventLoop& loop_;
   store::StateStore& store_;
   const store::Mirror& mirror_;
   runtime::CommandScope scope_;
-  std::vector<Waiting> next_;     ///< wait for a probe to be sent
-  std::vector<Waiting> waiting_;  ///< know their revision
+  std::vector<PendingRead> unsent_;           ///< wait for the next request to be sent
+  std::vector<PendingRead> awaiting_mirror_;  ///< wait for the mirror to reach their revision
   runtime::CoalescingTimer wake_;
-  double gap_;
-  double next_probe_ = -1e18;
-  bool probing_ = false;
-  double last_success_ = -1e18;
-  double current_as_of_ = -1e18;
+  double min_interval_s_;
+  std::optional<double> next_probe_at_;  ///< no request is sent before this time
+  bool probe_in_flight_ = false;
+  std::optional<double> last_success_;
+  std::optional<double> current_as_of_;
 };
 
 }  // namespace elmstall::election
