--- a/tests/chaos_test.cpp
+++ b/tests/chaos_test.cpp
@@ -1,5 +1,6 @@
-// Seeded random histories: everything that can go wrong does, in every mix,
-// and the Rules must hold all the same.
+/// \file
+/// Seeded random histories: everything that can go wrong does, in every mix,
+/// and the Rules must hold all the same.
 #include <gtest/gtest.h>
 
 #include "support/faults.hpp"
--- /dev/null
+++ b/tests/command_rpc_test.cpp
@@ -0,0 +1,92 @@
+/// \file
+/// Commands that go straight to the workers (safety rules 2 and 4).
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Heartbeats are 10 s apart on large sites: a start must not wait for one.
+TEST(CommandRpc, StartsDoNotWaitForAHeartbeat) {
+  World world(31);
+  world.settings.heartbeat_interval_s = 6;  // of the workers
+  world.submit(array(1, 1, 400));           // leaves room on its machine
+  world.run_until(60);
+  ASSERT_EQ(placed(world, "job-1"), 1U);
+  auto second = array(2, 1, 400);
+  second.image_gb = 0;
+  const auto before = world.rules.starts();
+  world.submit(second);
+  world.run_until(61.2);
+  EXPECT_EQ(world.rules.starts(), before + 1) << "there was room, and a second is enough";
+  expect_rules(world);
+}
+
+/// A command RPC without an answer may be carried out much later: until the
+/// machine has shown a higher token its task is given to nobody else.
+TEST(CommandRpc, ALostCommandRpcIsFenced) {
+  for (unsigned seed = 1; seed <= 30; ++seed) {
+    World world(400 + seed);
+    world.submit(array(1, 4, 15));
+    world.run_until(20);
+    // All that is sent now is held on the way, or lost, or answered in vain.
+    drop_responses_to_all_workers(world);
+    world.submit(array(2, 6, 15));
+    world.run_until(24);
+    world.cancel("job-1");
+    world.run_until(26 + seed % 8);
+    deliver_responses_to_all_workers(world);
+    world.run_until(200);
+    EXPECT_EQ(told(world, "job-2"), JobState::done) << seed;
+    ASSERT_EQ(world.rules.first_broken(), "") << seed;
+  }
+}
+
+TEST(CommandRpc, WithoutTheDirectWayCommandsRideOnHeartbeats) {
+  World world(32);
+  world.network.command_rpcs_blocked = true;
+  world.submit(array(1, 6, 5));
+  world.run_until(120);
+  EXPECT_EQ(told(world, "job-1"), JobState::done);
+  expect_rules(world);
+}
+
+/// A command RPC that arrives after the attempt was cleared must not revive
+/// it, nor one after the cancellation.
+TEST(CommandRpc, LateCopiesReviveNothing) {
+  World world(33);
+  world.cloud.capacity = 1;
+  world.submit(array(1, 1, 5));
+  world.run_until(20);
+  auto* worker = worker_of(world, "job-1");
+  ASSERT_NE(worker, nullptr);
+  auto* machine = machine_of(world, *worker);
+  ASSERT_NE(machine, nullptr);
+  const auto token = leader_of(world).token() + machine->fence;
+  const auto epoch = machine->epoch;
+  const auto* task = *machine->tasks.begin();
+  const wire::WorkerCommand command{wire::Verb::run, "job-1", task->index, task->attempt, 0};
+  // The next command RPC is carried out, but nobody hears of it.
+  world.network.command_replies_lost = true;
+  world.submit(array(2, 1, 5));
+  world.run_until(26);
+  world.network.command_replies_lost = false;
+  EXPECT_GT(leader_of(world).token() + machine->fence, token) << "the fence was raised";
+  world.run_until(50);
+  poll_jobs(world, {"job-1", "job-2"}, 2);
+  ASSERT_EQ(world.last_told("job-1"), JobState::done);
+  ASSERT_EQ(world.last_told("job-2"), JobState::done);
+  const auto starts = world.rules.starts();
+  EXPECT_EQ(starts, 2U);
+  EXPECT_EQ(worker->on_command_rpc(token, epoch, {command}).outcome,
+            clients::CommandResult::Outcome::refused);
+  world.run_until(60);
+  EXPECT_EQ(world.rules.starts(), starts);
+  expect_rules(world);
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- /dev/null
+++ b/tests/decision_cost_test.cpp
@@ -0,0 +1,92 @@
+/// \file
+/// What decisions and heartbeats cost, in small fleets and in large ones.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+/// What decisions cost follows what happens, not batches times machines: on a
+/// busy fleet of whatever size a machine is looked at when its heartbeat comes and once
+/// a second, hardly more.
+TEST(Planner, DecisionsLookAtWhatChangedNotAtTheFleet) {
+  for (const int machines : {10, 80, 600}) {
+    World world(39);
+    world.cloud.capacity = machines;
+    world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 2000));
+    world.run_until(70);
+    ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
+    const auto before = leader_of(world).planner().steps();
+    world.run_until(90);
+    const double events = 20.0 * machines * (1 / 1.5 + 1);
+    EXPECT_LT(static_cast<double>(leader_of(world).planner().steps() - before), 1.5 * events)
+        << machines;
+  }
+}
+
+/// What an unchanged heartbeat costs, in bytes on the way and in machines looked
+/// at, does not depend on the size of the fleet.
+TEST(Heartbeats, CostTheSameInASmallFleetAndInALargeOne) {
+  std::map<int, std::size_t> bytes;
+  for (const int machines : {20, 150, 600}) {
+    World world(58);
+    world.cloud.capacity = machines;
+    world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 5000));
+    world.run_until(80);
+    ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
+    auto& leader = leader_of(world);
+    auto* worker = worker_of(world, "job-1");
+    ASSERT_NE(worker, nullptr);
+    const auto* machine = machine_of(world, *worker);
+    cut_all_workers(world);  // we speak for one, the others are still
+    world.run_for(0.3);
+    auto heartbeat =
+        heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
+    show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
+    const auto before = leader.planner().steps();
+    constexpr int kHeartbeats = 18;  // in less than a second, each with a decision of its own
+    for (int i = 0; i < kHeartbeats; ++i) {
+      ++heartbeat.sequence;
+      leader.on_heartbeat(heartbeat, [&](const net::Response& response) {
+        EXPECT_EQ(response.status, 200);
+        bytes[machines] = response.body.size();
+      });
+      leader.after_batch();
+      world.run_for(0.051);
+    }
+    // And one review of all machines, which is due every second.
+    EXPECT_LE(leader.planner().steps() - before,
+              static_cast<std::size_t>(kHeartbeats * 5 + machines * 2))
+        << machines;
+  }
+  EXPECT_EQ(bytes[20], bytes[600]);
+  EXPECT_LT(bytes[600], 64U);
+}
+
+/// Forwarded heartbeats and their answers share writes, whatever the size of the
+/// fleet: a packet costs a small controller more than the heartbeat in it.
+TEST(Heartbeats, ForwardedTogetherWithOthers) {
+  std::map<int, double> flushes;
+  for (const int machines : {60, 240}) {
+    World world(59);
+    world.cloud.capacity = machines;
+    world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 5000));
+    world.run_until(80);
+    ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
+    const auto messages = world.peer_traffic.messages;
+    const auto writes = world.peer_traffic.flushes;
+    constexpr double kSeconds = 20;
+    world.run_for(kSeconds);
+    const auto sent = static_cast<double>(world.peer_traffic.messages - messages);
+    flushes[machines] = static_cast<double>(world.peer_traffic.flushes - writes);
+    EXPECT_GT(sent, machines * kSeconds / 1.5) << "most heartbeats are forwarded, each is answered";
+    // Of each node: one every 50 ms, and its heartbeats.
+    const auto nodes = static_cast<double>(world.node_count());
+    EXPECT_LT(flushes[machines], nodes * kSeconds * (1 / 0.05 + 1 / 0.8) * 1.1) << machines;
+  }
+  EXPECT_LT(flushes[240], 3 * flushes[60]) << "four times the heartbeats";
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- /dev/null
+++ b/tests/delayed_messages_test.cpp
@@ -0,0 +1,211 @@
+/// \file
+/// Heartbeats, commits and commands that arrive late, or twice.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Across epochs, takeovers and a machine's return: they change nothing.
+TEST(LateCopies, OfHeartbeatsChangeNothing) {
+  for (unsigned seed = 1; seed <= 12; ++seed) {
+    World world(500 + seed);
+    world.submit(array(1, 12, 25));
+    world.submit(array(2, 6, 8));
+    world.run_until(10);
+    for (double t = 10; t < 160; t += 5) {
+      for (auto& [id, worker] : world.workers) worker->copies = 0.5;
+      if (static_cast<int>(t) % 40 == 30) world.crash(leader_index(world), 0.3);
+      world.run_until(t);
+    }
+    for (const char* id : {"job-1", "job-2"}) world.poll(id);
+    world.run_until(163);
+    EXPECT_EQ(world.last_told("job-1"), JobState::done) << seed;
+    EXPECT_EQ(world.last_told("job-2"), JobState::done) << seed;
+    ASSERT_EQ(world.rules.first_broken(), "") << seed;
+  }
+}
+
+/// Safety rules 3 and 6: late heartbeats from former epochs, which a new leader
+/// gets before it is in touch with the machine, prove nothing.
+TEST(LateHeartbeats, OfFormerEpochsDoNotFreeTasks) {
+  World world(20, 1);
+  world.submit(service(1, 2));
+  world.run_until(40);
+  ASSERT_EQ(running(world, "job-1"), 2U);
+  world.crash(0, 0.2);
+  cut_all_workers(world);
+  world.run_until(43);
+  ASSERT_NE(world.leader(), nullptr);
+  for (const std::uint64_t epoch : {1, 2}) {
+    for (auto& [id, worker] : world.workers) {
+      const wire::WorkerHeartbeat late{
+          id, "", worker->type(), worker->zone(), worker->spot(), epoch, 1, 0, std::nullopt, {}};
+      world.send_to_node(0, heartbeat_request(late), [](const net::Response&) {});
+    }
+    world.run_for(1);
+  }
+  EXPECT_EQ(leader_model(world).job("job-1")->on_machines, 2U);
+  reconnect_all_workers(world);
+  world.run_until(60);
+  EXPECT_EQ(running(world, "job-1"), 2U);
+  expect_rules_and_starts(world);
+}
+
+/// Until a new leader has acted, or from seconds to well over a lease: the first
+/// word that a leader hears of a machine may be one of an earlier epoch, or of
+/// an earlier attempt.
+TEST(DelayedHeartbeats, SayNothingOfTheTasksThatCameAfter) {
+  for (int held = 2; held < 40; held += 4) {
+    World world(2600 + static_cast<unsigned>(held));
+    world.cloud.capacity = 10;
+    world.submit(array(1, 8, 25));
+    world.submit(array(2, 8, 3000));
+    world.run_until(25);
+    for (auto& [id, worker] : world.workers) {
+      worker->copies = 1;
+      worker->copy_after = held;
+    }
+    world.run_until(30);
+    // Some lose their lease, and their tasks start in a later epoch.
+    for (auto& [id, worker] : world.workers) worker->cut = world.random() < 0.4;
+    world.run_until(43);
+    reconnect_all_workers(world);
+    world.crash(leader_index(world), 0.1);
+    world.run_until(50);
+    world.cancel("job-2");
+    world.crash(leader_index(world), held % 8 == 2 ? 0.1 : 6);
+    world.run_until(190);
+    EXPECT_EQ(told(world, "job-1"), JobState::done) << held;
+    EXPECT_EQ(told(world, "job-2"), JobState::cancelled) << held;
+    ASSERT_EQ(world.rules.first_broken(), "") << held;
+  }
+}
+
+/// Without an answer, and after newer ones of the same controller.
+TEST(DelayedCommits, ChangeNothingThatWasSaidSince) {
+  for (unsigned seed = 1; seed <= 16; ++seed) {
+    World world(1800 + seed);
+    world.run_until(2);
+    delay_writes_of_all_nodes(world, 0.3);
+    for (int i = 1; i <= 8; ++i) {
+      world.submit(array(i, 1 + static_cast<std::uint32_t>(i % 4), 6));
+      world.run_until(2 + i * 3);
+    }
+    world.cancel("job-2");
+    world.cancel("job-5");
+    if (seed % 2 == 0) world.crash(leader_index(world), 0.2);
+    world.run_until(70);
+    delay_writes_of_all_nodes(world, 0);
+    world.run_until(180);
+    for (int i = 1; i <= 8; ++i) {
+      const auto id = "job-" + std::to_string(i);
+      const auto state = told(world, id);
+      EXPECT_TRUE(state == JobState::done || state == JobState::cancelled) << seed << " " << id;
+    }
+    ASSERT_EQ(world.rules.first_broken(), "") << seed;
+  }
+}
+
+/// The transaction of a candidacy that was given up is applied after all, while
+/// the next one's lease is there already: the leader renews the lease that its
+/// record hangs on, and stays.
+TEST(DelayedCommits, ACandidacyThatWinsLateKeepsItsOwnLease) {
+  std::size_t late_wins = 0;
+  for (unsigned seed = 1; seed <= 20; ++seed) {
+    World world(1850 + seed);
+    world.run_until(5);
+    // All stand anew, and their transactions are applied after they were given
+    // up, a little before the leases end that they hang on.
+    crash_all_nodes(world, 0.01);
+    world.run_until(5.02);
+    for (std::size_t i = 0; i < 3; ++i) world.store(i).faults = {false, 0, 0, 1, 1.9 + 0.04 * seed};
+    while (world.leader() == nullptr && world.loop.now() < 20) world.run_for(0.05);
+    for (std::size_t i = 0; i < 3; ++i) world.store(i).faults = {};
+    ASSERT_NE(world.leader(), nullptr) << seed;
+    late_wins += world.loop.now() < 8;
+    const auto term = leader_of(world).term();
+    world.run_for(20);
+    ASSERT_NE(world.leader(), nullptr) << seed;
+    EXPECT_EQ(leader_of(world).term(), term) << seed;
+  }
+  EXPECT_GT(late_wins, 0U);
+}
+
+/// The leadership was won, but the winner's watch tells it only when the lease
+/// has run out: it may stand again, or in the end nobody does.
+TEST(DelayedCommits, WhoHearsTooLateOfItsElectionStartsAnother) {
+  World world(1890);
+  world.run_until(5);
+  std::set<std::string> held;
+  world.state.on_commit = [&](const wire::Transaction& transaction) {
+    for (const auto& write : transaction.writes) {
+      if (write.key != store::kLeadKey || !write.value) continue;
+      const auto node = store::decode_lead(*write.value).node;
+      if (!held.insert(node).second) continue;
+      const auto index = static_cast<std::size_t>(node.back() - '0');
+      world.store(index).faults.watch_held = true;
+      world.loop.after(6, [&world, index] { world.store(index).faults.watch_held = false; });
+    }
+  };
+  crash_all_nodes(world, 0.01);
+  world.run_until(45);
+  EXPECT_GE(held.size(), 2U) << "they were elected and did not hear of it";
+  ASSERT_NE(world.leader(), nullptr);
+}
+
+/// Commands are carried out seconds later, and the machine then goes on.
+TEST(DelayedCommands, AreVoidOrOverInTime) {
+  for (int hold = 1; hold < 60; hold += 5) {
+    World world(1500 + static_cast<unsigned>(hold));
+    world.submit(array(1, 8, 20));
+    world.run_until(20);
+    world.network.command_delay_s = hold;
+    world.submit(array(2, 8, 3000));
+    world.submit(array(3, 8, 10));
+    world.run_until(24 + hold % 7);
+    world.cancel("job-2");
+    world.run_until(35);
+    world.network.command_delay_s = 0;
+    for (auto& [id, worker] : world.workers) {
+      if (world.random() < 0.5) worker->hang(hold % 9);
+    }
+    world.run_until(170);
+    EXPECT_EQ(told(world, "job-2"), JobState::cancelled) << hold;
+    EXPECT_EQ(told(world, "job-3"), JobState::done) << hold;
+    ASSERT_EQ(world.rules.first_broken(), "") << hold;
+  }
+}
+
+/// A `run` is held on its way while a zone delegate keeps the machine's lease: when
+/// it arrives the job was cancelled longer than `cancel_s` ago.
+TEST(DelayedCommands, AZoneDelegateKeepsNoLeaseUnderWhichACancelledTaskMayStart) {
+  World world(1560);
+  world.cloud.capacity = 20;
+  world.submit(array_in("south", 1, 3, 3000));  // leaves room on a machine
+  world.run_until(45);
+  lead_from_north(world);
+  ASSERT_EQ(placed(world, "job-1"), 3U);
+  world.network.command_delay_s = 70;
+  auto held = array_in("south", 2, 1, 3000);
+  held.image_gb = 0;  // runs as soon as it is told to
+  world.submit(held);
+  for (int i = 0; i < 200 && placed(world, "job-2") == 0; ++i) world.run_for(0.02);
+  world.run_for(0.4);  // the command RPC is under way
+  world.network.part_zones();
+  world.run_for(8);
+  ASSERT_FALSE(world.node(1)->mirror().delegations().empty()) << "the south has a delegate";
+  world.cancel("job-2");
+  world.run_for(70);
+  world.network.rejoin_zones();
+  world.network.command_delay_s = 0;
+  world.run_for(60);
+  EXPECT_EQ(told(world, "job-2"), JobState::cancelled);
+  expect_rules(world);
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -1,5 +1,6 @@
-// Whole controllers over loopback: real HTTP, peer network and clients against the
-// stand-ins of state service, cloud and workers.
+/// \file
+/// Whole controllers over loopback: real HTTP, peer network and clients against the
+/// simulations of the state store, cloud and workers.
 #include <gtest/gtest.h>
 
 #include "app/controller.hpp"
@@ -61,7 +62,7 @@
     return "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
   }
 
-  /// Lets the stand-ins' time pass with the real one.
+  /// Lets virtual time pass with real time.
   void step() {
     const auto now = std::chrono::steady_clock::now();
     world_.loop.run_until(std::chrono::duration<double>(now - started_).count());
--- /dev/null
+++ b/tests/failover_test.cpp
@@ -0,0 +1,139 @@
+/// \file
+/// Changes of the leader, and what the next one knows (safety rules 1, 2, 5 and 10).
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Safety rule 1: a new leader knows from the records where tasks can be.
+TEST(Takeover, TasksGoOnUnderTheNextLeader) {
+  World world(8);
+  world.submit(service(1, 4));
+  world.submit(array(2, 10, 20));
+  world.run_until(40);
+  const auto before = world.rules.starts();
+  ASSERT_NE(world.leader(), nullptr);
+  world.crash(leader_index(world), 8);
+  world.run_until(46);
+  ASSERT_NE(world.leader(), nullptr);
+  world.run_until(50);
+  EXPECT_EQ(running(world, "job-1"), 4U);
+  EXPECT_GE(world.rules.starts(), before);
+  world.run_until(150);
+  EXPECT_EQ(told(world, "job-2"), JobState::done);
+  expect_rules_and_starts(world);
+}
+
+/// Safety rule 10: restarts may be instant.
+TEST(Takeover, ANodeTakesOverFromItsOwnEarlierLife) {
+  World world(9, 1);
+  world.submit(service(1, 2));
+  world.run_until(40);
+  ASSERT_EQ(running(world, "job-1"), 2U);
+  const auto term = leader_of(world).term();
+  world.crash(0, 0.2);
+  world.run_until(42);  // the old state lease would still live
+  ASSERT_NE(world.leader(), nullptr);
+  EXPECT_EQ(leader_of(world).term(), term + 1);
+  world.run_until(60);
+  EXPECT_EQ(running(world, "job-1"), 2U);
+  expect_rules_and_starts(world);
+}
+
+/// Safety rules 2 and 5: told of a higher term, a leader stops at once.
+TEST(Takeover, ALeaderThatLostTheStateServiceStepsDownWhenTold) {
+  World world(10);
+  world.submit(service(1, 4));
+  world.run_until(40);
+  const auto old = leader_index(world);
+  refuse_state_store(world, old);
+  world.run_until(46);
+  EXPECT_EQ(world.node(old)->leader(), nullptr);
+  ASSERT_NE(world.leader(), nullptr);
+  world.run_until(80);
+  EXPECT_EQ(running(world, "job-1"), 4U);
+  expect_rules_and_starts(world);
+}
+
+/// Two or three tasks that end far apart: what ended before the change is done
+/// for ever, and none of it runs again.
+TEST(RollingTakeover, JobsWhoseTasksEndFarApart) {
+  for (int step = 0; step < 16; ++step) {
+    World world(2400 + static_cast<unsigned>(step));
+    world.cloud.capacity = 12;
+    for (int i = 1; i <= 5; ++i)
+      world.submit(array(i, 2 + static_cast<std::uint32_t>(i % 2), 12.0 * i));
+    world.run_until(24 + 0.5 * step);
+    world.crash(leader_index(world), step % 2 == 0 ? 0.1 : 7);
+    world.run_until(34 + 0.5 * step);
+    if (world.leader() != nullptr) world.crash(leader_index(world), 0.1);
+    world.run_until(170);
+    for (int i = 1; i <= 5; ++i)
+      EXPECT_EQ(told(world, "job-" + std::to_string(i)), JobState::done) << step;
+    ASSERT_EQ(world.rules.first_broken(), "") << step;
+  }
+}
+
+/// Also inside an outage. Each takeover begins its wait for silent machines
+/// anew: after the last one nothing waits longer than 90 s.
+TEST(RepeatedTakeovers, TenInTwoMinutesLeaveNothingWaiting) {
+  for (unsigned seed = 1; seed <= 8; ++seed) {
+    World world(2500 + seed);
+    world.cloud.capacity = 12;
+    world.submit(array(1, 8, 3000));
+    world.submit(array(2, 6, 20));
+    world.run_until(40);
+    std::size_t dead = 0;
+    for (int change = 0; change < 10; ++change) {
+      if (world.leader() != nullptr) world.crash(leader_index(world), change % 3 == 0 ? 0.1 : 6);
+      if (change == 4 || change == 7) world.stop_state_store();
+      if (change == 5 || change == 8) world.restore_state_store();
+      if (change % 4 == 1) {
+        auto* worker = worker_of(world, "job-1");
+        if (worker != nullptr && dead++ < 2) {
+          worker->die();
+          ++world.cloud.capacity;
+        }
+      }
+      world.run_for(12);
+    }
+    const double over = world.loop.now();
+    while (world.loop.now() < over + 90 &&
+           (placed(world, "job-1") < 8 || world.rules.present("job-1") < 8))
+      world.run_for(1);
+    EXPECT_LT(world.loop.now(), over + 90) << seed;
+    EXPECT_EQ(told(world, "job-2"), JobState::done) << seed;
+    ASSERT_EQ(world.rules.first_broken(), "") << seed;
+  }
+}
+
+/// A leader ends while machines with long tasks can't be reached, or don't hear
+/// the new leader's answer.
+TEST(LeaderCrash, WithMachinesThatDoNotHearTheNext) {
+  for (int spell = 4; spell < 70; spell += 6) {
+    World world(2700 + static_cast<unsigned>(spell));
+    world.cloud.capacity = 12;
+    world.submit(array(1, 10, 3000));
+    world.run_until(45);
+    for (auto& [id, worker] : world.workers) {
+      const double chance = world.random();
+      worker->cut = chance < 0.3;
+      worker->responses_dropped = chance >= 0.3 && chance < 0.5;
+    }
+    world.crash(leader_index(world), spell % 4 == 0 ? 0.1 : 8);
+    world.run_until(46 + spell);
+    reconnect_all_workers(world);
+    deliver_responses_to_all_workers(world);
+    world.cloud.capacity = 12;
+    world.run_until(46 + spell + 90);
+    EXPECT_EQ(world.rules.present("job-1"), 10U) << spell;
+    ASSERT_EQ(world.rules.first_broken(), "") << spell;
+  }
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -1,6 +1,7 @@
-// Limits of the state service that are announced and fall at any moment, with
-// gangs and with faults around it: nothing is refused for its size, and the
-// rules hold.
+/// \file
+/// Limits of the state store that are announced and fall at any moment, with
+/// gangs and with faults around it: nothing is refused for its size, and the
+/// rules hold.
 #include <gtest/gtest.h>
 
 #include "support/histories.hpp"
@@ -87,9 +88,9 @@
   const auto body = packer.take();
   for (std::size_t node = 0; node < 3; ++node) {
     for (int time = 0; time < 2; ++time) {
-      const auto answer = world.response_of(node, {"POST", "/api/jobs", body}, 0.5);
-      ASSERT_TRUE(answer);
-      EXPECT_EQ(answer->status, 422);
+      const auto response = world.response_of(node, {"POST", "/api/jobs", body}, 0.5);
+      ASSERT_TRUE(response);
+      EXPECT_EQ(response->status, 422);
     }
   }
 }
@@ -104,11 +105,9 @@
       {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
   ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
   world.run_until(8);
-  wire::Packer packer;
-  wire::pack_job(packer, job);
-  const auto answer = world.response_of(1, {"POST", "/api/jobs", packer.take()}, 1);
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->status, 200);
+  const auto response = world.response_of(1, submit_request(job), 1);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->status, 200);
 }
 
 }  // namespace
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -1,4 +1,5 @@
-// A fleet of 4,000 machines: nothing is bounded below that size.
+/// \file
+/// A fleet of 4,000 machines: nothing is bounded below that size.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -50,13 +51,13 @@
   // The leader ends: nothing is lost, and every machine is known to the next.
   world_.crash(leader_index(world_), 5);
   world_.run_for(40);
-  auto& model = world_.leader()->leader()->model();
+  auto& model = leader_model(world_);
   std::size_t synchronized = 0;
   for (const auto& [id, machine] : model.machines()) synchronized += machine->synchronized ? 1 : 0;
   EXPECT_EQ(synchronized, kMachines);
   EXPECT_EQ(world_.rules.starts(), starts);
-  // All controllers end, and the whole fleet reports at once.
-  for (std::size_t i = 0; i < 3; ++i) world_.crash(i, 1);
+  // All controllers end, and the whole fleet sends heartbeats at once.
+  crash_all_nodes(world_, 1);
   world_.run_for(45);
   EXPECT_EQ(running(world_, kJobs), kTasks);
   EXPECT_EQ(world_.rules.starts(), starts);
--- /dev/null
+++ b/tests/frozen_controller_test.cpp
@@ -0,0 +1,67 @@
+/// \file
+/// Controllers that stand still while their clocks run on.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Leader, zone delegate and follower stand still for longer than each of their
+/// leases while their clocks run on, and wake with old thoughts.
+TEST(FrozenController, DoesNothingOnWakingAfterItsLeaderLease) {
+  for (int length = 2; length < 60; length += 4) {
+    for (std::size_t role = 0; role < 3; ++role) {
+      World world(900 + static_cast<unsigned>(length) + static_cast<unsigned>(role));
+      world.cloud.capacity = 16;
+      world.submit(array(1, 8, 15));
+      world.submit(array(2, 6, 2000));
+      world.run_until(25);
+      const auto lead = leader_index(world);
+      const auto node = role == 0 ? lead : 1;
+      if (role == 1) {  // delegated of the south
+        world.network.cut_peer_links(1);
+        world.run_until(32);
+      }
+      world.submit(array(3, 6, 10));
+      world.run_for(0.03);  // some of it is under way
+      world.freeze(node, length);
+      world.run_for(1);
+      world.cancel("job-2");
+      world.run_for(length);
+      world.network.restore_peer_links(1);
+      world.run_until(200);
+      poll_jobs(world, {"job-1", "job-2", "job-3"}, 3);
+      EXPECT_EQ(world.last_told("job-1"), JobState::done) << length << " " << role;
+      EXPECT_EQ(world.last_told("job-2"), JobState::cancelled) << length << " " << role;
+      EXPECT_EQ(world.last_told("job-3"), JobState::done) << length << " " << role;
+      ASSERT_EQ(world.rules.first_broken(), "") << length << " " << role;
+    }
+  }
+}
+
+/// A poll that was under way when its node stood still is not answered on
+/// waking with what was true before.
+TEST(FrozenController, AnswersNobodyWithWhatItKnewBefore) {
+  World world(48);
+  world.submit(array(1, 1, 3));
+  world.run_until(5);
+  for (const double delay : {0.0003, 0.002, 0.004, 0.006, 0.02}) {
+    std::optional<net::Response> response;
+    world.send_to_node(0, status_request("job-1"),
+                       [&](net::Response received) { response = std::move(received); });
+    world.run_for(delay);
+    const bool before = response.has_value();
+    world.freeze(0, 20);
+    world.run_for(25);
+    ASSERT_TRUE(response) << delay;
+    if (before || response->status != 200) continue;
+    EXPECT_EQ(job_state_in(*response), JobState::done) << delay << ": it was over long ago";
+  }
+  expect_rules(world);
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/gang_placement_test.cpp
+++ b/tests/gang_placement_test.cpp
@@ -1,5 +1,6 @@
-// Places for whole gangs, compared with a slow plain model that tries every
-// distribution.
+/// \file
+/// Places for whole gangs, compared with a slow plain model that tries every
+/// distribution.
 #include "sched/gang_placement.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,4 +1,5 @@
-// Gangs: whole or not at all, through every failure of one of their tasks.
+/// \file
+/// Gangs: whole or not at all, through every failure of one of their tasks.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -7,30 +8,31 @@
 namespace {
 
 using wire::JobState;
+using GangState = state::Gang::State;
 
-/// Two of its tasks fill a machine of the test world.
-wire::JobSpec gang(int number, std::uint32_t tasks, double expect_s = 20) {
-  auto job = array(number, tasks, expect_s);
-  job.kind = wire::JobKind::gang;
-  job.job_class = "joint";
-  job.spot = false;
-  job.checkpoint_every_s = 5;
-  job.checkpoint_s = 2;
+/// A gang of 70 small tasks: its blocks of 8 tasks take several commits.
+wire::JobSpec gang_of_many_blocks() {
+  auto job = gang(1, 70, 10);
+  job.cpus = 1;
+  job.gpus = 0;
+  job.memory_gb = 5;
   return job;
 }
 
-state::Job* job_at_leader(World& world, const std::string& id) {
-  auto* node = world.leader();
-  return node == nullptr ? nullptr : node->leader()->model().job(id);
+/// A gang that must make room for any other job.
+wire::JobSpec idle_gang() {
+  auto job = gang(1, 4, 60);
+  job.priority = wire::Priority::idle;
+  return job;
 }
 
-state::Gang::State state_of(World& world, const std::string& id) {
+GangState state_of(World& world, const std::string& id) {
   const auto* job = job_at_leader(world, id);
-  return job == nullptr ? state::Gang::State::done : job->gang.state;
+  return job == nullptr ? GangState::done : job->gang.state;
 }
 
 /// Until the gang is in this state; false if that took too long.
-bool wait_for(World& world, const std::string& id, state::Gang::State state, double most = 60) {
+bool wait_for(World& world, const std::string& id, GangState state, double most = 60) {
   for (const double end = world.loop.now() + most; world.loop.now() < end;) {
     if (state_of(world, id) == state) return true;
     world.run_for(0.02);
@@ -38,7 +40,24 @@
   return false;
 }
 
-/// Tasks that wait for the others, as their machines show.
+/// Submits the gang `job-1` and lets it run for so long after its start.
+void run_gang_for(World& world, const wire::JobSpec& job, double seconds) {
+  world.submit(job);
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
+  world.run_for(seconds);
+}
+
+/// Until all four tasks of the gang `job-1` have their machines, for a minute at most.
+void place_all_four(World& world) {
+  for (double t = 1; t < 60 && placed(world, "job-1") < 4; t += 0.02) world.run_until(t);
+}
+
+/// The worker that has this task of the gang, or is to get it.
+FakeWorker& worker_of_task(World& world, const state::Job& job, std::size_t index) {
+  return *world.workers.at(job.blocks.begin()->second->tasks[index].machine->id);
+}
+
+/// Number of the gang's tasks that wait for the others, as their machines show.
 std::size_t gathering(World& world, const std::string& id) {
   std::size_t count = 0;
   auto* job = job_at_leader(world, id);
@@ -54,7 +73,7 @@
 TEST(Gang, AllTasksCompleteWithTheFirst) {
   World world(801);
   world.submit(gang(1, 6));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
   EXPECT_EQ(world.rules.present("job-1"), 6U);
   world.run_for(60);
   EXPECT_EQ(told(world, "job-1"), JobState::done);
@@ -63,19 +82,14 @@
 }
 
 TEST(Gang, OfManyBlocksStartsOnlyWhenAllOfThemAreRecorded) {
-  // Blocks of 8 tasks and transactions of a few values: several commits.
   World world(802);
   world.cloud.capacity = 60;
-  auto large = gang(1, 70, 10);
-  large.cpus = 1;
-  large.gpus = 0;
-  large.memory_gb = 5;
-  world.submit(large);
+  world.submit(gang_of_many_blocks());
   bool seen_some = false;
   for (double t = 1; t < 60 && world.gangs.begun() == 0; t += 0.01) {
     world.run_until(t);
     auto* job = job_at_leader(world, "job-1");
-    if (job == nullptr || job->gang.state != state::Gang::State::starting) continue;
+    if (job == nullptr || job->gang.state != GangState::starting) continue;
     bool offered = false;
     bool unwritten = false;
     for (const auto& [number, block] : job->blocks) {
@@ -109,20 +123,20 @@
   spare.cpus = 1;
   spare.gpus = 0;
   world.submit(spare);
-  ASSERT_TRUE(wait_for(world, "job-2", state::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-2", GangState::running));
   world.submit(gang(1, 4));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::starting));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::starting));
   // The last machine of the four that never gets its image.
   auto& job = *job_at_leader(world, "job-1");
-  auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].machine->id).get();
-  last->hang(100);
+  auto& last = worker_of_task(world, job, 3);
+  last.hang(100);
   for (double end = world.loop.now() + 10;
        world.loop.now() < end && gathering(world, "job-1") == 0;)
     world.run_for(0.02);
   ASSERT_GT(gathering(world, "job-1"), 0U);
   const auto attempt = job.gang.attempt;
-  last->die();
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
+  last.die();
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
   EXPECT_EQ(job_at_leader(world, "job-1")->gang.attempt, attempt);
   EXPECT_EQ(world.gangs.failed(), 0U);
   expect_rules(world);
@@ -133,25 +147,23 @@
   world.settings.gang_wait_s = 9;
   for (std::size_t i = 0; i < world.node_count(); ++i) world.set_gang_wait(i, 9);
   world.submit(gang(1, 4));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::starting));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::starting));
   auto& job = *job_at_leader(world, "job-1");
   const auto attempt = job.gang.attempt;
-  auto* last = world.workers.at(job.blocks.begin()->second->tasks[3].machine->id).get();
-  last->hang(100);
+  auto& last = worker_of_task(world, job, 3);
+  last.hang(100);
   world.run_for(5);
-  last->die();
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running, 120));
+  last.die();
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::running, 120));
   EXPECT_GT(job_at_leader(world, "job-1")->gang.attempt, attempt);
   expect_rules(world);
 }
 
 TEST(Gang, ALostMachineEndsTheAttemptAndTheNextGoesOnFromTheCheckpoint) {
   World world(805);
-  world.submit(gang(1, 4, 40));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  world.run_for(12);
+  ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 40), 12));
   worker_of(world, "job-1")->die();
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::ending));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::ending));
   EXPECT_EQ(world.gangs.progress("job-1"), 10);
   world.run_for(120);
   EXPECT_EQ(told(world, "job-1"), JobState::done);
@@ -163,7 +175,7 @@
   World world(806);
   world.settings.gang_peer_s = 2;
   world.submit(gang(1, 4, 30));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
   worker_of(world, "job-1")->hang(5);
   world.run_for(120);
   EXPECT_EQ(told(world, "job-1"), JobState::done);
@@ -174,15 +186,9 @@
 TEST(Gang, IsStoppedWholeAndInTimeToSave) {
   World world(807);
   world.cloud.capacity = 2;
-  auto job = gang(1, 4, 60);
-  job.priority = wire::Priority::idle;
-  world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  world.run_for(7);
-  auto urgent = service(2, 1);
-  urgent.spread = false;
-  world.submit(urgent);
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping));
+  ASSERT_NO_FATAL_FAILURE(run_gang_for(world, idle_gang(), 7));
+  world.submit(service_in_any_zone(2, 1));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::stopping));
   world.run_for(10);
   EXPECT_EQ(world.gangs.saved(), 1U);
   EXPECT_EQ(world.gangs.failed(), 0U);
@@ -192,20 +198,18 @@
   expect_rules(world);
 }
 
-/// A gang that may be on spot machines, for so long after it has begun.
+/// Runs a gang on spot machines for so long after its start.
 void run_on_spot_for(World& world, double seconds) {
   auto job = gang(1, 4, 60);
   job.spot = true;
-  world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  world.run_for(seconds);
+  run_gang_for(world, job, seconds);
 }
 
 TEST(Gang, ASpotNoticeBeginsTheStopForAll) {
   World world(808);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->interruption_at = world.loop.now() + 20;
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::stopping));
   world.run_for(6);
   EXPECT_EQ(world.gangs.saved(), 1U);
   expect_rules(world);
@@ -215,7 +219,7 @@
   World world(809);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->interruption_at = world.loop.now() + 2;
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::ending));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::ending));
   world.run_for(5);
   EXPECT_EQ(world.gangs.saved(), 0U);
   EXPECT_EQ(world.gangs.progress("job-1"), 5);
@@ -225,21 +229,15 @@
 TEST(Gang, ATakeoverInTheMiddleOfAStopSendsTheRest) {
   World world(810);
   world.cloud.capacity = 2;
-  auto job = gang(1, 4, 60);
-  job.priority = wire::Priority::idle;
-  world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  world.run_for(7);
-  auto urgent = service(2, 1);
-  urgent.spread = false;
+  ASSERT_NO_FATAL_FAILURE(run_gang_for(world, idle_gang(), 7));
   // The first command that reaches a machine is the last of this leader.
   bool stopping = false;
   world.on_commands = [&] {
-    if (stopping || state_of(world, "job-1") != state::Gang::State::stopping) return;
+    if (stopping || state_of(world, "job-1") != GangState::stopping) return;
     stopping = true;
     world.loop.after(0.0005, [&world] { world.crash(leader_index(world), 8); });
   };
-  world.submit(urgent);
+  world.submit(service_in_any_zone(2, 1));
   world.run_for(60);
   world.on_commands = {};
   EXPECT_TRUE(stopping);
@@ -252,7 +250,7 @@
   auto job = gang(1, 4);
   job.image_gb = 4;
   world.submit(job);
-  for (double t = 1; t < 60 && placed(world, "job-1") < 4; t += 0.02) world.run_until(t);
+  place_all_four(world);
   world.run_for(1);
   world.crash(leader_index(world), 8);
   world.run_for(90);
@@ -264,15 +262,13 @@
 /// As a leader leaves it that ends after its first command.
 TEST(Gang, OneThatSavesAtAFormerLeadersCommandIsStoppedWhole) {
   World world(815);
-  world.submit(gang(1, 4, 60));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  world.run_for(7);
-  auto& leader = *world.leader()->leader();
+  ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 60), 7));
+  auto& leader = leader_of(world);
   const auto& task = job_at_leader(world, "job-1")->blocks.begin()->second->tasks[0];
   (void)world.workers.at(task.machine->id)
       ->on_command_rpc(leader.token() + task.machine->fence, task.machine->epoch,
                        {{wire::Verb::stop, "job-1", 0, task.attempt, 2}});
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::stopping, 5));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::stopping, 5));
   world.run_for(4);
   EXPECT_EQ(world.gangs.saved(), 1U);
   EXPECT_EQ(world.gangs.failed(), 0U);
@@ -282,16 +278,14 @@
 /// The next leader must know which attempt it is, or it commands nothing for it.
 TEST(Gang, ATakeoverInItsSecondAttemptGoesOnWithThat) {
   World world(814);
-  world.submit(gang(1, 4, 200));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  world.run_for(6);
+  ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 200), 6));
   worker_of(world, "job-1")->die();
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::ending));
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running, 120));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::ending));
+  ASSERT_TRUE(wait_for(world, "job-1", GangState::running, 120));
   world.crash(leader_index(world), 8);
   world.run_for(15);
   EXPECT_EQ(job_at_leader(world, "job-1")->gang.attempt, 2U);
-  EXPECT_EQ(state_of(world, "job-1"), state::Gang::State::running);
+  EXPECT_EQ(state_of(world, "job-1"), GangState::running);
   EXPECT_EQ(world.gangs.failed(), 1U) << "the loss, not the takeover";
   expect_rules(world);
 }
@@ -299,20 +293,14 @@
 TEST(Gang, ATakeoverBetweenItsCommitsStartsNoPartOfIt) {
   World world(812);
   world.cloud.capacity = 60;
-  auto large = gang(1, 70, 10);
-  large.cpus = 1;
-  large.gpus = 0;
-  large.memory_gb = 5;
   bool crashed = false;
   world.state.on_commit = [&](const wire::Transaction&) {
-    auto* node = world.leader();
-    if (crashed || node == nullptr) return;
-    auto* job = node->leader()->model().job("job-1");
-    if (job == nullptr || job->gang.state != state::Gang::State::starting) return;
+    const auto* job = job_at_leader(world, "job-1");
+    if (crashed || job == nullptr || job->gang.state != GangState::starting) return;
     crashed = true;
     world.loop.after(0, [&world] { world.crash(leader_index(world), 5); });
   };
-  world.submit(large);
+  world.submit(gang_of_many_blocks());
   world.run_until(120);
   world.state.on_commit = {};
   EXPECT_TRUE(crashed);
@@ -325,9 +313,7 @@
   World world(813);
   auto job = gang(1, 4, 40);
   job.together = true;
-  world.submit(job);
-  ASSERT_TRUE(wait_for(world, "job-1", state::Gang::State::running));
-  world.run_for(6);
+  ASSERT_NO_FATAL_FAILURE(run_gang_for(world, job, 6));
   // What is cut off keeps its zone until its lease is over.
   auto* lost = worker_of(world, "job-1");
   lost->cut = true;
@@ -340,7 +326,7 @@
   for (const double after : {0.05, 1.0, 3.0, 8.0, 15.0}) {
     World world(820);
     world.submit(gang(1, 4, 60));
-    for (double t = 1; t < 60 && placed(world, "job-1") < 4; t += 0.02) world.run_until(t);
+    place_all_four(world);
     world.run_for(after);
     world.cancel("job-1");
     world.run_for(10);
@@ -385,11 +371,9 @@
   world.run_until(5);
   auto job = gang(1, 9);  // red may use 8 GPUs
   job.team = "red";
-  wire::Packer packer;
-  wire::pack_job(packer, job);
-  const auto answer = world.response_of(0, {"POST", "/api/jobs", packer.take()}, 1);
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->status, 422);
+  const auto response = world.response_of(0, submit_request(job), 1);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->status, 422);
 }
 
 TEST(GangStates, OnlyTheListedOnesFollowEachOther) {
--- a/tests/group_commit_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -1,5 +1,6 @@
-// The ledger log: whatever gets lost, late or twice on the way to the state
-// service, what a new leader would read is what this leader counts as written.
+/// \file
+/// The ledger log: whatever gets lost, late or twice on the way to the state
+/// service, what a new leader would read is what this leader counts as written.
 #include "state/group_commit.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 using store::BlockEntry;
 using Kind = GroupCommit::Record::Kind;
 
-/// One leader's group commit over the plain state service, with blocks whose
+/// One leader's group commit over the plain state store, with blocks whose
 /// attempt numbers stand for their versions.
 class GroupCommitTest : public ::testing::Test {
  protected:
--- /dev/null
+++ b/tests/isolated_controller_test.cpp
@@ -0,0 +1,117 @@
+/// \file
+/// Controllers that reach their workers but not the state store or their peers, or the other
+/// way round.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Without the state store and the other controllers, but with its workers:
+/// first the leader, then a follower.
+TEST(ControllerApart, ItsWorkersAreTakenOverInTime) {
+  for (const bool leader : {true, false}) {
+    World world(36);
+    auto job = array(1, 6, 1000);
+    world.submit(job);
+    world.run_until(45);
+    ASSERT_EQ(placed(world, "job-1"), 6U);
+    const auto lead = leader_index(world);
+    const auto apart = leader ? lead : (lead + 1) % 3;
+    refuse_state_store(world, apart);
+    world.network.cut_peer_links(apart);
+    world.cancel("job-1");
+    world.run_until(90);
+    EXPECT_NE(world.leader(), nullptr);
+    EXPECT_NE(leader_index(world), apart);
+    world.poll("job-1");
+    world.run_until(93);
+    EXPECT_EQ(world.last_told("job-1"), JobState::cancelled);
+    world.submit(array(2, 2, 5));
+    world.run_until(140);
+    accept_at_state_store(world, apart);
+    world.network.restore_peer_links(apart);
+    for (int i = 0; i < 10; ++i) {
+      world.poll("job-2");
+      world.run_until(142 + i * 2);
+    }
+    EXPECT_EQ(world.last_told("job-2"), JobState::done);
+    expect_rules(world);
+  }
+}
+
+TEST(Forwarding, ALeaderWithoutWorkersIsReachedThroughTheOthers) {
+  World world(15);
+  world.submit(service(1, 2));
+  world.run_until(40);
+  const auto starts = world.rules.starts();
+  world.network.cut_workers(leader_index(world));
+  world.run_until(90);
+  EXPECT_EQ(running(world, "job-1"), 2U);
+  EXPECT_LE(world.rules.starts(), starts + 2);
+  expect_rules_and_starts(world);
+}
+
+/// Cut from the state store and from the other controllers while workers and
+/// users still reach it; jobs are cancelled through the new one. A worker that
+/// has heard of the new term drops the former leader's answers, and must not be
+/// kept there while its lease runs out.
+TEST(IsolatedLeader, KeepsNoWorkerThatHasHeardOfItsSuccessor) {
+  for (unsigned seed = 1; seed <= 10; ++seed) {
+    World world(2300 + seed);
+    world.cloud.capacity = 16;
+    world.submit(array(1, 8, 3000));
+    world.submit(array(2, 6, 3000));
+    world.run_until(50);
+    ASSERT_EQ(placed(world, "job-1"), 8U);
+    ASSERT_EQ(placed(world, "job-2"), 6U);
+    const auto apart = leader_index(world);
+    const auto starts = world.rules.starts();
+    refuse_state_store(world, apart);
+    world.network.cut_peer_links(apart);
+    world.run_until(56 + 0.3 * seed);
+    ASSERT_TRUE(world.cancel_at((apart + 1) % 3, "job-2"));
+    world.run_until(100);
+    EXPECT_EQ(world.rules.present("job-2"), 0U);
+    EXPECT_EQ(world.rules.present("job-1"), 8U);
+    EXPECT_EQ(world.rules.starts(), starts) << seed << ": no lease ran out at the former leader's";
+    accept_at_state_store(world, apart);
+    world.network.restore_peer_links(apart);
+    world.run_until(120);
+    EXPECT_EQ(told(world, "job-2"), JobState::cancelled);
+    ASSERT_EQ(world.rules.first_broken(), "") << seed;
+  }
+}
+
+/// The same for a controller that is its zone's delegate without a record: it has heard of the next
+/// leader, but its mirror is that of the former term.
+TEST(IsolatedLeader, NobodyActsAsDelegateUnderATermThatIsOver) {
+  for (const bool next : {false, true}) {
+    World world(2390);
+    world.cloud.capacity = 20;
+    world.submit(array_in("south", 1, 2, 3000));
+    world.run_until(45);
+    lead_from_north(world);
+    const auto* worker = worker_of(world, "job-1");
+    ASSERT_NE(worker, nullptr);
+    cut_all_workers(world);  // we speak for them
+    const auto term = leader_of(world).term() + (next ? 1 : 0);
+    world.cut_zone("south");
+    world.node(1)->on_message(peer::Heartbeat{"node-0", term, "node-0", true, true, 0, 1e9});
+    world.run_for(5);
+    auto heartbeat = heartbeat_of(*worker, 1, 1, term << constants::kTokenFenceBits);
+    const auto ask = [&](double patience) {
+      ++heartbeat.sequence;
+      const auto response = world.response_of(1, heartbeat_request(heartbeat), patience);
+      return response ? response->status : 0;
+    };
+    EXPECT_NE(ask(4), 200);
+    EXPECT_EQ(ask(0.5) == 200, !next) << "who comes back is answered, but not in vain";
+  }
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- /dev/null
+++ b/tests/machine_failures_test.cpp
@@ -0,0 +1,202 @@
+/// \file
+/// Machines that die, hang, fail tasks, or lose messages in one direction.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+TEST(UnresponsiveMachine, ItsTasksGoOnElsewhereAndItGetsNoWorkUntilItHears) {
+  World world(34);
+  world.submit(array(1, 4, 300));
+  world.run_until(40);
+  auto* worker = worker_of(world, "job-1");
+  ASSERT_NE(worker, nullptr);
+  worker->responses_dropped = true;
+  world.run_until(67);  // its lease is over, and the next one too
+  auto* machine = machine_of(world, *worker);
+  ASSERT_NE(machine, nullptr);
+  EXPECT_TRUE(machine->unresponsive);
+  EXPECT_TRUE(machine->tasks.empty());
+  EXPECT_EQ(placed(world, "job-1"), 4U) << "elsewhere";
+  world.submit(array(2, 8, 300));
+  world.run_until(75);
+  EXPECT_TRUE(machine->tasks.empty()) << "no new work for an unresponsive machine";
+  worker->responses_dropped = false;
+  world.run_until(84);
+  EXPECT_FALSE(machine->unresponsive);
+  world.submit(array(3, 12, 300));
+  world.run_until(95);
+  EXPECT_FALSE(machine->tasks.empty()) << "used again";
+  expect_rules(world);
+}
+
+TEST(UnresponsiveMachine, ThatStaysSoIsReturned) {
+  World world(35);
+  world.cloud.capacity = 4;
+  world.submit(array(1, 8, 500));
+  world.run_until(40);
+  auto* worker = worker_of(world, "job-1");
+  ASSERT_NE(worker, nullptr);
+  worker->responses_dropped = true;
+  world.run_until(110);
+  EXPECT_TRUE(worker->dead());
+  world.run_until(150);
+  EXPECT_EQ(placed(world, "job-1"), 8U);
+  expect_rules(world);
+}
+
+/// A retirement was once refused while any zone had a delegate, and the
+/// refusal failed all that was to be recorded beside it: starts and ends of all
+/// zones stood still for as long as one zone was cut.
+TEST(DeadMachine, IsGivenUpThoughAnotherZoneHasADelegate) {
+  World world(43);
+  world.cloud.capacity = 20;
+  world.submit(array_in("north", 1, 5, 2000));
+  world.submit(array_in("south", 2, 4, 2000));
+  world.run_until(45);
+  ASSERT_EQ(placed(world, "job-1"), 5U);
+  ASSERT_EQ(placed(world, "job-2"), 4U);
+  lead_from_north(world);
+  world.network.cut_peer_links(1);  // the only controller of the south
+  world.run_until(60);
+  ASSERT_FALSE(world.leader()->mirror().delegations().empty()) << "the south has a delegate";
+  world.cloud.down = true;  // no help from there
+  auto* dead = worker_of(world, "job-1");
+  ASSERT_NE(dead, nullptr);
+  dead->die();
+  world.submit(array_in("north", 3, 1, 20));  // ends when the dead machine's lease of 10 s is over
+  world.run_until(95);
+  ASSERT_FALSE(world.leader()->mirror().delegations().empty());
+  auto* machine = machine_of(world, *dead);
+  ASSERT_NE(machine, nullptr);
+  EXPECT_TRUE(machine->tasks.empty()) << "given up";
+  world.poll("job-3");
+  world.run_until(97);
+  EXPECT_EQ(world.last_told("job-3"), JobState::done) << "others went on";
+  expect_rules(world);
+}
+
+/// With commands held for them, for less and for more than their lease.
+TEST(HungMachine, GoesOnAndRunsNothingTwice) {
+  for (int length = 2; length < 32; length += 2) {
+    World world(800 + static_cast<unsigned>(length));
+    world.cloud.capacity = 16;
+    world.submit(array(1, 8, 12));
+    world.submit(array(2, 6, 25));
+    world.run_until(18);
+    for (auto& [id, worker] : world.workers) {
+      if (world.random() < 0.6) worker->hang(length);
+    }
+    world.submit(array(3, 10, 10));
+    world.run_until(20);
+    world.cancel("job-2");
+    world.run_until(160);
+    poll_jobs(world, {"job-1", "job-2", "job-3"}, 3);
+    EXPECT_EQ(world.last_told("job-1"), JobState::done) << length;
+    EXPECT_EQ(world.last_told("job-2"), JobState::cancelled) << length;
+    EXPECT_EQ(world.last_told("job-3"), JobState::done) << length;
+    ASSERT_EQ(world.rules.first_broken(), "") << length;
+  }
+}
+
+/// Safety rule 6: what is on a silent machine is gone when its lease is over,
+/// and not before.
+TEST(SilentMachine, ItsTasksStartElsewhereAfterItsLease) {
+  World world(12);
+  world.submit(array(1, 6, 60));
+  world.run_until(30);
+  ASSERT_FALSE(world.workers.empty());
+  for (auto& [id, worker] : world.workers) {
+    if (!worker->dead()) {
+      worker->cut = true;
+      break;
+    }
+  }
+  world.run_until(200);
+  EXPECT_EQ(told(world, "job-1"), JobState::done);
+  expect_rules_and_starts(world);
+}
+
+TEST(FaultyMachine, IsPutAsideWhenTasksOfSeveralJobsFailThere) {
+  World world(16);
+  for (int i = 1; i <= 4; ++i) world.submit(array(i, 3, 4));
+  world.run_until(16);
+  ASSERT_FALSE(world.workers.empty());
+  world.workers.begin()->second->fail_share = 1;
+  world.run_until(150);
+  for (int i = 1; i <= 4; ++i) world.poll("job-" + std::to_string(i));
+  world.run_until(152);
+  for (int i = 1; i <= 4; ++i)
+    EXPECT_EQ(world.last_told("job-" + std::to_string(i)), JobState::done);
+  expect_rules_and_starts(world);
+}
+
+/// They reach no controller, while direct commands reach them: a reply to those
+/// once counted as a heartbeat, and what was started there died with its lease.
+TEST(LostHeartbeats, NothingIsStartedOnAMachineThatCanNotHeartbeat) {
+  World world(1700);
+  world.cloud.capacity = 2;
+  world.submit(array(1, 3, 3000));  // leaves room on one machine
+  world.run_until(45);
+  ASSERT_EQ(placed(world, "job-1"), 3U);
+  auto& machines = leader_model(world).machines();
+  const auto found = std::find_if(machines.begin(), machines.end(), [](const auto& entry) {
+    return entry.second->tasks.size() == 1;
+  });
+  ASSERT_NE(found, machines.end());
+  const auto* machine = found->second.get();
+  auto* worker = world.workers.at(machine->id).get();
+  worker->heartbeats_dropped = true;
+  world.cloud.down = true;  // it stays for now
+  const double at = world.loop.now();
+  // Each is started, called off and thus asked about by direct commands.
+  for (int i = 2; i < 10; ++i) {
+    auto job = array(i, 1, 3000);
+    job.image_gb = 0;
+    world.submit(job);
+    world.run_until(at + 2 * i - 2.5);
+    const bool there = std::any_of(machine->tasks.begin(), machine->tasks.end(),
+                                   [&](const auto* task) { return task->job->id == job.id; });
+    EXPECT_FALSE(there && world.loop.now() > at + 11) << "silent since " << world.loop.now() - at;
+    world.cancel(job.id);
+    world.run_until(at + 2 * i - 1.5);
+  }
+  world.cloud.down = false;
+  world.run_until(at + 60);
+  EXPECT_TRUE(worker->dead()) << "returned, for it stays so";
+  EXPECT_EQ(placed(world, "job-1"), 3U);
+  expect_rules(world);
+}
+
+/// Commands go out to them all the same, and many that lose their heartbeats at once are a cut.
+TEST(LostHeartbeats, CancelledTasksEndThereAndManyAreKept) {
+  World world(1710);
+  world.cloud.capacity = 8;
+  world.submit(array(1, 8, 3000));
+  world.run_until(45);
+  std::vector<FakeWorker*> heartbeats_dropped;
+  for (auto& [id, worker] : world.workers) {
+    worker->heartbeats_dropped = true;
+    if (!worker->dead()) heartbeats_dropped.push_back(worker.get());
+  }
+  world.run_until(47);
+  ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1"));
+  world.run_until(50);
+  EXPECT_EQ(world.rules.present("job-1"), 0U);
+  world.run_until(70);
+  for (auto* worker : heartbeats_dropped) {
+    EXPECT_FALSE(worker->dead()) << "all at once are not given up";
+    worker->heartbeats_dropped = false;
+  }
+  world.submit(array(2, 8, 10));
+  world.run_until(140);
+  EXPECT_EQ(told(world, "job-2"), JobState::done);
+  expect_rules(world);
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,5 @@
-// The real server and client over loopback.
+/// \file
+/// The real server and client over loopback.
 #include <gtest/gtest.h>
 
 #include <asio.hpp>
--- a/tests/odd_requests_test.cpp
+++ b/tests/odd_requests_test.cpp
@@ -1,4 +1,5 @@
-// Malformed, misfitting and repeated requests of users.
+/// \file
+/// Malformed, misfitting and repeated requests of users.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -47,9 +48,9 @@
   };
   int number = 100;
   const auto submit = [&](const std::string& body) {
-    const auto answer =
+    const auto response =
         world.response_of(static_cast<std::size_t>(number) % 3, {"POST", "/api/jobs", body}, 0.5);
-    return answer ? answer->status : 0;
+    return response ? response->status : 0;
   };
   for (const char* field :
        {"uid", "lane", "owner", "shape", "rank", "shards", "cores", "cards", "ram_gb", "together",
@@ -99,15 +100,14 @@
   ASSERT_EQ(told(world, "job-1"), JobState::done);
   const auto status_of = [&](const std::string& method, const std::string& path,
                              std::string body = {}) {
-    const auto answer = world.response_of(world.pick(3), {method, path, std::move(body)}, 0.5);
-    return answer ? answer->status : 0;
+    const auto response = world.response_of(world.pick(3), {method, path, std::move(body)}, 0.5);
+    return response ? response->status : 0;
   };
   const auto state_of = [&](const std::string& path, std::string body = {}) {
-    const auto answer = world.response_of(world.pick(3), {"POST", path, std::move(body)}, 0.5);
-    if (!answer || answer->status != 200)
-      return std::string("status ") + std::to_string(answer ? answer->status : 0);
-    return std::string(
-        wire::to_text(wire::decode_status(wire::Document::parse(answer->body).root()).state));
+    const auto response = world.response_of(world.pick(3), {"POST", path, std::move(body)}, 0.5);
+    if (!response || response->status != 200)
+      return std::string("status ") + std::to_string(response ? response->status : 0);
+    return std::string(wire::to_text(job_state_in(*response)));
   };
   auto other = array(2, 9, 1);
   other.team = "nobody";
@@ -126,5 +126,32 @@
   expect_rules(world);
 }
 
+TEST(BadInput, TheWrongMethodIsRefused) {
+  World world(44);
+  for (const char* path : {"/v1/report", "/api/jobs", "/ready"}) {
+    const auto response = world.response_of(0, {"DELETE", path, {}}, 0.1);
+    ASSERT_TRUE(response) << path;
+    EXPECT_EQ(response->status, 405) << path;
+  }
+}
+
+/// A heartbeat with hundreds of tasks that nobody knows gets an answer of bounded
+/// size, and the machine no work while it holds them.
+TEST(BadInput, HundredsOfUnknownTasksAreAnsweredWithinBounds) {
+  World world(42);
+  world.run_until(5);
+  wire::WorkerHeartbeat heartbeat{"host-999999", "", "m12", "north", false, 1, 1, 0,
+                                  std::nullopt,  {}};
+  for (std::uint32_t i = 0; i < 900; ++i)
+    heartbeat.tasks.push_back(
+        {"job-77", i, 1, wire::TaskState::running, wire::EndCause::none, false});
+  const auto response = world.response_of(leader_index(world), heartbeat_request(heartbeat), 1);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->status, 200);
+  EXPECT_LT(response->body.size(), 64U * 1024);
+  EXPECT_EQ(commands_in(*response).size(), constants::kMaxCommands);
+  EXPECT_TRUE(leader_model(world).find_machine("host-999999")->has_unknown_jobs);
+}
+
 }  // namespace
 }  // namespace elmstall::test
--- /dev/null
+++ b/tests/overload_test.cpp
@@ -0,0 +1,148 @@
+/// \file
+/// More work and more requests than the deployment can take.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Far more small jobs than there is room for: the large ones begin within four
+/// minutes all the same, and half of either size is served.
+TEST(Overload, TheLargestBeginWithinFourMinutesAndHalfOfAllIsServed) {
+  World world(37);
+  world.cloud.capacity = 4;  // eight tasks at once
+  int number = 0;
+  std::vector<std::string> large;
+  std::map<std::string, double> began;
+  std::map<std::string, double> asked;
+  for (double t = 1; t < 400; t += 1) {
+    world.run_until(t);
+    if (t < 300 && static_cast<int>(t) % 3 == 0) world.submit(array(++number, 1, 20));
+    if (t < 150 && static_cast<int>(t) % 30 == 5) {
+      large.push_back("job-" + std::to_string(++number));
+      asked[large.back()] = t;
+      world.submit(array(number, 16, 10));
+    }
+    for (const auto& id : large) {
+      if (!began.contains(id) && placed(world, id) > 0) began[id] = t;
+    }
+  }
+  ASSERT_EQ(large.size(), 5U);
+  std::size_t served = 0;
+  for (const auto& id : large) {
+    EXPECT_TRUE(began.contains(id)) << id;
+    EXPECT_LT(began[id] - asked[id], 240) << id;
+  }
+  world.run_until(600);
+  for (int i = 1; i <= number; ++i) world.poll("job-" + std::to_string(i));
+  world.run_until(603);
+  for (int i = 1; i <= number; ++i)
+    served += world.last_told("job-" + std::to_string(i)) == JobState::done;
+  EXPECT_GT(served * 2, static_cast<std::size_t>(number));
+  std::size_t large_served = 0;
+  for (const auto& id : large) large_served += world.last_told(id) == JobState::done;
+  EXPECT_GE(large_served * 2, large.size());
+  expect_rules(world);
+}
+
+/// A job so large that its size alone would put it behind all that comes within
+/// the next minutes begins within four all the same.
+TEST(Overload, AVeryLargeJobDoesNotWaitForAllThatIsSmaller) {
+  World world(56);
+  world.cloud.capacity = 4;
+  world.submit(array(1, 8, 15));
+  world.run_until(10);
+  world.submit(array(2, 200, 10));
+  int number = 2;
+  double began = -1;
+  for (double t = 11; t < 320; t += 1) {
+    world.run_until(t);
+    if (static_cast<int>(t) % 2 == 0) world.submit(array(++number, 1, 20));
+    if (began < 0 && placed(world, "job-2") > 0) began = t;
+  }
+  EXPECT_GT(began, 10) << "never";
+  EXPECT_LT(began, 250);
+  expect_rules(world);
+}
+
+/// What can't be taken is answered at once, telling when to come back.
+TEST(Overload, WhatCantBeTakenIsAnsweredAtOnce) {
+  World world(38);
+  world.run_until(5);
+  world.stop_state_store();
+  wire::Packer packer;
+  wire::pack_job(packer, array(1, 1));
+  const auto body = packer.take();
+  std::size_t refused = 0;
+  for (int i = 0; i < 200; ++i) {
+    world.send_to_node(0, {"POST", "/api/jobs", body}, [&](const net::Response& response) {
+      EXPECT_EQ(response.status, 503);
+      EXPECT_GT(response.retry_after_s, 0);
+      ++refused;
+    });
+  }
+  world.run_until(5.1);
+  EXPECT_GT(refused, 100U) << "beyond the limit at once";
+  world.run_until(10);
+  EXPECT_EQ(refused, 200U);
+}
+
+/// Polls without a pause once took a request of the state store each few
+/// milliseconds, and with it the rate that all commits wait for.
+TEST(Overload, PollsDoNotTakeTheStateServiceFromCommits) {
+  World world(49);
+  world.submit(array(1, 1, 500));
+  world.run_until(20);
+  const auto before = world.store(0).gets;
+  std::size_t answered = 0;
+  for (int i = 0; i < 2000; ++i) {
+    world.send_to_node(0, status_request("job-1"),
+                       [&](const net::Response& response) { answered += response.status == 200; });
+    world.run_for(0.005);
+  }
+  world.run_for(1);
+  EXPECT_EQ(answered, 2000U);
+  // Of 120 requests a second three nodes may take 0.3 in 11 s.
+  EXPECT_LT(world.store(0).gets - before, 11 * 0.3 * 120 / 3 + 5);
+}
+
+TEST(SlowLinks, UrgentAndOtherWorkOverSlowLinksIsServedAndAnswered) {
+  World world(1600);
+  world.cloud.capacity = 6;  // twelve tasks at once
+  world.network.loss = 0.05;
+  for (std::size_t i = 0; i < 3; ++i) world.store(i).faults.slow = 0.5;
+  int number = 0;
+  for (double t = 1; t < 240; t += 1) {
+    world.run_until(t);
+    const bool urgent = static_cast<int>(t) % 16 == 0;
+    if (static_cast<int>(t) % 4 != 0) continue;
+    ++number;
+    auto job = array(number, 1 + static_cast<std::uint32_t>(number % 3), 8);
+    job.priority = urgent ? wire::Priority::high : wire::Priority::idle;
+    world.submit(job);
+    world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(number))));
+  }
+  world.network.loss = 0;
+  for (std::size_t i = 0; i < 3; ++i) world.store(i).faults.slow = 0;
+  const double over = world.loop.now();
+  for (double t = over; t < over + 160; t += 1) {
+    world.run_until(t);
+    for (int job = 1; job <= number; ++job) {
+      if (job % 5 == static_cast<int>(t) % 5) world.poll("job-" + std::to_string(job));
+    }
+  }
+  std::size_t done = 0;
+  for (int job = 1; job <= number; ++job) {
+    const auto id = "job-" + std::to_string(job);
+    EXPECT_GT(world.replied_at(id), over + 85) << id;
+    done += world.last_told(id) == JobState::done;
+  }
+  EXPECT_GT(done * 2, static_cast<std::size_t>(number));
+  expect_rules(world);
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -1,7 +1,8 @@
-// Seeded histories of two faults that meet on purpose: the second begins at a
-// drawn moment of the first, or at a step of the protocol within it (between a
-// commit and its answer, after an election, between `run` and its reply).
-// Afterwards all that was accepted is known, and nothing waits beside room.
+/// \file
+/// Seeded histories of two faults that meet on purpose: the second begins at a
+/// drawn moment of the first, or at a step of the protocol within it (between a
+/// commit and its answer, after an election, between `run` and its reply).
+/// Afterwards all that was accepted is known, and nothing waits beside room.
 #include <gtest/gtest.h>
 
 #include "support/faults.hpp"
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -1,4 +1,5 @@
-// Controllers' own connections over loopback.
+/// \file
+/// Controllers' own connections over loopback.
 #include <gtest/gtest.h>
 
 #include <asio.hpp>
--- /dev/null
+++ b/tests/restart_test.cpp
@@ -0,0 +1,72 @@
+/// \file
+/// Controllers that restart at once, or all together.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Back within a fraction of a second, between the steps of an election.
+TEST(InstantRestart, InTheMiddleOfAnElection) {
+  for (int step = 0; step < 20; ++step) {
+    World world(600 + static_cast<unsigned>(step));
+    world.submit(array(1, 6, 30));
+    world.run_until(30);
+    crash_all_nodes(world, 0.05);
+    world.run_until(30.05 + step * 0.01);
+    for (std::size_t i = 0; i < 3; ++i) world.crash(i, 0.02 + 0.03 * static_cast<double>(i));
+    world.run_until(30.4 + step * 0.01);
+    world.crash(static_cast<std::size_t>(step) % 3, 0.01);
+    world.run_until(120);
+    EXPECT_EQ(told(world, "job-1"), JobState::done) << step;
+    ASSERT_EQ(world.rules.first_broken(), "") << step;
+  }
+}
+
+/// For longer than a lease, with a cancellation before or after.
+TEST(AllControllersDown, TasksAreStartedAgainAndCancelledOnesAreNot) {
+  for (int away = 2; away < 40; away += 3) {
+    World world(1900 + static_cast<unsigned>(away));
+    world.submit(array(1, 8, 40));
+    world.submit(array(2, 6, 3000));
+    world.run_until(30);
+    const bool before = away % 2 == 0;
+    if (before) world.cancel("job-2");
+    world.run_until(30.1);
+    for (std::size_t i = 0; i < 3; ++i) world.crash(i, away + 0.3 * static_cast<double>(i));
+    world.run_until(31 + away);
+    if (!before) world.cancel("job-2");
+    world.run_until(190);
+    EXPECT_EQ(told(world, "job-1"), JobState::done) << away;
+    EXPECT_EQ(told(world, "job-2"), JobState::cancelled) << away;
+    ASSERT_EQ(world.rules.first_broken(), "") << away;
+  }
+}
+
+/// Controllers hand over and back, all end, and one returns, within a second.
+TEST(FullRestart, AllEndAndOneReturns) {
+  for (int step = 0; step < 16; ++step) {
+    World world(2800 + static_cast<unsigned>(step));
+    world.submit(array(1, 8, 30));
+    world.submit(array(2, 4, 3000));
+    world.run_until(30);
+    const auto first = leader_index(world);
+    world.crash(first, 0.05 * step);
+    world.run_until(30.3 + 0.1 * step);
+    for (std::size_t i = 0; i < 3; ++i) world.crash(i, i == first ? 0.2 : 20);
+    world.run_until(30.8 + 0.1 * step);
+    world.crash(first, 0.03);
+    world.run_until(40);
+    world.cancel("job-2");
+    world.run_until(180);
+    EXPECT_EQ(told(world, "job-1"), JobState::done) << step;
+    EXPECT_EQ(told(world, "job-2"), JobState::cancelled) << step;
+    ASSERT_EQ(world.rules.first_broken(), "") << step;
+  }
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,5 @@
-// The checker of the Rules is shown to fail when a rule is broken on purpose.
+/// \file
+/// The checker of the Rules is shown to fail when a rule is broken on purpose.
 #include "support/rules.hpp"
 
 #include <gtest/gtest.h>
--- /dev/null
+++ b/tests/stale_leader_test.cpp
@@ -0,0 +1,229 @@
+/// \file
+/// A leader that does not know of a cancellation which another controller confirmed
+/// (safety rule 5).
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Whether the other controllers' messages reach the leader.
+enum class PeerLinks { cut, connected };
+
+/// The state store refuses the leader alone, another controller confirms a cancellation
+/// `confirm_after` seconds later, and then the state store is down for longer than `cancel_s`,
+/// while workers go on sending heartbeats to the leader. With its peer links connected the leader
+/// learns of the cancellation from the controller that confirmed it. All workers hang for `hang`
+/// seconds from the confirmation on.
+void play_gap(unsigned seed, double confirm_after, PeerLinks links, double hang) {
+  World world(seed, 3 + seed % 2);
+  world.cloud.capacity = 16;
+  world.set_clock(0, kSlowestClock);
+  world.crash(0, 0.01);
+  world.submit(array(1, 8, 3000));
+  world.submit(array(2, 4, 3000));
+  world.run_until(50);
+  slow_all_worker_clocks(world);
+  ASSERT_EQ(placed(world, "job-1"), 8U);
+  const auto lead = leader_index(world);
+  const double at = world.loop.now();
+  if (links == PeerLinks::cut) world.network.cut_peer_links(lead);
+  refuse_state_store(world, lead);
+  world.run_until(at + confirm_after);
+  ASSERT_TRUE(world.cancel_at((lead + 1) % world.node_count(), "job-1")) << confirm_after;
+  const double confirmed = world.loop.now();
+  if (hang > 0) {
+    for (auto& [id, worker] : world.workers) worker->hang(hang);
+  }
+  world.run_until(at + 1.5);
+  world.stop_state_store();
+  const double gone_by = links == PeerLinks::connected && hang <= 0 ? 5 : world.settings.cancel_s;
+  world.run_until(confirmed + gone_by);
+  EXPECT_EQ(world.rules.present("job-1"), 0U) << confirm_after;
+  world.run_until(at + 75);
+  world.restore_state_store();
+  accept_at_state_store(world, lead);
+  world.network.restore_peer_links(lead);
+  world.run_until(at + 130);
+  EXPECT_EQ(told(world, "job-1"), JobState::cancelled) << confirm_after;
+  EXPECT_EQ(placed(world, "job-2"), 4U) << confirm_after;
+  ASSERT_EQ(world.rules.first_broken(), "") << confirm_after;
+}
+
+/// Layer 1, the bound W: the leader hears of nothing.
+TEST(StaleLeader, ALeaderThatHearsNobodyStopsInTime) {
+  for (int step = 0; step < 12; ++step)
+    play_gap(1000 + static_cast<unsigned>(step), 0.005 + step * 0.1, PeerLinks::cut, 0);
+}
+
+/// The bound at its edges: the refusal begins at every moment of a read index's
+/// second, the confirmation follows within milliseconds, and the clocks of the
+/// leader and of the machines are as slow as the protocol allows.
+TEST(StaleLeader, TheBoundHoldsToTheMoment) {
+  double longest = 0;
+  for (int step = 0; step < 50; ++step) {
+    World world(1050 + static_cast<unsigned>(step) % 3);
+    for (std::size_t i = 0; i < 3; ++i) world.set_clock(i, kSlowestClock);
+    crash_all_nodes(world, 0.01);
+    world.cloud.capacity = 12;
+    world.submit(array(1, 16, 3000));
+    world.run_until(50);
+    slow_all_worker_clocks(world);
+    const auto lead = leader_index(world);
+    world.run_until(50 + 0.02 * step);
+    world.network.cut_peer_links(lead);
+    refuse_state_store(world, lead);
+    world.run_for(0.001);
+    ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-1", 0.02));
+    const double confirmed = world.loop.now();
+    world.stop_state_store();
+    while (world.rules.present("job-1") > 0 && world.loop.now() < confirmed + 60)
+      world.run_for(0.01);
+    longest = std::max(longest, world.loop.now() - confirmed);
+    ASSERT_EQ(world.rules.first_broken(), "") << step;
+  }
+  // No wider than it needs to be: tasks outlive as long an outage as they may.
+  EXPECT_GT(longest, 40 - constants::kLeaderLeaseMargin - 1);
+  EXPECT_LE(longest, 40);
+}
+
+/// Layer 3: told by the controller that confirmed, it ends them at once.
+TEST(StaleLeader, ALeaderThatIsToldEndsThemAtOnce) {
+  for (int step = 0; step < 12; ++step)
+    play_gap(1100 + static_cast<unsigned>(step), 0.005 + step * 0.1, PeerLinks::connected, 0);
+}
+
+/// Machines hang from the moment of the confirmation and go on later.
+TEST(StaleLeader, MachinesThatHangMeanwhileEndThemToo) {
+  for (int hang = 1; hang < 10; ++hang) {
+    play_gap(1200 + static_cast<unsigned>(hang), 0.3, PeerLinks::connected, hang);
+    play_gap(1220 + static_cast<unsigned>(hang), 0.3, PeerLinks::cut, hang);
+  }
+}
+
+/// The leader stands still in the gap and wakes with what it knew before.
+TEST(StaleLeader, ALeaderThatStoodStillMeanwhileRenewsNothing) {
+  for (int length = 2; length < 50; length += 4) {
+    World world(1300 + static_cast<unsigned>(length));
+    world.submit(array(1, 8, 3000));
+    world.run_until(50);
+    const auto lead = leader_index(world);
+    refuse_state_store(world, lead);
+    world.run_until(50.4);
+    ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-1"));
+    world.freeze(lead, length);
+    world.run_until(51);
+    world.stop_state_store();
+    world.run_until(120);
+    world.restore_state_store();
+    accept_at_state_store(world, lead);
+    world.run_until(170);
+    EXPECT_EQ(told(world, "job-1"), JobState::cancelled) << length;
+    ASSERT_EQ(world.rules.first_broken(), "") << length;
+  }
+}
+
+/// Layer 2: while direct commands hang, one command RPC after the other, no answer
+/// renews a lease without ending the cancelled tasks that it would keep alive.
+TEST(StaleLeader, AnAnswerBesideCommandsThatHangEndsCancelledTasks) {
+  World world(1400);
+  world.submit(array(1, 4, 3000));
+  world.run_until(45);
+  world.network.command_rpcs_blocked = true;  // each command RPC takes its 2 s and fails
+  auto* worker = worker_of(world, "job-1");
+  ASSERT_NE(worker, nullptr);
+  auto& leader = leader_of(world);
+  auto* machine = machine_of(world, *worker);
+  ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1", 0.05));
+  for (int i = 0; i < 40 && !machine->rpc_in_flight; ++i) world.run_for(0.01);
+  ASSERT_TRUE(machine->rpc_in_flight) << "commands are under way";
+  auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
+                                leader.token() + machine->fence);
+  show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
+  ASSERT_FALSE(heartbeat.tasks.empty());
+  for (const int older : {0, 1}) {  // as news, and crossing the reply to a command RPC
+    heartbeat.sequence -= static_cast<std::uint64_t>(older);
+    machine->rpc_completed_at = world.loop.now();
+    const auto response =
+        world.response_of(leader_index(world), heartbeat_request(heartbeat), 0.05);
+    ASSERT_TRUE(response);
+    ASSERT_EQ(response->status, 200);
+    const auto commands = commands_in(*response);
+    EXPECT_EQ(commands.size(), heartbeat.tasks.size()) << older;
+    for (const auto& command : commands) EXPECT_EQ(command.verb, wire::Verb::stop) << older;
+  }
+  world.network.command_rpcs_blocked = false;
+  world.run_for(30);
+  EXPECT_EQ(told(world, "job-1"), JobState::cancelled);
+  expect_rules(world);
+}
+
+/// The state store refuses the leader alone, which hears nobody: what somebody
+/// has just cancelled through another controller is not started any more.
+TEST(StaleLeader, NothingIsStartedOnKnowledgeThatMayBeOutOfDate) {
+  World world(1410);
+  world.cloud.capacity = 4;
+  world.submit(array(1, 8, 8));
+  world.run_until(15);
+  world.network.command_rpcs_blocked = true;  // commands go with answers to heartbeats
+  world.submit(array(2, 8, 3000));
+  while (placed(world, "job-2") == 0 && world.loop.now() < 60) world.run_for(0.05);
+  auto* worker = worker_of(world, "job-2");
+  ASSERT_NE(worker, nullptr);
+  cut_all_workers(world);  // we speak for them
+  world.run_for(3);        // recorded, and the direct way has failed
+  const auto lead = leader_index(world);
+  refuse_state_store(world, lead);
+  world.network.cut_peer_links(lead);
+  const auto* machine = machine_of(world, *worker);
+  const auto starts_told = [&] {
+    auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
+                                  machine->fence + world.node(lead)->leader()->token());
+    const auto response = world.response_of(lead, heartbeat_request(heartbeat), 0.05);
+    if (!response || response->status != 200) return -1;
+    const auto commands = commands_in(*response);
+    return static_cast<int>(
+        std::count_if(commands.begin(), commands.end(),
+                      [](const auto& command) { return command.verb == wire::Verb::run; }));
+  };
+  EXPECT_GT(starts_told(), 0) << "just proved";
+  ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-2"));
+  world.stop_state_store();
+  world.run_for(5);
+  EXPECT_EQ(starts_told(), 0) << "its lease is renewed, but nothing starts";
+}
+
+/// In an outage that all see nobody confirms anything, so work that is recorded
+/// goes on to start.
+TEST(StaleLeader, AnOutageThatAllSeeDoesNotStopStarts) {
+  World world(1420);
+  world.cloud.capacity = 4;
+  world.submit(array(1, 8, 8));
+  world.run_until(15);
+  world.network.command_rpcs_blocked = true;
+  world.submit(array(2, 8, 5));
+  bool down = false;
+  std::size_t starts = 0;
+  for (double t = 15; t < 60; t += 0.05) {
+    world.run_until(t);
+    const auto* job = job_at_leader(world, "job-2");
+    if (down || job == nullptr || job->on_machines == 0) continue;
+    // Recorded and not sent yet: the machines hear nothing for 6 s.
+    drop_responses_to_all_workers(world);
+    world.stop_state_store();
+    down = true;
+    starts = world.rules.starts();
+    world.run_until(t += 6);
+    deliver_responses_to_all_workers(world);
+  }
+  ASSERT_TRUE(down);
+  EXPECT_GT(world.rules.starts(), starts)
+      << "known for longer than a start may rest on, but nobody can have cancelled it";
+  expect_rules(world);
+}
+
+}  // namespace
+}  // namespace elmstall::test
--- a/tests/support/fake_state.hpp
+++ b/tests/support/fake_state.hpp
@@ -1,5 +1,6 @@
-// A stand-in of the state service, in memory: versions, guards, leases,
-// watches, as the protocol page has them.
+/// \file
+/// The state store, simulated in memory: revisions, preconditions, leases and watches, as the
+/// protocol page describes them.
 #pragma once
 
 #include <deque>
@@ -12,6 +13,7 @@
 
 namespace elmstall::test {
 
+/// The contents of the state store, which all nodes share.
 class FakeState {
  public:
   explicit FakeState(VirtualLoop& loop) : loop_(loop) {}
@@ -25,23 +27,27 @@
   store::CommitResult commit(const wire::Transaction& transaction);
   store::GetResult get(const std::string& key);
   store::ListResult list(const std::string& prefix, const std::string& since, std::size_t most);
-  /// Nothing when `since` is too old to tell.
+  /// What changed after the revision `since`; nothing if the log no longer reaches back to it.
   std::optional<wire::Changes> changes(const std::string& prefix, std::uint64_t since);
+  /// Grants a lease, and returns its number.
   std::uint64_t grant(double life_s);
+  /// False if the lease has expired.
   bool renew(std::uint64_t lease);
+  /// Deletes the items of all leases that have run out.
   void expire();
-  /// After an outage every lease has its full time again.
+  /// Gives every lease its full time again, as after an outage.
   void refresh_leases();
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
   [[nodiscard]] const std::map<std::string, Item>& items() const { return items_; }
+  /// Every request is refused, and no lease expires.
   bool down = false;
-  /// What is larger is called malformed.
+  /// Transactions that exceed these limits are rejected as malformed.
   std::optional<config::StateLimits> limits;
-  /// Beyond `limits` a second, with bursts of a second's worth, changes are refused.
+  /// Writes beyond the rate of `limits` are refused; a burst may be as large as one second allows.
   bool limits_rate = false;
-  /// Transactions that were called malformed.
+  /// Number of transactions that were rejected as malformed.
   std::size_t rejected = 0;
-  /// A transaction was applied; its answer is on its way.
+  /// Called when a transaction was applied, before the response is sent.
   std::function<void(const wire::Transaction&)> on_commit;
 
  private:
@@ -64,17 +70,17 @@
   std::uint64_t forgotten_ = 0;  ///< revision of the newest change not kept
 };
 
-/// One node's way to the state service, with the faults of the faults.
+/// The connection of one node to the state store, with its own faults.
 class FakeStore : public store::StateStore {
  public:
   struct Faults {
-    bool refused = false;     ///< 503 to this node alone
-    double lost = 0;          ///< share of requests without an answer
-    double late = 0;          ///< share of lost commits applied much later
-    double late_writes = 0;   ///< share of commits without an answer, applied 2 to 12 s later
-    double late_by = 0;       ///< seconds; 0: somewhere between 2 and 12
-    bool watch_held = false;  ///< open watches tell nothing
-    double slow = 0;          ///< seconds that each answer takes longer, at most
+    bool refused = false;    ///< the store responds 503 to this node alone
+    double lost = 0;         ///< share of requests without a response
+    double late = 0;         ///< share of lost commits applied much later
+    double late_writes = 0;  ///< share of commits without a response that are applied seconds later
+    double late_by = 0;      ///< how many seconds later; 0: between 2 and 12
+    bool watch_held = false;  ///< open watches report no changes
+    double slow = 0;          ///< at most so many seconds are added to each response
   };
   std::size_t gets = 0;  ///< single keys asked for
   FakeStore(VirtualLoop& loop, FakeState& state, unsigned seed)
@@ -89,7 +95,7 @@
               std::function<void(store::CommitResult)> done) override;
   void grant(double life_s, std::function<void(store::GrantResult)> done) override;
   void renew(std::uint64_t lease, std::function<void(store::Outcome)> done) override;
-  /// The process at this end died: nothing comes back any more.
+  /// The process of this node died: no response reaches it any more.
   void cut() { alive_.reset(); }
   Faults faults;
 
--- a/tests/support/faults.cpp
+++ b/tests/support/faults.cpp
@@ -76,7 +76,7 @@
   later(world, length, [&world] { world.restore_state_store(); });
 }
 
-/// The leader's, or where nobody leads this one.
+/// Index of the node that leads; `node` if none does.
 std::size_t leading(World& world, std::size_t node) {
   for (std::size_t i = 0; i < world.node_count(); ++i) {
     if (world.node(i) != nullptr && world.node(i) == world.leader()) return i;
@@ -137,7 +137,7 @@
   later(world, 0.3 + world.random() * 3, [&world, node] { world.crash((node + 1) % 3, 0.1); });
 }
 
-/// Neither state service nor other controllers, but its workers.
+/// The node reaches its workers, but neither the state store nor its peers.
 void node_apart(World& world, std::size_t node, double length) {
   refuse(world, node, length);
   peer_links_cut(world, node, length);
@@ -294,7 +294,7 @@
                                       {"state outage", state_outage},
                                       {"refused alone", refused_alone},
                                       {"zones apart", zones_apart},
-                                      {"mesh cut", peer_links_cut},
+                                      {"peer links cut", peer_links_cut},
                                       {"cut from workers", workers_cut},
                                       {"cloud outage", cloud_outage},
                                       {"spot taken", spot_taken},
@@ -320,7 +320,7 @@
                                       {"late writes", late_writes},
                                       {"lossy state", lossy_state},
                                       {"leader apart", leader_apart},
-                                      {"mesh cut", peer_links_cut},
+                                      {"peer links cut", peer_links_cut},
                                       {"leader crash", leader_crash},
                                       {"crash all", crash_all},
                                       {"quick restarts", quick_restarts},
@@ -328,11 +328,11 @@
                                       {"cut from workers", workers_cut},
                                       {"zone cut", zone_cut},
                                       {"zones apart", zones_apart},
-                                      {"machines lose reports", machines_lose_heartbeats},
+                                      {"machines lose heartbeats", machines_lose_heartbeats},
                                       {"machines unresponsive", machines_unresponsive},
                                       {"machine cut", machine_cut},
                                       {"late copies", late_copies},
-                                      {"held orders", held_commands},
+                                      {"held commands", held_commands},
                                       {"lost replies", lost_replies},
                                       {"no direct way", no_direct_way},
                                       {"many hang", many_hang},
--- a/tests/support/faults.hpp
+++ b/tests/support/faults.hpp
@@ -1,5 +1,5 @@
-// Everything that can go wrong in the world, one fault at a time, for tests
-// that draw them.
+/// \file
+/// The faults and jobs that random histories draw.
 #pragma once
 
 #include "support/world.hpp"
@@ -10,15 +10,16 @@
 /// Small tasks that must run at the same time.
 wire::JobSpec random_gang(World& world, int number);
 
+/// One kind of fault.
 struct Fault {
-  const char* name;
-  /// Begins it and sees to its end, `length` seconds later at the most.
+  const char* name;  ///< for the story of a history
+  /// Begins the fault and schedules its end, about `length` seconds later. Some faults take `node`.
   std::function<void(World&, std::size_t node, double length)> begin;
 };
 
-/// Those that the first search draws, in the order that its seeds rely on.
+/// Faults for histories of single faults. Seeds rely on their order.
 [[nodiscard]] const std::vector<Fault>& single_faults();
-/// Those that are known to meet badly.
+/// Faults for histories in which two faults overlap. Seeds rely on their order.
 [[nodiscard]] const std::vector<Fault>& concurrent_faults();
 
 }  // namespace elmstall::test
--- a/tests/support/gangs.hpp
+++ b/tests/support/gangs.hpp
@@ -1,5 +1,6 @@
-// Gangs as workers run them: tasks of one attempt wait for each other, run
-// together, and end together.
+/// \file
+/// Gangs as workers run them: the tasks of an attempt wait for each other, run together, and end
+/// together.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +13,8 @@
 class FakeWorker;
 class World;
 
+/// Decides for the tasks of each gang what its workers then show. Progress is kept between attempts
+/// as far as checkpoints were saved.
 class FakeGangs {
  public:
   explicit FakeGangs(World& world) : world_(world) {}
@@ -20,22 +23,25 @@
   struct Member {
     FakeWorker* worker = nullptr;
     std::uint64_t serial = 0;
-    bool told = false;  ///< to stop, with time to save
+    bool told = false;  ///< it was told to stop with a grace period
     bool saved = false;
   };
 
   /// The task has its image and waits for the others.
   void join(const std::string& job, std::uint32_t index, std::uint64_t attempt, Member member);
-  /// It has exited, was killed, or its machine is gone.
+  /// The task has exited or was killed, or its machine is lost.
   void leave(const std::string& job, std::uint32_t index, std::uint64_t attempt);
-  /// Told to stop with time to save; false if the gang is not running.
+  /// The task was told to stop with a grace period; false if the gang is not running.
   bool stop(const std::string& job, std::uint32_t index, std::uint64_t attempt);
   [[nodiscard]] bool completed(const std::string& job) const { return done_.contains(job); }
 
-  // What happened, for tests.
+  // What happened so far, for tests.
+
+  /// Attempts that ran, that failed, and that were saved whole.
   [[nodiscard]] std::size_t begun() const { return begun_; }
   [[nodiscard]] std::size_t failed() const { return failed_; }
   [[nodiscard]] std::size_t saved() const { return saves_; }
+  /// Seconds of the job's run time that are saved in checkpoints.
   [[nodiscard]] double progress(const std::string& job) const;
 
  private:
--- a/tests/support/histories.hpp
+++ b/tests/support/histories.hpp
@@ -1,4 +1,5 @@
-// What the searches of random histories share.
+/// \file
+/// Steps and checks that the tests with random histories share.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,17 +14,17 @@
 
 namespace elmstall::test {
 
-/// Limits that fall in some histories: a block of the test world and a job's
-/// record fit, hardly more.
+/// Limits that the state store announces in some histories. A block of the test world and the
+/// record of a job just fit.
 inline constexpr config::StateLimits kLowerLimits{120, 18, 0.8, 4};
 
-/// ELMSTALL_CHAOS_SEEDS: how many histories to play, for longer searches.
+/// Last seed to play: `usual`, or for longer searches the environment's ELMSTALL_CHAOS_SEEDS.
 inline unsigned last_seed(unsigned usual) {
   const char* wanted = std::getenv("ELMSTALL_CHAOS_SEEDS");
   return wanted == nullptr ? usual : static_cast<unsigned>(std::max(1, std::atoi(wanted)));
 }
 
-/// One of those that meet badly; returns its line of the history's story.
+/// Begins a random fault of `concurrent_faults`; returns its line for the story of the history.
 inline std::string begin_some_fault(World& world, double now) {
   const auto& faults = concurrent_faults();
   const auto& fault = faults[world.pick(faults.size())];
@@ -31,15 +32,16 @@
   return " | " + std::to_string(static_cast<int>(now)) + " s: " + fault.name;
 }
 
-/// A fifth of the jobs, each in its turn.
+/// Polls a fifth of the jobs; in five successive seconds each job is polled once.
 inline void poll_some(World& world, int jobs, double now) {
   for (int job = 1; job <= jobs; ++job) {
     if (job % 5 == static_cast<int>(now) % 5) world.poll("job-" + std::to_string(job));
   }
 }
 
-/// From `over` on, when the last fault is: all that was accepted is answered for
-/// within 75 s, nothing waits for 90 s beside room, and the rules hold.
+/// Checks the 110 s that follow the end of the last fault at `over`: from 75 s on every accepted
+/// job was polled with success in the last 75 s, no job waits for 90 s although there is room, and
+/// the rules hold.
 inline void expect_nothing_left(World& world, int jobs, double over, const std::string& story) {
   world.run_until(over);
   world.network.loss = 0;
--- a/tests/support/http_fronts.hpp
+++ b/tests/support/http_fronts.hpp
@@ -1,4 +1,5 @@
-// The stand-ins of state service and cloud behind real HTTP.
+/// \file
+/// The simulated state store and cloud behind real HTTP servers on the loopback address.
 #pragma once
 
 #include <asio.hpp>
@@ -8,6 +9,7 @@
 
 namespace elmstall::test {
 
+/// Serves the API of the state store from a `FakeState`. Runs on the loop of `io`.
 class StateFront {
  public:
   StateFront(asio::io_context& io, FakeState& state);
@@ -22,6 +24,7 @@
   net::HttpServer server_;
 };
 
+/// Serves the API of the cloud from the `FakeCloud` of a world. Runs on the loop of `io`.
 class CloudFront {
  public:
   CloudFront(asio::io_context& io, World& world);
--- /dev/null
+++ b/tests/support/leader_view.hpp
@@ -0,0 +1,68 @@
+/// \file
+/// What the leading controller knows, as tests look at it. Accesses to the internals of the
+/// controller stand here, as far as several tests share them.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "support/world.hpp"
+
+namespace elmstall::test {
+
+/// The leading controller's leader role; a controller must lead.
+inline controller::Leader& leader_of(World& world) { return *world.leader()->leader(); }
+
+/// The leader's model of jobs and machines; a controller must lead.
+inline state::Model& leader_model(World& world) { return leader_of(world).model(); }
+
+/// The job in the leader's model; null if nobody leads or the leader does not know it.
+inline state::Job* job_at_leader(World& world, const std::string& id) {
+  return world.leader() == nullptr ? nullptr : leader_model(world).job(id);
+}
+
+/// The machine of this worker in the leader's model, or null; a controller must lead.
+inline state::Machine* machine_of(World& world, const FakeWorker& worker) {
+  return leader_model(world).find_machine(worker.id());
+}
+
+/// Number of the job's tasks that are or may be on machines, as the leader sees it.
+inline std::size_t placed(World& world, const std::string& id) {
+  const auto* job = job_at_leader(world, id);
+  return job == nullptr ? 0 : job->on_machines;
+}
+
+/// Number of the job's tasks that the last heartbeats showed as running.
+inline std::size_t running(World& world, const std::string& id) {
+  const auto* job = job_at_leader(world, id);
+  if (job == nullptr) return 0;
+  std::size_t count = 0;
+  for (const auto& [number, block] : job->blocks) {
+    for (const auto& task : block->tasks)
+      count += task.in_last_heartbeat && task.state == wire::TaskState::running;
+  }
+  return count;
+}
+
+/// A worker that has a task of this job, as the leader sees it, or null.
+inline FakeWorker* worker_of(World& world, const std::string& job) {
+  if (world.leader() == nullptr) return nullptr;
+  for (const auto& [id, machine] : leader_model(world).machines()) {
+    for (const auto* task : machine->tasks) {
+      if (task->job->id == job) return world.workers.at(id).get();
+    }
+  }
+  return nullptr;
+}
+
+/// Index of the node that leads; a failure of the test if none does.
+inline std::size_t leader_index(World& world) {
+  for (std::size_t i = 0; i < world.node_count(); ++i) {
+    if (world.node(i) != nullptr && world.node(i) == world.leader()) return i;
+  }
+  ADD_FAILURE() << "nobody leads";
+  return 0;
+}
+
+}  // namespace elmstall::test
--- a/tests/support/rules.hpp
+++ b/tests/support/rules.hpp
@@ -1,5 +1,5 @@
-// The Rules of the protocol page as a plain checker: it sees what really
-// happens on machines and what users are told.
+/// \file
+/// Checks the Rules of the protocol page.
 #pragma once
 
 #include <map>
@@ -13,10 +13,12 @@
 
 namespace elmstall::test {
 
+/// Sees what really happens on machines and what users are told, and notes each violation.
 class Rules {
  public:
   explicit Rules(const config::Settings& settings) : settings_(settings) {}
 
+  /// The machine on which a task is.
   struct Place {
     std::string machine;
     std::string type;
@@ -31,8 +33,7 @@
   }
   void cancel_asked(const std::string& id) { cancel_asked_.insert(id); }
   void told_accepted(double now, const std::string& id);
-  /// `asked`: when the question was sent. What was told to somebody else in
-  /// the meantime is no older answer's measure.
+  /// `asked`: when the request was sent. Only what users were told before then binds the response.
   void told_status(double now, const std::string& id, wire::JobState state, double asked);
   void told_status(double now, const std::string& id, wire::JobState state) {
     told_status(now, id, state, now);
@@ -51,14 +52,15 @@
   /// The first violation; empty while there is none.
   [[nodiscard]] std::string first_broken() const { return broken_.empty() ? "" : broken_.front(); }
   [[nodiscard]] std::size_t starts() const { return starts_; }
-  /// Starts after the user was told that the job is cancelled: within
-  /// `cancel_s` no rule is broken, but nobody wants them.
+  /// Starts after the user was told that the job is cancelled. Within `cancel_s` they break no
+  /// rule, but they are not wanted.
   [[nodiscard]] std::size_t late_starts() const { return late_starts_; }
   /// Tasks of the job that are on a machine now.
   [[nodiscard]] std::size_t present(const std::string& job) const;
   [[nodiscard]] std::size_t completed_tasks(const std::string& job) const;
+  /// A user was told that the job is done or cancelled.
   [[nodiscard]] bool over(const std::string& job) const { return final_.contains(job); }
-  /// What the tasks on this machine take, and those of this team.
+  /// Resources of all tasks on this machine, and of all tasks of this team.
   [[nodiscard]] sched::Amount used_on(const std::string& machine) const;
   [[nodiscard]] sched::Amount used_by(const std::string& team) const;
   [[nodiscard]] std::size_t in_zone(const std::string& job, const std::string& zone) const;
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -1,40 +1,51 @@
-// What tests of faults ask of the world, and how they set it up.
+/// \file
+/// Steps that many tests of the world share: polls, faults of all nodes or workers, checks.
 #pragma once
 
 #include <gtest/gtest.h>
 
+#include <initializer_list>
+
+#include "support/heartbeats.hpp"
 #include "support/jobs.hpp"
+#include "support/leader_view.hpp"
+#include "support/requests.hpp"
 #include "support/world.hpp"
 
 namespace elmstall::test {
 
-/// Tasks of the job that are or may be on machines, as the leader sees it.
-inline std::size_t placed(World& world, const std::string& id) {
-  auto* node = world.leader();
-  auto* job = node == nullptr ? nullptr : node->leader()->model().job(id);
-  return job == nullptr ? 0 : job->on_machines;
+/// Rate of the slowest steady clock that the protocol allows.
+inline constexpr double kSlowestClock = 0.9995;
+
+// Checks.
+
+/// No rule of the protocol page was broken so far.
+inline void expect_rules(const World& world) { EXPECT_EQ(world.rules.first_broken(), ""); }
+
+/// The same, and some task was started at all.
+inline void expect_rules_and_starts(const World& world) {
+  expect_rules(world);
+  EXPECT_GT(world.rules.starts(), 0U);
 }
 
-inline FakeWorker* worker_of(World& world, const std::string& job) {
-  auto* node = world.leader();
-  if (node == nullptr) return nullptr;
-  for (auto& [id, machine] : node->leader()->model().machines()) {
-    for (const auto* task : machine->tasks) {
-      if (task->job->id == job) return world.workers.at(id).get();
-    }
-  }
-  return nullptr;
+// Users.
+
+/// What a user who polls the job now is told within 2 s.
+inline std::optional<wire::JobState> told(World& world, const std::string& id) {
+  world.poll(id);
+  world.run_for(2);
+  return world.last_told(id);
 }
 
-inline std::size_t leader_index(World& world) {
-  for (std::size_t i = 0; i < world.node_count(); ++i) {
-    if (world.node(i) != nullptr && world.node(i) == world.leader()) return i;
-  }
-  ADD_FAILURE() << "nobody leads";
-  return 0;
+/// Polls these jobs at the same time and waits for the responses.
+inline void poll_jobs(World& world, std::initializer_list<const char*> ids, double patience_s) {
+  for (const char* id : ids) world.poll(id);
+  world.run_for(patience_s);
 }
 
-/// Until a controller of the north leads: every second node is of the south.
+// The leader.
+
+/// Crashes leaders until a controller in the north leads; every second node is in the south.
 inline void lead_from_north(World& world) {
   for (int i = 0; i < 8 && leader_index(world) % 2 == 1; ++i) {
     world.crash(leader_index(world), 6);
@@ -43,59 +54,53 @@
   ASSERT_EQ(leader_index(world) % 2, 0U);
 }
 
-inline wire::JobSpec array_in(const char* zone, int number, std::uint32_t tasks, double expect_s) {
-  auto job = array(number, tasks, expect_s);
-  job.zone = zone;
-  return job;
+// Faults of all nodes.
+
+inline void crash_all_nodes(World& world, double back_after) {
+  for (std::size_t i = 0; i < world.node_count(); ++i) world.crash(i, back_after);
 }
 
-/// Replicas on ordinary machines, spread over the zones.
-inline wire::JobSpec service(int number, std::uint32_t tasks) {
-  auto job = array(number, tasks);
-  job.kind = wire::JobKind::service;
-  job.priority = wire::Priority::critical;
-  job.job_class = "live";
-  job.spot = false;
-  job.spread = true;
-  job.expect_s = 0;
-  return job;
+/// Share of the nodes' commits that get no response and are applied seconds later.
+inline void delay_writes_of_all_nodes(World& world, double share) {
+  for (std::size_t i = 0; i < world.node_count(); ++i) world.store(i).faults.late_writes = share;
 }
 
-inline void expect_rules(const World& world) { EXPECT_EQ(world.rules.first_broken(), ""); }
+// The state store and one node.
 
-/// What a user who asks now is told.
-inline std::optional<wire::JobState> told(World& world, const std::string& id) {
-  world.poll(id);
-  world.run_for(2);
-  return world.last_told(id);
+/// From now on the state store refuses the requests of this node alone.
+inline void refuse_state_store(World& world, std::size_t node) {
+  world.store(node).faults.refused = true;
+}
+
+/// Ends what `refuse_state_store` began.
+inline void accept_at_state_store(World& world, std::size_t node) {
+  world.store(node).faults.refused = false;
 }
 
-/// What this worker would report, for tests that speak for it.
-inline wire::WorkerHeartbeat heartbeat_of(const FakeWorker& worker, std::uint64_t epoch,
-                                          std::uint64_t sequence, std::uint64_t token) {
-  return {worker.id(), worker.id(), worker.type(), worker.zone(), worker.spot(),
-          epoch,       sequence,    token,         std::nullopt,  {}};
+// Faults of all workers.
+
+/// No message passes between the workers and the nodes. Tests that then speak for a worker use
+/// `heartbeat_of`.
+inline void cut_all_workers(World& world) {
+  for (auto& [id, worker] : world.workers) worker->cut = true;
 }
 
-/// All tasks that the leader knows there, in this state.
-inline void show_tasks(wire::WorkerHeartbeat& heartbeat, const state::Machine& machine,
-                       wire::TaskState state, wire::EndCause cause) {
-  for (const auto* task : machine.tasks)
-    heartbeat.tasks.push_back({task->job->id, task->index, task->attempt, state, cause, false});
+inline void reconnect_all_workers(World& world) {
+  for (auto& [id, worker] : world.workers) worker->cut = false;
 }
 
-inline void refuse_state(World& world, std::size_t node, bool refused) {
-  world.store(node).faults.refused = refused;
+/// The workers' heartbeats arrive, but no response and no command reaches them.
+inline void drop_responses_to_all_workers(World& world) {
+  for (auto& [id, worker] : world.workers) worker->responses_dropped = true;
 }
 
-inline void all_late_writes(World& world, double share) {
-  for (std::size_t i = 0; i < world.node_count(); ++i) world.store(i).faults.late_writes = share;
+inline void deliver_responses_to_all_workers(World& world) {
+  for (auto& [id, worker] : world.workers) worker->responses_dropped = false;
 }
 
-/// Every worker's clock, and that of each node's next process, as far off as
-/// the protocol allows.
-inline void extreme_clocks(World& world) {
-  for (auto& [id, worker] : world.workers) worker->clock = 0.9995;
+/// Every worker's clock is as slow as the protocol allows.
+inline void slow_all_worker_clocks(World& world) {
+  for (auto& [id, worker] : world.workers) worker->clock = kSlowestClock;
 }
 
 }  // namespace elmstall::test
--- a/tests/support/virtual_time.hpp
+++ b/tests/support/virtual_time.hpp
@@ -1,4 +1,5 @@
-// Time that passes only when the test lets it.
+/// \file
+/// Time that passes only when the test lets it.
 #pragma once
 
 #include <functional>
@@ -10,6 +11,8 @@
 
 namespace elmstall::test {
 
+/// Runs events in the order of their time; events of the same time run in the order in which they
+/// were added.
 class VirtualLoop {
  public:
   [[nodiscard]] double now() const { return now_; }
@@ -31,10 +34,10 @@
   std::multimap<double, std::function<void()>> events_;
 };
 
-/// The runtime of one process; nothing of it runs once the process is dead.
+/// The event loop of one controller process. Its timers do not run once it is destroyed.
 class VirtualEventLoop : public runtime::EventLoop {
  public:
-  /// `rate`: how fast its steady clock runs.
+  /// `rate`: how fast its steady clock runs; 1 is exact.
   VirtualEventLoop(VirtualLoop& loop, unsigned seed, double rate = 1)
       : loop_(loop), random_(seed), rate_(rate) {}
   [[nodiscard]] double now() const override { return loop_.now() * rate_; }
@@ -46,12 +49,13 @@
     loop_.after(seconds / rate_,
                 [this, alive = std::weak_ptr<char>(alive_), fn = std::move(fn)]() mutable {
                   if (alive.expired()) return;
-                  // Clocks run on while the process stands still; what piled up comes after.
+                  // Clocks run on while the process stands still; its timers run when it goes on.
                   if (loop_.now() < frozen_until_)
                     return after((frozen_until_ - loop_.now()) * rate_, std::move(fn));
                   fn();
                 });
   }
+  /// The process stands still for so many seconds.
   void freeze(double seconds) { frozen_until_ = loop_.now() + seconds; }
   void defer(std::function<void()> fn) override { after(0.0002, std::move(fn)); }
 
--- a/tests/support/worker.hpp
+++ b/tests/support/worker.hpp
@@ -1,4 +1,5 @@
-// A worker as the protocol page describes it, in virtual time.
+/// \file
+/// A worker as the protocol page describes it, in virtual time.
 #pragma once
 
 #include <functional>
@@ -16,40 +17,48 @@
 
 class World;
 
+/// The worker on one machine. It sends heartbeats to a node, executes commands, runs tasks for a
+/// random time, and ends all of them when its lease expires. Its faults are public members.
 class FakeWorker {
  public:
+  /// Picks a random node to send heartbeats to; `start` begins.
   FakeWorker(World& world, std::string id, std::string type, std::string zone, bool spot);
+  /// The machine is up: sends the first heartbeat.
   void start();
+  /// The machine is lost with all its tasks.
   void die();
   [[nodiscard]] bool dead() const { return dead_; }
   [[nodiscard]] const std::string& id() const { return id_; }
   [[nodiscard]] const std::string& type() const { return type_; }
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] bool spot() const { return spot_; }
-  /// Straight to this worker, whenever it arrives.
+  /// Executes a command RPC, at the moment in which it arrives.
   clients::CommandResult on_command_rpc(std::uint64_t token, std::uint64_t epoch,
                                         const std::vector<wire::WorkerCommand>& commands);
-  /// Stands still with all its tasks, and goes on later.
+  /// The machine and its tasks stand still, and go on after so many seconds.
   void hang(double seconds);
   [[nodiscard]] bool hung() const;
-  // What becomes of a gang's task here, decided for the whole gang.
+  // Called by `FakeGangs`, which decides for all tasks of a gang.
   using TaskName = std::pair<std::string, std::uint32_t>;
+  /// From now on the task, which waited for the others, is in this state.
   void show_gang_task(const TaskName& name, std::uint64_t serial, wire::TaskState state);
+  /// `saved`: the task has saved its checkpoint.
   void end_gang_task(const TaskName& name, std::uint64_t serial, wire::EndCause cause, bool saved);
-  /// It is up and has reported.
+  /// It has sent a heartbeat.
   [[nodiscard]] bool heartbeats() const { return sequence_ > 0; }
-  /// What its tasks take that wait for their image.
+  /// The resources of its tasks that wait for their image.
   [[nodiscard]] sched::Amount fetching() const;
+  /// When the machine goes on, in virtual time.
   [[nodiscard]] double hung_until() const { return hung_until_; }
-  bool cut = false;  ///< from every node
+  bool cut = false;  ///< no message passes in either direction
   bool responses_dropped =
-      false;  ///< its heartbeats arrive, but neither answers nor commands reach it
-  bool heartbeats_dropped = false;  ///< it reaches no node, while direct commands reach it
+      false;  ///< its heartbeats arrive, but no response and no command reaches it
+  bool heartbeats_dropped = false;  ///< its heartbeats reach no node, but command RPCs reach it
   double copies = 0;                ///< share of its heartbeats of which a copy comes late
   double copy_after = 0;            ///< seconds; 0: somewhere between 2 and 42
   double clock = 1;                 ///< how fast its steady clock runs
-  std::optional<double> interruption_at;
-  double fail_share = 0;  ///< of its tasks, for a faulty machine
+  std::optional<double> interruption_at;  ///< announced end of a spot machine
+  double fail_share = 0;                  ///< share of its tasks that fail
 
  private:
   struct Task {
--- /dev/null
+++ b/tests/zone_cut_test.cpp
@@ -0,0 +1,192 @@
+/// \file
+/// Zones that are cut off from each other or from everything.
+#include <gtest/gtest.h>
+
+#include "support/scenarios.hpp"
+
+namespace elmstall::test {
+namespace {
+
+using wire::JobState;
+
+/// Four controllers, two of them in each zone, with half of a job in the south;
+/// the leader is in the north.
+void start_in_both_zones(World& world) {
+  world.cloud.capacity = 30;
+  world.submit(array_in("north", 1, 4, 3000));
+  world.submit(array_in("south", 2, 4, 3000));
+  world.run_until(45);
+  lead_from_north(world);
+  ASSERT_EQ(placed(world, "job-1"), 4U);
+  ASSERT_EQ(placed(world, "job-2"), 4U);
+}
+
+/// A zone that is cut off from the state store too can record no delegation. Its controllers keep
+/// the leases of its workers for W without one, and its tasks outlive the cut.
+TEST(ZoneCut, TasksOutliveLeaderLeaseAndWorkerLease) {
+  World world(45, 4);
+  start_in_both_zones(world);
+  const auto starts = world.rules.starts();
+  const double at = world.loop.now();
+  world.cut_zone("south");
+  world.run_until(at + 30);  // W is 28.5 s, the lease 10 s
+  EXPECT_EQ(placed(world, "job-2"), 4U) << "not given up";
+  world.restore_zone("south");
+  world.run_until(at + 60);
+  EXPECT_EQ(placed(world, "job-2"), 4U);
+  EXPECT_EQ(world.rules.starts(), starts) << "nothing had to be started again";
+  expect_rules(world);
+}
+
+/// The only controller of its zone can't tell whether the zone is cut off or
+/// only itself: a worker that was sent away and is back found no other.
+TEST(ZoneCut, ALoneControllerAnswersWhoComesBack) {
+  World world(47);
+  world.cloud.capacity = 20;
+  world.submit(array_in("south", 1, 2, 3000));
+  world.run_until(45);
+  lead_from_north(world);
+  auto* worker = worker_of(world, "job-1");
+  ASSERT_NE(worker, nullptr);
+  const auto heartbeat = heartbeat_of(*worker, 1, 1, leader_of(world).token());
+  worker->cut = true;  // we speak for it
+  world.cut_zone("south");
+  world.run_for(5);
+  const auto ask = [&](double patience) {
+    const auto response = world.response_of(1, heartbeat_request(heartbeat), patience);
+    return response ? response->status : 0;
+  };
+  EXPECT_EQ(ask(4), 503);
+  EXPECT_EQ(ask(0.1), 200);
+  world.run_for(25);
+  EXPECT_NE(ask(4), 200) << "its authority is over";
+  expect_rules(world);
+}
+
+/// A longer one ends them; they are started again only when that is certain,
+/// whenever the cut ends, and whatever the machines and the controllers inside
+/// did meanwhile.
+TEST(ZoneCut, WhatIsGivenUpRunsNowhere) {
+  for (int length = 24; length < 90; length += 6) {
+    World world(700 + static_cast<unsigned>(length), 4);
+    start_in_both_zones(world);
+    auto anywhere = array(3, 6, 3000);  // may run in either zone
+    world.submit(anywhere);
+    world.run_for(30);
+    const double at = world.loop.now();
+    world.cut_zone("south");
+    world.run_until(at + 10);
+    if (length % 4 == 0) world.crash(1, 0.2);
+    if (length % 12 == 0) world.cancel("job-3");
+    world.run_until(at + length);
+    world.restore_zone("south");
+    world.run_until(at + 130);
+    EXPECT_EQ(placed(world, "job-2"), 4U) << length;
+    EXPECT_EQ(placed(world, "job-3"), length % 12 == 0 ? 0U : 6U) << length;
+    ASSERT_EQ(world.rules.first_broken(), "") << length;
+  }
+}
+
+/// Machines that died are given up at the end of their lease though all
+/// controllers of their zone are there to have answered them.
+TEST(ZoneCut, ADeadMachineWaitsForNoLeaderLease) {
+  World world(46, 4);
+  start_in_both_zones(world);
+  world.cloud.down = true;
+  auto* dead = worker_of(world, "job-2");
+  ASSERT_NE(dead, nullptr);
+  dead->die();
+  world.run_for(13.5);  // its lease is 10 s, a heartbeat 0.8 s
+  EXPECT_TRUE(machine_of(world, *dead)->tasks.empty());
+  expect_rules(world);
+}
+
+/// The zone delegate: a cut between the zones, longer than a lease.
+TEST(CutZone, AZoneDelegateKeepsItsLeases) {
+  World world(13);
+  world.submit(service(1, 4));
+  world.run_until(40);
+  ASSERT_EQ(running(world, "job-1"), 4U);
+  const auto starts = world.rules.starts();
+  world.network.part_zones();
+  world.run_until(70);
+  world.network.rejoin_zones();
+  world.run_until(90);
+  EXPECT_EQ(running(world, "job-1"), 4U);
+  EXPECT_EQ(world.rules.starts(), starts) << "no replica was lost to the cut";
+  expect_rules_and_starts(world);
+}
+
+/// A cancellation during the cut: the zone delegate stops its tasks.
+TEST(CutZone, AZoneDelegateHonoursCancellations) {
+  World world(14);
+  world.submit(service(1, 4));
+  world.run_until(40);
+  world.network.part_zones();
+  world.run_until(50);
+  world.cancel("job-1");
+  world.run_until(95);  // checked all the time: nothing is left after 40 s
+  world.network.rejoin_zones();
+  world.run_until(110);
+  expect_rules_and_starts(world);
+}
+
+/// With workers and a controller, for longer than a lease, while jobs that run
+/// there are cancelled outside: the zone can't hear of it.
+TEST(ZonePartition, WhatIsCancelledOutsideEndsInsideInTime) {
+  for (int length = 8; length < 80; length += 6) {
+    World world(2900 + static_cast<unsigned>(length), 4);
+    world.cloud.capacity = 30;
+    world.submit(array_in("south", 1, 4, 3000));
+    world.submit(array_in("north", 2, 4, 3000));
+    world.run_until(45);
+    if (length % 4 == 0) lead_from_north(world);
+    const double at = world.loop.now();
+    world.cut_zone("south");
+    world.run_until(at + 1 + length % 5);
+    ASSERT_TRUE(world.cancel_at(0, "job-1", 5) || world.cancel_at(2, "job-1", 5));
+    world.run_until(at + length);
+    world.restore_zone("south");
+    world.run_until(at + 150);
+    EXPECT_EQ(told(world, "job-1"), JobState::cancelled) << length;
+    EXPECT_EQ(placed(world, "job-2"), 4U) << length;
+    ASSERT_EQ(world.rules.first_broken(), "") << length;
+  }
+}
+
+/// The transaction of a delegation that was given up is applied after the next one's:
+/// it must not hang the record on a lease that nobody renews.
+TEST(ZonePartition, ADelegationWrittenLateDoesNotReplaceTheNext) {
+  World world(2990);
+  world.cloud.capacity = 20;
+  world.submit(array_in("south", 1, 2, 3000));
+  world.run_until(45);
+  lead_from_north(world);
+  const auto* worker = worker_of(world, "job-1");
+  ASSERT_NE(worker, nullptr);
+  cut_all_workers(world);  // we speak for them
+  auto heartbeat = heartbeat_of(*worker, 1, 1000, leader_of(world).token());
+  const auto send = [&] {
+    ++heartbeat.sequence;
+    world.send_to_node(1, heartbeat_request(heartbeat), [](const net::Response&) {});
+  };
+  world.network.part_zones();
+  world.run_for(3);
+  // The first attempt seems lost, and is applied when the second has its record.
+  world.store(1).faults = {false, 0, 0, 1, 3.6};
+  send();
+  world.run_for(1.7);
+  world.store(1).faults = {};
+  send();
+  world.run_for(0.1);
+  const auto delegation = store::delegation_key("node-1");
+  ASSERT_TRUE(world.state.items().contains(delegation));
+  for (int i = 0; i < 60; ++i) {
+    world.run_for(0.1);
+    ASSERT_TRUE(world.state.items().contains(delegation))
+        << "a delegate that may respond has its record";
+  }
+}
+
+}  // namespace
+}  // namespace elmstall::test
