--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -52,6 +52,21 @@
 /// were kept for a gang, and the process ended.
 INSTANTIATE_TEST_SUITE_P(Found, FallingLimits, ::testing::Values(374U));
 
+/// Writes the record of an accepted job into the state store.
+void store_job_record(World& world, const wire::JobSpec& job) {
+  wire::Transaction transaction;
+  transaction.writes = {
+      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
+  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
+}
+
+/// A job whose record is as large as the limits allow at first, and too large for the lower ones.
+wire::JobSpec job_with_large_record() {
+  auto job = array(1, 2);
+  for (int i = 0; i < 80; ++i) job.types.push_back("m12");
+  return job;
+}
+
 /// Accepted under the larger limit, as an earlier version would have: its record
 /// can't be written again as it is.
 TEST(LargeJobRecord, IsCancelledAndEndedUnderTheSmallerLimit) {
@@ -62,10 +77,7 @@
   for (int i = 0; i < 55; ++i) job.types.push_back("m12");
   world.expect(job);
   world.rules.told_accepted(world.loop.now(), job.id);
-  wire::Transaction transaction;
-  transaction.writes = {
-      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
+  ASSERT_NO_FATAL_FAILURE(store_job_record(world, job));
   world.run_until(40);
   ASSERT_EQ(placed(world, "job-1"), 2U);
   world.lower_state_limits();
@@ -80,15 +92,10 @@
 TEST(LargeJobRecord, IsRefusedAtOnceByEveryControllerAndItsRepeatToo) {
   World world(902, 3, kLowerLimits);
   world.run_until(5);
-  auto job = array(1, 2);
-  // As large as a record may be now, and larger than it may be then.
-  for (int i = 0; i < 80; ++i) job.types.push_back("m12");
-  wire::Packer packer;
-  wire::pack_job(packer, job);
-  const auto body = packer.take();
+  const auto job = job_with_large_record();
   for (std::size_t node = 0; node < 3; ++node) {
     for (int time = 0; time < 2; ++time) {
-      const auto response = world.response_of(node, {"POST", "/api/jobs", body}, 0.5);
+      const auto response = world.response_of(node, submit_request(job), 0.5);
       ASSERT_TRUE(response);
       EXPECT_EQ(response->status, 422);
     }
@@ -98,12 +105,8 @@
 TEST(LargeJobRecord, OfAnAcceptedJobKeepsItsAnswer) {
   World world(903, 3, kLowerLimits);
   world.run_until(5);
-  auto job = array(1, 2);
-  for (int i = 0; i < 80; ++i) job.types.push_back("m12");
-  wire::Transaction transaction;
-  transaction.writes = {
-      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
+  const auto job = job_with_large_record();
+  ASSERT_NO_FATAL_FAILURE(store_job_record(world, job));
   world.run_until(8);
   const auto response = world.response_of(1, submit_request(job), 1);
   ASSERT_TRUE(response);
--- a/tests/zone_cut_test.cpp
+++ b/tests/zone_cut_test.cpp
@@ -21,6 +21,14 @@
   ASSERT_EQ(placed(world, "job-2"), 4U);
 }
 
+/// A job in the south, while the leader is in the north.
+void start_in_south(World& world) {
+  world.cloud.capacity = 20;
+  world.submit(array_in("south", 1, 2, 3000));
+  world.run_until(45);
+  lead_from_north(world);
+}
+
 /// A zone that is cut off from the state store too can record no delegation. Its controllers keep
 /// the leases of its workers for W without one, and its tasks outlive the cut.
 TEST(ZoneCut, TasksOutliveLeaderLeaseAndWorkerLease) {
@@ -42,10 +50,7 @@
 /// only itself: a worker that was sent away and is back found no other.
 TEST(ZoneCut, ALoneControllerAnswersWhoComesBack) {
   World world(47);
-  world.cloud.capacity = 20;
-  world.submit(array_in("south", 1, 2, 3000));
-  world.run_until(45);
-  lead_from_north(world);
+  start_in_south(world);
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   const auto heartbeat = heartbeat_of(*worker, 1, 1, leader_of(world).token());
@@ -158,10 +163,7 @@
 /// it must not hang the record on a lease that nobody renews.
 TEST(ZonePartition, ADelegationWrittenLateDoesNotReplaceTheNext) {
   World world(2990);
-  world.cloud.capacity = 20;
-  world.submit(array_in("south", 1, 2, 3000));
-  world.run_until(45);
-  lead_from_north(world);
+  start_in_south(world);
   const auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   cut_all_workers(world);  // we speak for them
