--- a/tests/support/fake_cloud.cpp
+++ b/tests/support/fake_cloud.cpp
@@ -1,6 +1,8 @@
 #include "support/fake_cloud.hpp"
 
 #include <algorithm>
+#include <array>
+#include <cstdio>
 
 #include "support/world.hpp"
 
@@ -36,7 +38,8 @@
   return later == history_.begin() ? wire::CloudPage{} : std::prev(later)->second;
 }
 
-void FakeCloud::list(const std::string&, std::function<void(std::optional<wire::CloudPage>)> done) {
+void FakeCloud::list(const std::string& /*since*/,
+                     std::function<void(std::optional<wire::CloudPage>)> done) {
   history_[world_.loop.now()] = current_page();
   const double lag = world_.settings.list_lag_s * (1 + world_.random());
   world_.loop.after(kResponseDelay,
@@ -66,8 +69,9 @@
 }
 
 std::string FakeCloud::rent_one(const std::string& type, const std::string& zone, bool spot) {
-  char id[32];
-  std::snprintf(id, sizeof id, "host-%06zu", world_.workers.size());
+  std::array<char, 32> buffer{};
+  std::snprintf(buffer.data(), buffer.size(), "host-%06zu", world_.workers.size());
+  std::string id = buffer.data();
   auto& worker = world_.workers[id] = std::make_unique<FakeWorker>(world_, id, type, zone, spot);
   // One in ten is up almost at once.
   const double boot_factor = world_.random() < 0.1 ? 0.1 : 0.67 + 0.67 * world_.random();
