--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -1,5 +1,6 @@
-// Whole controllers over loopback: real HTTP, peer network and clients against the
-// stand-ins of state service, cloud and workers.
+/// \file
+/// Whole controllers over loopback: real HTTP, peer network and clients against the
+/// simulations of the state store, cloud and workers.
 #include <gtest/gtest.h>
 
 #include "app/controller_process.hpp"
@@ -45,7 +46,8 @@
           std::make_unique<net::HttpClient>(io_, config::parse_endpoint(api[i]), 16));
       controllers_.push_back(std::make_unique<app::ControllerProcess>(io_, settings_.back()));
     }
-    world_.carry = [this](std::size_t node, net::Request request, net::Responder respond) {
+    world_.outside_delivery = [this](std::size_t node, net::Request request,
+                                     net::Responder respond) {
       clients_[node]->request(request.method, request.path, std::move(request.body), 4,
                               [respond](const net::Reply& reply) {
                                 respond({reply.status == 0 ? 503 : reply.status, reply.body, 0});
@@ -60,7 +62,7 @@
     return "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
   }
 
-  /// Lets the stand-ins' time pass with the real one.
+  /// Lets virtual time pass with real time.
   void step() {
     const auto now = std::chrono::steady_clock::now();
     world_.loop.run_until(std::chrono::duration<double>(now - started_).count());
@@ -141,7 +143,7 @@
   EXPECT_TRUE(becomes("job-2", wire::JobState::done, 45));
   EXPECT_EQ(ask(0, "POST", "/api/jobs/job-2/cancel").status, 200);
   EXPECT_TRUE(becomes("job-2", wire::JobState::done, 5)) << "done stays done";
-  EXPECT_TRUE(world_.rules.broken().empty()) << world_.rules.broken().front();
+  EXPECT_EQ(world_.rules.first_broken(), "");
 }
 
 }  // namespace
--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -1,6 +1,7 @@
-// Limits of the state service that are announced and fall at any moment, with
-// gangs and with faults around it: nothing is refused for its size, and the
-// rules hold.
+/// \file
+/// Limits of the state store that are announced and fall at any moment, with
+/// gangs and with faults around it: nothing is refused for its size, and the
+/// rules hold.
 #include <gtest/gtest.h>
 
 #include "support/histories.hpp"
@@ -14,7 +15,7 @@
 TEST_P(FallingLimits, TheRulesHoldAndNothingIsTooLarge) {
   const auto seed = GetParam();
   World world(90'000 + seed, 3 + seed % 3, kLowerLimits);
-  world.loss = 0.01;
+  world.network.loss = 0.01;
   world.cloud.capacity = 40;
   std::string story;
   int jobs = 0;
@@ -40,8 +41,7 @@
       story += begin_some_fault(world, t);
       next_fault = t + 8 + world.random() * 25;
     }
-    ASSERT_TRUE(world.rules.broken().empty())
-        << "at " << t << " s: " << world.rules.broken().front() << story;
+    ASSERT_EQ(world.rules.first_broken(), "") << "at " << t << " s" << story;
   }
   expect_nothing_left(world, jobs, 245, story);
   EXPECT_EQ(world.state.rejected, 0U) << story;
@@ -52,6 +52,21 @@
 /// were kept for a gang, and the process ended.
 INSTANTIATE_TEST_SUITE_P(Found, FallingLimits, ::testing::Values(374U));
 
+/// Writes the record of an accepted job into the state store.
+void store_job_record(World& world, const wire::JobSpec& job) {
+  wire::Transaction transaction;
+  transaction.writes = {
+      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
+  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
+}
+
+/// A job whose record is as large as the limits allow at first, and too large for the lower ones.
+wire::JobSpec job_with_large_record() {
+  auto job = array(1, 2);
+  for (int i = 0; i < 80; ++i) job.types.push_back("m12");
+  return job;
+}
+
 /// Accepted under the larger limit, as an earlier version would have: its record
 /// can't be written again as it is.
 TEST(LargeJobRecord, IsCancelledAndEndedUnderTheSmallerLimit) {
@@ -62,15 +77,12 @@
   for (int i = 0; i < 55; ++i) job.types.push_back("m12");
   world.expect(job);
   world.rules.told_accepted(world.loop.now(), job.id);
-  wire::Transaction transaction;
-  transaction.writes = {
-      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
+  ASSERT_NO_FATAL_FAILURE(store_job_record(world, job));
   world.run_until(40);
   ASSERT_EQ(placed(world, "job-1"), 2U);
   world.lower_state_limits();
   EXPECT_TRUE(world.cancel_at(0, "job-1"));
-  world.run_until(world.loop.now() + 30);
+  world.run_for(30);
   EXPECT_EQ(placed(world, "job-1"), 0U);
   EXPECT_EQ(told(world, "job-1"), wire::JobState::cancelled);
   EXPECT_EQ(world.state.rejected, 0U);
@@ -80,17 +92,12 @@
 TEST(LargeJobRecord, IsRefusedAtOnceByEveryControllerAndItsRepeatToo) {
   World world(902, 3, kLowerLimits);
   world.run_until(5);
-  auto job = array(1, 2);
-  // As large as a record may be now, and larger than it may be then.
-  for (int i = 0; i < 80; ++i) job.types.push_back("m12");
-  wire::Packer packer;
-  wire::pack_job(packer, job);
-  const auto body = packer.take();
+  const auto job = job_with_large_record();
   for (std::size_t node = 0; node < 3; ++node) {
     for (int time = 0; time < 2; ++time) {
-      const auto answer = world.answer_of(node, {"POST", "/api/jobs", body}, 0.5);
-      ASSERT_TRUE(answer);
-      EXPECT_EQ(answer->status, 422);
+      const auto response = world.response_of(node, submit_request(job), 0.5);
+      ASSERT_TRUE(response);
+      EXPECT_EQ(response->status, 422);
     }
   }
 }
@@ -98,18 +105,12 @@
 TEST(LargeJobRecord, OfAnAcceptedJobKeepsItsAnswer) {
   World world(903, 3, kLowerLimits);
   world.run_until(5);
-  auto job = array(1, 2);
-  for (int i = 0; i < 80; ++i) job.types.push_back("m12");
-  wire::Transaction transaction;
-  transaction.writes = {
-      {store::job_key(job.id), store::encode(store::JobRecord{job, false, 0}), 0}};
-  ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
+  const auto job = job_with_large_record();
+  ASSERT_NO_FATAL_FAILURE(store_job_record(world, job));
   world.run_until(8);
-  wire::Packer packer;
-  wire::pack_job(packer, job);
-  const auto answer = world.answer_of(1, {"POST", "/api/jobs", packer.take()}, 1);
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->status, 200);
+  const auto response = world.response_of(1, submit_request(job), 1);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->status, 200);
 }
 
 }  // namespace
