--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -2,6 +2,7 @@
 /// Whole controllers over loopback: real HTTP, peer network and clients against the
 /// simulations of the state store, cloud and workers.
 #include <gtest/gtest.h>
+#include <unistd.h>
 
 #include "app/controller_process.hpp"
 #include "config/endpoint.hpp"
@@ -57,9 +58,15 @@
   }
 
   /// A port that was free a moment ago.
+  /// An address that nothing else binds to. The controller binds to it some time after it
+  /// was found free, and tests run in parallel: on 127.0.0.1 another process once took the
+  /// port in between. So the host part is this process's own, within the loopback range.
   std::string free_address() {
-    asio::ip::tcp::acceptor probe(io_, {asio::ip::make_address("127.0.0.1"), 0});
-    return "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
+    const auto pid = static_cast<unsigned>(::getpid());
+    const auto host = "127." + std::to_string(1 + (pid >> 16) % 250) + "." +
+                      std::to_string((pid >> 8) % 256) + "." + std::to_string(pid % 256);
+    const asio::ip::tcp::acceptor probe(io_, {asio::ip::make_address(host), 0});
+    return host + ":" + std::to_string(probe.local_endpoint().port());
   }
 
   /// Lets virtual time pass with real time.
