--- a/src/autoscaler/demand_estimator.cpp
+++ b/src/autoscaler/demand_estimator.cpp
@@ -83,8 +83,8 @@
   const double run_s = estimates_.run_time(job.spec.job_class, job.spec.expect_s);
   for (const auto& [number, block] : job.blocks) {
     for (const auto& task : block->tasks) {
-      if (task.phase != state::Phase::assigned) continue;
-      const double ran_s = task.running_since == state::kNever ? 0 : now - task.running_since;
+      if (!task.may_be_on_machine()) continue;
+      const double ran_s = task.has_run() ? now - task.running_since() : 0;
       if (run_s - ran_s < within_s) count += 1;
     }
   }
--- a/src/autoscaler/zone_planner.cpp
+++ b/src/autoscaler/zone_planner.cpp
@@ -110,7 +110,7 @@
   for (const auto& [number, block] : job.blocks) {
     waiting += static_cast<double>(
         std::count_if(block->tasks.begin(), block->tasks.end(),
-                      [](const state::Task& task) { return task.phase == state::Phase::pending; }));
+                      [](const state::Task& task) { return task.is_pending(); }));
   }
   return std::ceil(waiting / *packed);
 }
--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -15,9 +15,9 @@
   for (const auto* task : machine.tasks) {
     if (commands.size() >= k::kMaxCommands) break;
     const bool may_be_there =
-        task->phase == state::Phase::assigned && task->stopping && task->job->cancelled;
+        task->may_be_on_machine() && task->is_stopping() && task->job->cancelled;
     if (may_be_there)
-      commands.push_back({Verb::stop, task->job->id, task->index, task->attempt, 0});
+      commands.push_back({Verb::stop, task->job->id, task->index, task->attempt(), 0});
   }
   return commands;
 }
@@ -43,15 +43,18 @@
 void CommandComposer::add_stop(state::Task& task, double now, Commands& commands) {
   // A task that saves is left alone unless its work is of no use. One that
   // waits for its gang to have saved may be reported as running.
-  if (task.grace_period_s > 0) {
-    if (task.state == TaskState::checkpointing || now < task.stop_sent + k::kStopRepeat) return;
-    task.stop_sent = now;
+  if (task.grace_period_s() > 0) {
+    if (task.reported_state() == TaskState::checkpointing ||
+        now < task.stop_sent_at() + k::kStopRepeat)
+      return;
+    task.mark_stop_sent(now);
   }
-  commands.push_back({Verb::stop, task.job->id, task.index, task.attempt, task.grace_period_s});
+  commands.push_back({Verb::stop, task.job->id, task.index, task.attempt(), task.grace_period_s()});
 }
 
 bool CommandComposer::run_due(const state::Task& task, const state::Machine& machine) {
-  if (task.in_last_heartbeat || task.block->record->written < task.required_version) return false;
+  if (task.in_last_heartbeat() || task.block->record->written < task.required_version())
+    return false;
   if (task.job->is_gang() && !gangs_.may_run(task)) return false;
   // While the machine knows an earlier attempt it would refuse this one.
   return std::none_of(
@@ -70,12 +73,12 @@
   add_clears(machine, commands);
   for (auto* task : machine.tasks) {
     if (commands.size() >= k::kMaxCommands) break;
-    if (task->phase != state::Phase::assigned || task->job->cancelled) continue;
-    if (task->stopping) {
+    if (!task->may_be_on_machine() || task->job->cancelled) continue;
+    if (task->is_stopping()) {
       add_stop(*task, now, commands);
     } else if (starting && run_due(*task, machine)) {
-      commands.push_back({Verb::run, task->job->id, task->index, task->attempt, 0});
-      task->run_sent = true;
+      commands.push_back({Verb::run, task->job->id, task->index, task->attempt(), 0});
+      task->mark_run_sent();
     }
   }
   return commands;
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -10,7 +10,6 @@
 namespace k = constants;
 using reconcile::HeartbeatReader;
 using reconcile::HeartbeatSource;
-using state::Phase;
 
 namespace {
 
@@ -28,8 +27,8 @@
 /// Whether a task there waits to be started or stopped.
 bool awaits_commands(const state::Machine& machine) {
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const state::Task* task) {
-    const bool awaits_start = !task->in_last_heartbeat && !task->job->cancelled;
-    return task->phase == Phase::assigned && (task->stopping || awaits_start);
+    const bool awaits_start = !task->in_last_heartbeat() && !task->job->cancelled;
+    return task->may_be_on_machine() && (task->is_stopping() || awaits_start);
   });
 }
 
--- a/src/placement/direct_placement.cpp
+++ b/src/placement/direct_placement.cpp
@@ -44,9 +44,9 @@
   auto progress = Progress::settled;
   for (std::uint32_t number = 0; number < job.block_count; ++number) {
     for (auto& task : model_.load_block(job, number, nullptr).tasks) {
-      if (task.phase != state::Phase::pending) continue;
+      if (!task.is_pending()) continue;
       progress = Progress::still_open;
-      if (task.not_before > now || !model_.recordable(task)) continue;
+      if (task.not_before() > now || !model_.recordable(task)) continue;
       // All tasks of a job have the same needs: if this one can't be placed, nor can the others.
       if (!place_task(task, now)) return progress;
     }
@@ -58,7 +58,7 @@
   auto& job = *task.job;
   if (!state::Model::within_quota(job)) return false;
   if (auto* machine = best_machine_with_room(job)) {
-    model_.assign(task, *machine, now);
+    model_.assign(task, *machine);
     return true;
   }
   const auto plan = preemption_.find(job, now);
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -15,7 +15,7 @@
 bool may_start(const state::Model& model, const state::Task& task, const state::Machine& machine,
                double now) {
   const auto& job = *task.job;
-  return task.phase == state::Phase::pending && task.not_before <= now && job.failed_until <= now &&
+  return task.is_pending() && task.not_before() <= now && job.failed_until <= now &&
          !job.cancelled && state::Model::allowed(job, machine) && job.need.fits(machine.room()) &&
          state::Model::within_quota(job) && model.recordable(task);
 }
@@ -29,7 +29,7 @@
 sched::Amount use_without_planned(const state::Machine& machine) {
   sched::Amount use = machine.unrecorded_use;
   for (const auto* task : machine.tasks) {
-    if (task->phase == state::Phase::assigned) use += task->job->need;
+    if (task->may_be_on_machine()) use += task->job->need;
   }
   return use;
 }
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -22,11 +22,9 @@
 /// Seconds. No part of a replacement's time is spent on fetching.
 constexpr double kNoFetch = 0;
 
-bool is_lost(const state::Task* task) { return task->phase == state::Phase::pending; }
+bool is_lost(const state::Task* task) { return task->is_pending(); }
 
-bool is_running(const state::Task* task) {
-  return task->phase == state::Phase::assigned && task->running_since != state::kNever;
-}
+bool is_running(const state::Task* task) { return task->may_be_on_machine() && task->has_run(); }
 
 }  // namespace
 
@@ -34,13 +32,13 @@
                          const GangPlaces& places, double now) {
   auto& gang = job.gang;
   std::uint64_t last_attempt = gang.attempt;
-  for (const auto* task : tasks) last_attempt = std::max(last_attempt, task->attempt);
+  for (const auto* task : tasks) last_attempt = std::max(last_attempt, task->attempt());
   gang.attempt = last_attempt + 1;
   gang.committed = false;
   gang.broken = false;
   gang.gathering_since = std::numeric_limits<double>::infinity();
   put_tasks_in_places(job, tasks, places, [&](state::Task& task, state::Machine& machine) {
-    model_.assign(task, machine, gang.attempt, now);
+    model_.assign(task, machine, gang.attempt);
   });
   change_gang_state(job, GangState::starting, now);
   spdlog::info("gang {} starts attempt {} on {} machines", job.id, gang.attempt, places.size());
@@ -52,8 +50,8 @@
   // All tasks are looked at until they are committed; from then on the result is remembered.
   const auto tasks = load_gang_tasks(model_, job);
   gang.committed = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
-    return task->phase == state::Phase::assigned && task->attempt == gang.attempt &&
-           task->block->record->written >= task->required_version;
+    return task->may_be_on_machine() && task->attempt() == gang.attempt &&
+           task->block->record->written >= task->required_version();
   });
   return gang.committed;
 }
@@ -78,9 +76,10 @@
   // a heartbeat that was sent after the machine was told to run it.
   const auto tasks = load_gang_tasks(model_, job);
   return std::all_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
-    if (task->phase != state::Phase::assigned || !task->run_sent) return true;
-    const bool waits = task->state == TaskState::fetching || task->state == TaskState::gathering;
-    return task->in_last_heartbeat && waits && task->machine->synchronized;
+    if (!task->may_be_on_machine() || !task->run_sent()) return true;
+    const bool waits = task->reported_state() == TaskState::fetching ||
+                       task->reported_state() == TaskState::gathering;
+    return task->in_last_heartbeat() && waits && task->machine()->synchronized;
   });
 }
 
@@ -119,11 +118,11 @@
   const auto lost_tasks = load_pending_gang_tasks(model_, job);
   if (!time_for_replacement(job, kNoFetch, now)) return end(job, "time is short", now);
   for (auto* task : lost_tasks) {
-    if (task->not_before > now) return;
+    if (task->not_before() > now) return;
     auto* machine = machine_for_replacement(job, with_room, now);
     if (machine == nullptr) return;
     spdlog::info("gang {}: task {} starts again on machine {}", job.id, task->index, machine->id);
-    model_.assign(*task, *machine, gang.attempt, now);
+    model_.assign(*task, *machine, gang.attempt);
   }
 }
 
@@ -147,8 +146,8 @@
 
 void GangAttempts::complete(state::Job& job, double now) {
   for (const auto* task : load_gang_tasks(model_, job)) {
-    if (task->running_since == state::kNever) continue;
-    estimates_.learn(job.spec.job_class, job.spec.expect_s, now - task->running_since);
+    if (!task->has_run()) continue;
+    estimates_.learn(job.spec.job_class, job.spec.expect_s, now - task->running_since());
     break;  // All tasks of a gang run for the same time, so one of them is enough.
   }
   for (const auto& [number, block] : job.blocks) {
@@ -157,8 +156,8 @@
     const std::size_t task_count = block->tasks.size();
     for (std::size_t i = 0; i < task_count; ++i) {
       auto& task = block->tasks[i];
-      if (task.phase == state::Phase::planned) model_.unplan(task);
-      if (task.phase != state::Phase::done) model_.complete(task);
+      if (task.is_planned()) model_.unplan(task);
+      if (!task.is_done()) model_.complete(task);
     }
   }
   change_gang_state(job, GangState::done, now);
--- a/src/placement/gang_claims.cpp
+++ b/src/placement/gang_claims.cpp
@@ -42,7 +42,7 @@
 bool GangClaims::lost_place(const state::Job& job, const std::vector<state::Task*>& tasks,
                             double now) const {
   return std::any_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
-    if (task->phase == state::Phase::planned) return !is_usable(*task->machine, now, settings_);
+    if (task->is_planned()) return !is_usable(*task->machine(), now, settings_);
     // Only a reservation may have tasks without a place.
     return !has_reservation(job);
   });
@@ -88,7 +88,7 @@
 
 bool GangClaims::places_are_free(const std::vector<state::Task*>& tasks) {
   std::map<const state::Machine*, sched::Amount> need_by_machine;
-  for (const auto* task : tasks) need_by_machine[task->machine] += task->job->need;
+  for (const auto* task : tasks) need_by_machine[task->machine()] += task->job->need;
   return std::all_of(need_by_machine.begin(), need_by_machine.end(), [](const auto& entry) {
     const auto& [machine, need] = entry;
     return need.fits(machine->capacity - use_without_planned(*machine));
@@ -98,7 +98,7 @@
 void GangClaims::start_on_claimed_places(state::Job& job, const std::vector<state::Task*>& tasks,
                                          double now) {
   GangPlaces places;
-  for (const auto* task : tasks) places.push_back({task->machine, 1});
+  for (const auto* task : tasks) places.push_back({task->machine(), 1});
   unplan_tasks(model_, tasks);
   attempts_.start(job, tasks, places, now);
 }
--- a/src/placement/gang_coordinator.cpp
+++ b/src/placement/gang_coordinator.cpp
@@ -32,9 +32,9 @@
 void GangCoordinator::recover(state::Job& job, double now) const {
   auto& gang = job.gang;
   const auto tasks = gang_tasks_in_memory(job);
-  for (const auto* task : tasks) gang.attempt = std::max(gang.attempt, task->attempt);
+  for (const auto* task : tasks) gang.attempt = std::max(gang.attempt, task->attempt());
   const bool on_machines = std::any_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
-    return task->phase == state::Phase::assigned;
+    return task->may_be_on_machine();
   });
   if (!on_machines) return;
   // The heartbeats will show whether the tasks run already. Those that still wait for the others
@@ -47,13 +47,13 @@
 void GangCoordinator::on_state(state::Task& task, TaskState state, double now) {
   auto& job = *task.job;
   auto& gang = job.gang;
-  if (task.attempt != gang.attempt || job.cancelled) return;
+  if (task.attempt() != gang.attempt || job.cancelled) return;
   if (state == TaskState::gathering) {
     gang.gathering_since = std::min(gang.gathering_since, now);
   } else if (state == TaskState::running && !gang.broken) {
     gang.broken = true;
     model_.open().insert(&job);
-  } else if (state == TaskState::checkpointing && !task.stopping) {
+  } else if (state == TaskState::checkpointing && !task.is_stopping()) {
     // A former leader has told this task to stop. The other tasks must be told in time to write
     // their checkpoints, too.
     if (gang.state == GangState::starting) change_gang_state(job, GangState::running, now);
@@ -63,8 +63,8 @@
 
 void GangCoordinator::avoid_slow_machines(state::Job& job) {
   for (const auto* task : gang_tasks_in_memory(job)) {
-    if (task->phase == state::Phase::assigned && task->state == TaskState::fetching)
-      job.gang.avoided.insert(task->machine->id);
+    if (task->may_be_on_machine() && task->reported_state() == TaskState::fetching)
+      job.gang.avoided.insert(task->machine()->id);
   }
 }
 
@@ -72,10 +72,10 @@
   auto& job = *task.job;
   auto& gang = job.gang;
   const bool refused = is_refusal(cause);
-  if (refused || cause == EndCause::error) gang.avoided.insert(task.machine->id);
+  if (refused || cause == EndCause::error) gang.avoided.insert(task.machine()->id);
   if (refused) {
     // The other tasks may still be waiting, so a replacement can complete the attempt.
-    task.not_before = std::max(task.not_before, now + constants::kGangRefusedPause);
+    task.postpone(now + constants::kGangRefusedPause);
   } else {
     gang.broken = true;
   }
@@ -129,8 +129,9 @@
   auto& gang = job.gang;
   if (now < gang.tried_at + constants::kGangRetryInterval) return;
   const auto tasks = load_pending_gang_tasks(model_, job);
-  const bool may_start_now = std::all_of(
-      tasks.begin(), tasks.end(), [&](const state::Task* task) { return task->not_before <= now; });
+  const bool may_start_now = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
+    return task->not_before() <= now;
+  });
   if (!may_start_now || !gang_within_quota(job, tasks.size())) return;
   gang.tried_at = now;
   const auto sites = sites_.free_sites(job, with_room);
@@ -145,7 +146,7 @@
 
 bool GangCoordinator::may_run(const state::Task& task) {
   const auto& gang = task.job->gang;
-  if (gang.state != GangState::starting || task.attempt != gang.attempt) return false;
+  if (gang.state != GangState::starting || task.attempt() != gang.attempt) return false;
   return attempts_.is_committed(*task.job);
 }
 
--- a/src/placement/gang_sites.cpp
+++ b/src/placement/gang_sites.cpp
@@ -21,7 +21,7 @@
 /// Whether a task of another image is fetching it there, which would slow down a fetch for the job.
 bool fetches_other_image(const state::Job& job, const state::Machine& machine) {
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const state::Task* task) {
-    return task->phase == state::Phase::assigned && task->state == wire::TaskState::fetching &&
+    return task->may_be_on_machine() && task->reported_state() == wire::TaskState::fetching &&
            task->job->image != job.image;
   });
 }
--- a/src/placement/gang_tasks.cpp
+++ b/src/placement/gang_tasks.cpp
@@ -30,14 +30,13 @@
 
 std::vector<state::Task*> load_pending_gang_tasks(state::Model& model, state::Job& job) {
   auto tasks = load_gang_tasks(model, job);
-  std::erase_if(tasks,
-                [](const state::Task* task) { return task->phase != state::Phase::pending; });
+  std::erase_if(tasks, [](const state::Task* task) { return !task->is_pending(); });
   return tasks;
 }
 
 void unplan_tasks(state::Model& model, const std::vector<state::Task*>& tasks) {
   for (auto* task : tasks) {
-    if (task->phase == state::Phase::planned) model.unplan(*task);
+    if (task->is_planned()) model.unplan(*task);
   }
 }
 
--- a/src/placement/job_queues.cpp
+++ b/src/placement/job_queues.cpp
@@ -54,7 +54,7 @@
   const auto position = queue_position(settings_, estimates_, job, now);
   std::vector<sched::Queued> entries;
   for (auto* task : tasks) {
-    task->listed = true;
+    task->set_queued(true);
     entries.push_back(position.entry(task->id));
   }
   group->push_block(entries, eligibility());
@@ -64,10 +64,10 @@
   Enqueued result;
   std::vector<state::Task*> unqueued;
   for (auto& task : block.tasks) {
-    if (task.phase != state::Phase::pending) continue;
+    if (!task.is_pending()) continue;
     ++result.pending;
-    if (task.listed) continue;
-    if (task.not_before <= now) {
+    if (task.queued()) continue;
+    if (task.not_before() <= now) {
       unqueued.push_back(&task);
     } else {
       result.complete = false;
@@ -75,7 +75,7 @@
   }
   push(job, unqueued, now);
   const bool some_left = std::any_of(unqueued.begin(), unqueued.end(),
-                                     [](const state::Task* task) { return !task->listed; });
+                                     [](const state::Task* task) { return !task->queued(); });
   if (some_left) result.complete = false;
   return result;
 }
@@ -107,7 +107,8 @@
 }
 
 void JobQueues::dequeue(state::Task& task) {
-  if (!std::exchange(task.listed, false)) return;
+  if (!task.queued()) return;
+  task.set_queued(false);
   for (auto& [name, group] : groups_) {
     if (group.remove(task.id)) break;
   }
--- a/src/placement/machine_index.cpp
+++ b/src/placement/machine_index.cpp
@@ -29,7 +29,7 @@
 std::size_t tasks_in_transit(const state::Machine& machine) {
   const auto count =
       std::count_if(machine.tasks.begin(), machine.tasks.end(), [](const state::Task* task) {
-        return task->phase == state::Phase::assigned && !task->in_last_heartbeat;
+        return task->may_be_on_machine() && !task->in_last_heartbeat();
       });
   return static_cast<std::size_t>(count);
 }
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -14,7 +14,7 @@
 
 bool may_preempt(const state::Job& job, const state::Task& victim) {
   const auto& other = *victim.job;
-  if (victim.phase != state::Phase::assigned || victim.stopping) return false;
+  if (!victim.may_be_on_machine() || victim.is_stopping()) return false;
   const bool victim_has_higher_priority = other.spec.priority > job.spec.priority;
   const bool victim_has_lower_priority = other.spec.priority < job.spec.priority;
   if (other.spec.team == job.spec.team) return victim_has_lower_priority;
@@ -30,10 +30,10 @@
 }
 
 double lost_work_s(const state::Task& victim, double now) {
-  if (victim.running_since == state::kNever) return 0;
+  if (!victim.has_run()) return 0;
   const auto& spec = victim.job->spec;
   const double lost_s =
-      spec.checkpoint_every_s > 0 ? spec.checkpoint_s : now - victim.running_since;
+      spec.checkpoint_every_s > 0 ? spec.checkpoint_s : now - victim.running_since();
   return victim.job->is_gang() ? lost_s * spec.tasks : lost_s;
 }
 
--- a/src/placement/preemption_search.cpp
+++ b/src/placement/preemption_search.cpp
@@ -53,7 +53,7 @@
   for (auto* task : planned) {
     const auto& job = *task->job;
     if (job.is_gang()) continue;
-    auto& machine = *task->machine;
+    auto& machine = *task->machine();
     if (!is_usable(machine, now, settings_)) {
       model_.unplan(*task);
       continue;
@@ -61,7 +61,7 @@
     if (!job.need.fits(machine.capacity - use_without_planned(machine))) continue;
     model_.unplan(*task);
     if (state::Model::allowed(job, machine) && state::Model::within_quota(job))
-      model_.assign(*task, machine, now);
+      model_.assign(*task, machine);
   }
 }
 
@@ -84,8 +84,7 @@
 
 void PreemptionSearch::preempt_for_queued_task(state::Task& task, double now) {
   auto& job = *task.job;
-  if (task.phase != state::Phase::pending || task.not_before > now || job.failed_until > now)
-    return;
+  if (!task.is_pending() || task.not_before() > now || job.failed_until > now) return;
   if (!is_guaranteed(job) && job.spec.priority == wire::Priority::idle) return;
   if (!state::Model::within_quota(job)) return;
   const auto plan = find(job, now);
--- a/src/placement/queued_task_starter.cpp
+++ b/src/placement/queued_task_starter.cpp
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-void QueuedTaskStarter::start(state::Task& task, state::Machine& machine, double now) {
+void QueuedTaskStarter::start(state::Task& task, state::Machine& machine) {
   queues_.dequeue(task);
-  model_.assign(task, machine, now);
+  model_.assign(task, machine);
 }
 
 std::vector<sched::Queued> QueuedTaskStarter::tasks_in_queue_order() const {
@@ -64,7 +64,7 @@
         machines.begin(), machines.end(),
         [&](const state::Machine* candidate) { return may_start(model_, *task, *candidate, now); });
     if (machine != machines.end()) {
-      start(*task, **machine, now);
+      start(*task, **machine);
       continue;
     }
     // Machines that have become full are not looked at again for the tasks that follow.
@@ -80,7 +80,7 @@
     return task != nullptr && may_start(model_, *task, machine, now);
   });
   if (!entry) return false;
-  start(*model_.task(entry->id), machine, now);
+  start(*model_.task(entry->id), machine);
   return true;
 }
 
--- a/src/placement/queued_task_starter.hpp
+++ b/src/placement/queued_task_starter.hpp
@@ -31,7 +31,7 @@
   [[nodiscard]] std::vector<sched::Queued> tasks_in_queue_order() const;
   /// Starts one task on the machine; false if none may start there.
   bool start_next(state::Machine& machine, double now);
-  void start(state::Task& task, state::Machine& machine, double now);
+  void start(state::Task& task, state::Machine& machine);
 
   state::Model& model_;
   JobQueues& queues_;
--- a/src/placement/task_stop.cpp
+++ b/src/placement/task_stop.cpp
@@ -14,7 +14,7 @@
 /// Whether the task's machine will receive a stop command soon enough, and will live long enough
 /// after that, for a checkpoint to be written.
 bool can_write_checkpoint(const state::Task& task, double silent_after_s, double now) {
-  const auto& machine = *task.machine;
+  const auto& machine = *task.machine();
   const double time_needed_s = task.job->spec.checkpoint_s + constants::kGangCheckpointMargin;
   const bool interrupted_too_soon =
       machine.interruption_at && *machine.interruption_at - now < time_needed_s;
@@ -29,15 +29,13 @@
   if (job.gang.state != GangState::running || job.spec.checkpoint_every_s <= 0) return false;
   const double silent_after_s = model.settings().silent_after_s();
   return std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
-    return task->phase == state::Phase::assigned &&
-           can_write_checkpoint(*task, silent_after_s, now);
+    return task->may_be_on_machine() && can_write_checkpoint(*task, silent_after_s, now);
   });
 }
 
 void tell_to_stop(state::Model& model, state::Task& task, double grace_period_s) {
-  task.stopping = true;
-  task.grace_period_s = grace_period_s;
-  model.attention().insert(task.machine);
+  task.begin_stop(grace_period_s);
+  model.attention().insert(task.machine());
 }
 
 }  // namespace
@@ -46,29 +44,29 @@
                double not_before) {
   if (task.job->is_gang() && !task.job->cancelled)
     return stop_gang(model, *task.job, mode, now, not_before);
-  task.not_before = std::max(task.not_before, not_before);
-  if (task.phase == state::Phase::planned) return model.unplan(task);
-  if (task.phase != state::Phase::assigned || task.stopping) return;
+  task.postpone(not_before);
+  if (task.is_planned()) return model.unplan(task);
+  if (!task.may_be_on_machine() || task.is_stopping()) return;
   // Without a command to run it the task can't be on the machine (rule 1).
-  if (!task.run_sent) return model.unassign(task);
+  if (!task.run_sent()) return model.unassign(task);
   const auto& spec = task.job->spec;
   const bool checkpoint_is_useful = mode == StopMode::with_checkpoint &&
                                     spec.checkpoint_every_s > 0 &&
-                                    task.state == wire::TaskState::running;
+                                    task.reported_state() == wire::TaskState::running;
   tell_to_stop(model, task, checkpoint_is_useful ? spec.checkpoint_s : 0);
 }
 
 void end_gang_task(state::Model& model, state::Task& task) {
-  if (task.phase == state::Phase::planned) return model.unplan(task);
-  if (task.phase != state::Phase::assigned) return;
+  if (task.is_planned()) return model.unplan(task);
+  if (!task.may_be_on_machine()) return;
   // Without a command to run it the task can't be on the machine (rule 1).
-  if (!task.run_sent) return model.unassign(task);
+  if (!task.run_sent()) return model.unassign(task);
   tell_to_stop(model, task, 0);
 }
 
 void stop_gang(state::Model& model, state::Job& job, StopMode mode, double now, double not_before) {
   const auto tasks = gang_tasks_in_memory(job);
-  for (auto* task : tasks) task->not_before = std::max(task->not_before, not_before);
+  for (auto* task : tasks) task->postpone(not_before);
   switch (job.gang.state) {
     case GangState::claiming:
       for (auto* task : tasks) end_gang_task(model, *task);
--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -11,8 +11,6 @@
 namespace elmstall::reconcile {
 
 namespace k = constants;
-using state::kNever;
-using state::Phase;
 using wire::EndCause;
 using wire::TaskState;
 
@@ -28,7 +26,7 @@
   record_if_new(machine);
   update_machine(machine, heartbeat, source, now);
   state::Model::clear_heartbeat_content(machine);
-  for (auto* task : machine.tasks) task->in_last_heartbeat = false;
+  for (auto* task : machine.tasks) task->begin_heartbeat();
   for (const auto& status : heartbeat.tasks) read_task(machine, status, now);
   // While a command RPC is in flight, a heartbeat may be older than its effect
   // (docs/design.md, rule 2).
@@ -75,15 +73,12 @@
                                 double now) {
   auto* job = context_.model.job(status.job);
   auto* task = job == nullptr ? nullptr : context_.model.task(*job, status.index);
-  const bool recorded = task != nullptr && task->phase == Phase::assigned &&
-                        task->machine == &machine && task->attempt == status.attempt;
+  const bool recorded = task != nullptr && task->may_be_on_machine() &&
+                        task->machine() == &machine && task->attempt() == status.attempt;
   if (!recorded) return read_unrecorded_task(machine, job, status, now);
-  task->in_last_heartbeat = true;
-  task->run_sent = true;
+  task->mark_listed();
   if (status.state == TaskState::ended) return on_exit(*task, machine, status, now);
-  if (status.state == TaskState::running && task->running_since == kNever)
-    task->running_since = now;
-  task->state = status.state;
+  task->observe(status.state, now);
   if (job->is_gang()) context_.gangs.on_state(*task, status.state, now);
 }
 
@@ -112,15 +107,15 @@
   if (task.job->is_gang()) return context_.gangs.on_exit(task, status.cause, now);
   const bool start_refused = status.cause == EndCause::no_room ||
                              status.cause == EndCause::in_use || status.cause == EndCause::unknown;
-  if (start_refused) task.not_before = now + k::kErrorBackoff;
+  if (start_refused) task.postpone(now + k::kErrorBackoff);
   context_.model.unassign(task);
 }
 
 void HeartbeatReader::on_done(state::Task& task, double now) {
   auto& job = *task.job;
   if (job.cancelled) return context_.model.unassign(task);
-  if (task.running_since != kNever)
-    context_.estimates.learn(job.spec.job_class, job.spec.expect_s, now - task.running_since);
+  if (task.has_run())
+    context_.estimates.learn(job.spec.job_class, job.spec.expect_s, now - task.running_since());
   // A replica of a service runs until the service is cancelled. One that ends by
   // itself is started again.
   if (job.is_service()) return context_.model.unassign(task);
@@ -133,23 +128,23 @@
   // sent, or never will be.
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
-    if (task->phase != Phase::assigned || task->in_last_heartbeat) continue;
+    if (!task->may_be_on_machine() || task->in_last_heartbeat()) continue;
     // A gang that has begun can't be joined by a task any more.
     const bool attempt_over = task->job->is_gang() && task->job->gang.broken;
-    if (task->stopping || task->job->cancelled || attempt_over) context_.model.unassign(*task);
+    if (task->is_stopping() || task->job->cancelled || attempt_over) context_.model.unassign(*task);
     // Otherwise `run` is sent again: the attempt was never cleared there.
   }
 }
 
 void HeartbeatReader::stop_for_interruption(state::Machine& machine, double now) {
   for (auto* task : state::TaskSet(machine.tasks)) {
-    if (task->phase == Phase::planned) {
+    if (task->is_planned()) {
       context_.model.unplan(*task);
       continue;
     }
     const auto& spec = task->job->spec;
     const double time_left = *machine.interruption_at - now;
-    const double ran_for = task->running_since == kNever ? 0 : now - task->running_since;
+    const double ran_for = task->has_run() ? now - task->running_since() : 0;
     const double remaining = context_.estimates.run_time(spec.job_class, spec.expect_s) - ran_for;
     // Whatever can't end in time is moved to another machine at once.
     if (task->job->is_service() || spec.checkpoint_every_s > 0 || remaining > time_left)
--- a/src/reconcile/job_lifecycle.cpp
+++ b/src/reconcile/job_lifecycle.cpp
@@ -10,8 +10,6 @@
 
 namespace elmstall::reconcile {
 
-using state::Phase;
-
 JobLifecycle::JobLifecycle(Context context)
     : context_(context), started_at_(context.event_loop.now()) {}
 
@@ -44,8 +42,7 @@
       context_.group_commit.mark_dirty(*block.record);
       continue;
     }
-    context_.model.restore(block.tasks[task.index - block.first], *machine, task.attempt,
-                           started_at_);
+    context_.model.restore(block.tasks[task.index - block.first], *machine, task.attempt);
   }
   const bool all_done = std::all_of(block.done.begin(), block.done.end(), std::identity{});
   if (all_done) block.tasks.clear();
@@ -80,11 +77,11 @@
   for (auto& [number, block] : job.blocks) {
     for (auto& task : block->tasks) {
       context_.planner.dequeue(task);
-      if (task.phase != Phase::planned && task.phase != Phase::assigned) continue;
+      if (!task.is_planned() && !task.may_be_on_machine()) continue;
       placement::stop_task(context_.model, task, placement::StopMode::immediate,
                            context_.event_loop.now());
       // A checkpoint that is being written is of no use to anybody now.
-      task.grace_period_s = 0;
+      task.withdraw_grace_period();
     }
   }
 }
--- a/src/reconcile/machine_loss.cpp
+++ b/src/reconcile/machine_loss.cpp
@@ -14,7 +14,7 @@
   }
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
-    if (task->phase == state::Phase::planned) {
+    if (task->is_planned()) {
       model.unplan(*task);
     } else {
       model.unassign(*task);
--- a/src/reconcile/responsiveness.cpp
+++ b/src/reconcile/responsiveness.cpp
@@ -27,7 +27,7 @@
   if (!machine.reply_carried_commands) return true;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const state::Task* task) {
     const bool just_ordered =
-        task->phase == state::Phase::assigned && task->run_sent && !task->in_last_heartbeat;
+        task->may_be_on_machine() && task->run_sent() && !task->in_last_heartbeat();
     return !just_ordered || lists_task(heartbeat, *task);
   });
 }
--- a/src/reconcile/task_failures.cpp
+++ b/src/reconcile/task_failures.cpp
@@ -32,8 +32,7 @@
 void TaskFailures::on_failure(state::Task& task, state::Machine& machine, double now) {
   auto& job = *task.job;
   spdlog::info("task {} failed on machine {}", wire::task_name(job.id, task.index), machine.id);
-  ++task.failures;
-  task.not_before = now + backoff(task.failures, kTaskDoublings);
+  task.mark_failed(now + backoff(task.failures() + 1, kTaskDoublings));
   job.failed_on.insert(machine.id);
   machine.failed_jobs.insert(job.id);
   model_.unassign(task);
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -91,25 +91,22 @@
   block.first = number * size;
   const auto count = std::min(size, job.spec.tasks - block.first);
   block.done.assign(count, false);
-  block.tasks.resize(count);
+  block.tasks.reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) {
-    auto& task = block.tasks[i];
-    task.job = &job;
-    task.block = &block;
-    task.index = block.first + i;
-    task.id = job.serial << kIndexBits | task.index;
+    const auto index = block.first + i;
+    block.tasks.emplace_back(job, block, index, job.serial << kIndexBits | index);
   }
   if (stored != nullptr) {
     const auto& record = stored->record;
     for (std::uint32_t i = 0; i < count && i < record.done.size(); ++i) {
       if (!record.done[i]) continue;
       block.done[i] = true;
-      block.tasks[i].phase = Phase::done;
+      block.tasks[i].enter(TaskPhase::done);
       ++job.finished_tasks;
     }
     for (const auto& known : record.tasks) {
       if (known.index < block.first || known.index - block.first >= count) continue;
-      block.tasks[known.index - block.first].attempt = known.attempt;
+      block.tasks[known.index - block.first].attempt_ = known.attempt;
     }
   }
   const auto pack = [&block] {
@@ -127,9 +124,9 @@
   record.done = block.done;
   for (const auto& task : block.tasks) {
     // An attempt number must never be used twice, so it outlives its machine.
-    if (task.phase == Phase::done || task.attempt == 0) continue;
-    record.tasks.push_back({task.index, task.attempt,
-                            task.phase == Phase::assigned ? task.machine->id : std::string()});
+    if (task.is_done() || task.attempt() == 0) continue;
+    record.tasks.push_back({task.index, task.attempt(),
+                            task.may_be_on_machine() ? task.machine()->id : std::string()});
   }
   return record;
 }
@@ -233,7 +230,7 @@
 }
 
 void Model::attach(Task& task, Machine& machine) {
-  task.machine = &machine;
+  task.machine_ = &machine;
   machine.tasks.insert(&task);
   machine.used += task.job->need;
   machine.idle_since = kNever;
@@ -245,7 +242,7 @@
 }
 
 void Model::detach(Task& task) {
-  auto& machine = *task.machine;
+  auto& machine = *task.machine();
   machine.tasks.erase(&task);
   machine.used -= task.job->need;
   if (machine.tasks.empty()) machine.used = {};
@@ -257,41 +254,34 @@
   open_.insert(task.job);
   finalizable_.insert(task.job);
   mark_dirty(machine);
-  task.machine = nullptr;
-  task.run_sent = task.in_last_heartbeat = task.stopping = false;
-  task.grace_period_s = 0;
-  task.stop_sent = kNever;
-  task.running_since = kNever;
+  task.leave_machine();
 }
 
 void Model::mark_dirty(Task& task) { group_commit_.mark_dirty(*task.block->record); }
 
 void Model::plan(Task& task, Machine& machine) {
   attach(task, machine);
-  task.phase = Phase::planned;
+  task.enter(TaskPhase::planned);
   planned_.insert(&task);
 }
 
 void Model::unplan(Task& task) {
   planned_.erase(&task);
   detach(task);
-  task.phase = Phase::pending;
+  task.enter(TaskPhase::pending);
 }
 
-void Model::assign(Task& task, Machine& machine, double now) {
-  assign(task, machine, task.attempt + 1, now);
-}
+void Model::assign(Task& task, Machine& machine) { assign(task, machine, task.attempt() + 1); }
 
-void Model::assign(Task& task, Machine& machine, std::uint64_t attempt, double now) {
-  if (task.phase == Phase::planned) unplan(task);
+void Model::assign(Task& task, Machine& machine, std::uint64_t attempt) {
+  if (task.is_planned()) unplan(task);
   attach(task, machine);
-  task.phase = Phase::assigned;
-  task.state = wire::TaskState::fetching;
-  task.since = now;
+  task.enter(TaskPhase::assigned);
+  task.reported_state_ = wire::TaskState::fetching;
   attention_.insert(&machine);
-  task.attempt = attempt;
+  task.attempt_ = attempt;
   mark_dirty(task);
-  task.required_version = task.block->record->version;
+  task.required_version_ = task.block->record->version;
   task.job->begun = true;
   const auto image = task.job->image;
   std::erase(machine.images, image);
@@ -299,24 +289,22 @@
   if (machine.images.size() > kImagesRemembered) machine.images.pop_front();
 }
 
-void Model::restore(Task& task, Machine& machine, std::uint64_t attempt, double now) {
+void Model::restore(Task& task, Machine& machine, std::uint64_t attempt) {
   attach(task, machine);
-  task.phase = Phase::assigned;
-  task.attempt = attempt;
-  task.since = now;
-  task.run_sent = true;  // by the former leader, as far as we know
+  task.enter(TaskPhase::dispatched);  // by the former leader, as far as we know
+  task.attempt_ = attempt;
   task.job->begun = true;
 }
 
 void Model::unassign(Task& task) {
   detach(task);
-  task.phase = Phase::pending;
+  task.enter(TaskPhase::pending);
   mark_dirty(task);
 }
 
 void Model::complete(Task& task) {
-  if (task.machine != nullptr) detach(task);
-  task.phase = Phase::done;
+  if (task.machine() != nullptr) detach(task);
+  task.enter(TaskPhase::done);
   auto& block = *task.block;
   block.done[task.index - block.first] = true;
   ++task.job->finished_tasks;
@@ -375,9 +363,9 @@
 
 bool Model::recordable(const Task& task) const {
   const auto& block = *task.block;
-  if (task.attempt > 0 || block.tasks.size() <= max_started_tasks_) return true;
+  if (task.attempt() > 0 || block.tasks.size() <= max_started_tasks_) return true;
   const auto started = std::count_if(block.tasks.begin(), block.tasks.end(), [](const Task& other) {
-    return other.attempt > 0 && other.phase != Phase::done;
+    return other.attempt() > 0 && !other.is_done();
   });
   return static_cast<std::uint32_t>(started) < max_started_tasks_;
 }
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -1,11 +1,10 @@
-// What the leader knows of jobs, tasks and machines.
+/// @file
+/// What the leader knows of jobs, tasks and machines, and the only place that changes where a task
+/// is. Runs on the controller's event loop; times are seconds of its steady clock.
 #pragma once
 
-#include <algorithm>
 #include <array>
 #include <cstdint>
-#include <deque>
-#include <limits>
 #include <map>
 #include <memory>
 #include <optional>
@@ -14,185 +13,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "sched/group.hpp"
-#include "sched/resources.hpp"
-#include "state/gang.hpp"
 #include "state/group_commit.hpp"
+#include "state/job.hpp"
+#include "state/machine.hpp"
+#include "state/task.hpp"
 
 namespace elmstall::state {
 
-inline constexpr double kNever = -std::numeric_limits<double>::infinity();
-
-struct Machine;
-struct Job;
-struct Block;
-
-/// Where a task stands. From `assigned` on it may be on its machine.
-enum class Phase : std::uint8_t {
-  pending,   ///< on no machine
-  planned,   ///< a machine is kept for it, nothing is recorded yet
-  assigned,  ///< machine and attempt are recorded or about to be
-  done,
-};
-
-struct Task {
-  Job* job = nullptr;
-  Block* block = nullptr;
-  std::uint32_t index = 0;
-  sched::TaskId id = 0;
-  Phase phase = Phase::pending;
-  std::uint64_t attempt = 0;
-  Machine* machine = nullptr;
-  /// Version of the block record that has to be written before `run` is sent.
-  std::uint64_t required_version = 0;
-  /// `run` may have reached the machine, from this leader or a former one.
-  bool run_sent = false;
-  /// Present in a heartbeat of this leader's term.
-  bool in_last_heartbeat = false;
-  wire::TaskState state = wire::TaskState::fetching;
-  double since = kNever;  ///< when it was assigned
-  double running_since = kNever;
-  bool stopping = false;
-  double grace_period_s = 0;
-  double stop_sent = kNever;  ///< when it was last told so with time to save
-  double not_before = kNever;
-  int failures = 0;
-  bool listed = false;  ///< waits in a group's lists
-};
-
-/// Never by address: two runs of one history must decide alike.
-struct TaskOrder {
-  bool operator()(const Task* a, const Task* b) const { return a->id < b->id; }
-};
-using TaskSet = std::set<Task*, TaskOrder>;
-
-struct Block {
-  Job* job = nullptr;
-  std::uint32_t number = 0;
-  std::uint32_t first = 0;
-  std::vector<bool> done;
-  std::vector<Task> tasks;  ///< empty once all are done
-  GroupCommit::Record* record = nullptr;
-  [[nodiscard]] bool all_done() const { return tasks.empty(); }
-};
-
-struct Job {
-  std::string id;
-  std::uint64_t serial = 0;
-  const config::Team* team = nullptr;
-  const sched::Amount* team_usage = nullptr;
-  std::uint32_t image = 0;  ///< number that stands for its image's name
-  wire::JobSpec spec;
-  sched::Amount need;
-  bool cancelled = false;
-  double submitted = 0;  ///< on this node's steady clock
-  std::map<std::uint32_t, std::unique_ptr<Block>> blocks;
-  std::uint32_t next_block = 0;  ///< first that is not in memory yet
-  std::uint32_t block_count = 0;
-  std::uint32_t finished_tasks = 0;
-  std::uint32_t on_machines = 0;  ///< tasks that are or may be on machines
-  bool begun = false;             ///< one of its tasks was assigned once
-  double searched_at = kNever;    ///< when room was last looked for by stopping others
-  std::map<std::string, std::uint32_t> per_zone;
-  std::set<std::string> failed_on;
-  std::string zone_choice;  ///< for `together`
-  Gang gang;                ///< of a gang
-  double failed_until = kNever;
-  int failures = 0;
-  [[nodiscard]] bool is_service() const { return spec.kind == wire::JobKind::service; }
-  [[nodiscard]] bool is_gang() const { return spec.kind == wire::JobKind::gang; }
-  [[nodiscard]] bool all_done() const { return finished_tasks == spec.tasks; }
-};
-
-/// Never by address, as for tasks.
-struct JobOrder {
-  bool operator()(const Job* a, const Job* b) const { return a->serial < b->serial; }
-};
-using JobSet = std::set<Job*, JobOrder>;
-
-/// One attempt of a task, as a worker names it.
-struct TaskAttempt {
-  std::string job;
-  std::uint32_t index = 0;
-  std::uint64_t attempt = 0;
-};
-
-struct Machine {
-  std::string id;
-  std::string addr;
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  sched::Amount capacity;
-  std::uint64_t epoch = 0;
-  std::uint64_t sequence = 0;
-  /// A heartbeat that carried the token of its latest fence was received: what it
-  /// lists is exact, what it does not list is not there.
-  bool synchronized = false;
-  /// Was so once in this term: its epoch is known, and a later one ends all
-  /// that was ordered in this.
-  bool epoch_known = false;
-  /// Raised whenever commands may be under way that nobody can tell of; makes
-  /// them void as soon as the machine has seen it.
-  std::uint32_t fence = 0;
-  bool rpc_in_flight = false;        ///< direct commands are in flight
-  double rpc_completed_at = kNever;  ///< when the last answer to some came
-  bool reply_carried_commands =
-      false;  ///< the last answer carried commands that the next heartbeat will show
-  double rpc_backoff_until = kNever;  ///< no direct commands before
-  /// Since when it has shown no effect of what it was told.
-  double unacknowledged_since = kNever;
-  bool unresponsive = false;
-  bool heard = false;  ///< any heartbeat in this term
-  double last_heartbeat =
-      kNever;  ///< of its own accord: a machine that can't reach us shows nothing else
-  double last_contact = kNever;  ///< that, or a reply to direct commands
-  double last_reply = kNever;    ///< when a heartbeat was last answered with 200
-  /// Until then a former leader may have kept its lease alive.
-  double inherited_until = kNever;
-  /// A zone delegate may be answering it.
-  bool delegated = false;
-  double delegated_at = kNever;
-  /// Recorded as such; its tasks are gone once that is written.
-  bool retired = false;
-  /// When that was first seen to be written.
-  double retired_at = kNever;
-  std::optional<double> interruption_at;
-  TaskSet tasks;
-  sched::Amount used;            ///< by `tasks`, planned ones included
-  sched::Amount unrecorded_use;  ///< by reported tasks that are not there by our will
-  /// The same for each team's use of them.
-  std::vector<std::pair<sched::Amount*, sched::Amount>> unrecorded_team_use;
-  bool has_unknown_jobs = false;  ///< it shows tasks unknown to us
-  std::vector<TaskAttempt> exited;
-  std::vector<TaskAttempt> unrecorded_tasks;  ///< running tasks that are not there by our will
-  std::deque<std::uint32_t> images;           ///< believed to be cached, latest last
-  bool dirty = false;                         ///< the planner has to look at it again
-  std::set<std::string> failed_jobs;
-  bool quarantined = false;
-  bool terminating = false;
-  bool listed = false;  ///< in the last whole machine list
-  bool reported_failed = false;
-  double idle_since = kNever;
-  double provisioned_at = kNever;
-  GroupCommit::Record* record = nullptr;
-  [[nodiscard]] bool recorded() const { return record != nullptr && record->revision != 0; }
-  [[nodiscard]] sched::Amount room() const { return capacity - used - unrecorded_use; }
-  [[nodiscard]] bool caches(std::uint32_t image) const {
-    return std::find(images.begin(), images.end(), image) != images.end();
-  }
-  /// Seconds since anybody heard of it. The end of a zone delegate's time counts:
-  /// the machine needs a moment to find its leader again.
-  [[nodiscard]] double quiet(double now) const {
-    return delegated ? 0 : now - std::max(last_heartbeat, delegated_at);
-  }
-};
-
-struct MachineOrder {
-  bool operator()(const Machine* a, const Machine* b) const { return a->id < b->id; }
-};
-using MachineSet = std::set<Machine*, MachineOrder>;
-
 /// Jobs, machines and what they take, with every change of a task's place in
 /// one spot, so that usage, zones and records always agree with it.
 class Model {
@@ -227,9 +54,9 @@
   void plan(Task& task, Machine& machine);
   void unplan(Task& task);
   /// Records machine and a new attempt; `run` may be sent once that is written.
-  void assign(Task& task, Machine& machine, double now);
+  void assign(Task& task, Machine& machine);
   /// The same with an attempt that the gang's other tasks share.
-  void assign(Task& task, Machine& machine, std::uint64_t attempt, double now);
+  void assign(Task& task, Machine& machine, std::uint64_t attempt);
   /// The task is certainly on no machine any more.
   void unassign(Task& task);
   void complete(Task& task);
@@ -244,7 +71,7 @@
   /// Links the machine with its entry in the records.
   void restore_record(Machine& machine, const store::Mirror::Machine& stored);
   /// Takes over an assignment found in the records.
-  void restore(Task& task, Machine& machine, std::uint64_t attempt, double now);
+  void restore(Task& task, Machine& machine, std::uint64_t attempt);
 
   [[nodiscard]] const sched::Amount& usage(const std::string& team) const;
   [[nodiscard]] std::map<std::string, std::unique_ptr<Job>>& jobs() { return jobs_; }
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -104,7 +104,7 @@
   auto heartbeat =
       heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
   heartbeat.tasks.push_back(
-      {"job-1", task->index, task->attempt, wire::TaskState::ended, wire::EndCause::done, false});
+      {"job-1", task->index, task->attempt(), wire::TaskState::ended, wire::EndCause::done, false});
   const auto cleared = [&] {
     ++heartbeat.sequence;
     const auto response = world.response_of(lead, heartbeat_request(heartbeat), 0.05);
--- a/tests/command_rpc_test.cpp
+++ b/tests/command_rpc_test.cpp
@@ -68,7 +68,7 @@
   const auto token = leader_of(world).token() + machine->fence;
   const auto epoch = machine->epoch;
   const auto* task = *machine->tasks.begin();
-  const wire::WorkerCommand command{wire::Verb::run, "job-1", task->index, task->attempt, 0};
+  const wire::WorkerCommand command{wire::Verb::run, "job-1", task->index, task->attempt(), 0};
   // The next command RPC is carried out, but nobody hears of it.
   world.network.command_replies_lost = true;
   world.submit(array(2, 1, 5));
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -54,7 +54,7 @@
 
 /// The worker that has this task of the gang, or is to get it.
 FakeWorker& worker_of_task(World& world, const state::Job& job, std::size_t index) {
-  return *world.workers.at(job.blocks.begin()->second->tasks[index].machine->id);
+  return *world.workers.at(job.blocks.begin()->second->tasks[index].machine()->id);
 }
 
 /// Number of the gang's tasks that wait for the others, as their machines show.
@@ -64,7 +64,7 @@
   if (job == nullptr) return 0;
   for (const auto& [number, block] : job->blocks) {
     for (const auto& task : block->tasks) {
-      if (task.phase == state::Phase::assigned && task.state == wire::TaskState::gathering) ++count;
+      if (task.may_be_on_machine() && task.reported_state() == wire::TaskState::gathering) ++count;
     }
   }
   return count;
@@ -94,8 +94,8 @@
     bool unwritten = false;
     for (const auto& [number, block] : job->blocks) {
       for (const auto& task : block->tasks) {
-        offered = offered || task.run_sent;
-        unwritten = unwritten || block->record->written < task.required_version;
+        offered = offered || task.run_sent();
+        unwritten = unwritten || block->record->written < task.required_version();
       }
     }
     seen_some = seen_some || unwritten;
@@ -265,9 +265,9 @@
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 60), 7));
   auto& leader = leader_of(world);
   const auto& task = job_at_leader(world, "job-1")->blocks.begin()->second->tasks[0];
-  (void)world.workers.at(task.machine->id)
-      ->on_command_rpc(leader.token() + task.machine->fence, task.machine->epoch,
-                       {{wire::Verb::stop, "job-1", 0, task.attempt, 2}});
+  (void)world.workers.at(task.machine()->id)
+      ->on_command_rpc(leader.token() + task.machine()->fence, task.machine()->epoch,
+                       {{wire::Verb::stop, "job-1", 0, task.attempt(), 2}});
   ASSERT_TRUE(wait_for(world, "job-1", GangState::stopping, 5));
   world.run_for(4);
   EXPECT_EQ(world.gangs.saved(), 1U);
--- a/tests/support/heartbeats.hpp
+++ b/tests/support/heartbeats.hpp
@@ -20,7 +20,7 @@
 inline void show_tasks(wire::WorkerHeartbeat& heartbeat, const state::Machine& machine,
                        wire::TaskState state, wire::EndCause cause) {
   for (const auto* task : machine.tasks)
-    heartbeat.tasks.push_back({task->job->id, task->index, task->attempt, state, cause, false});
+    heartbeat.tasks.push_back({task->job->id, task->index, task->attempt(), state, cause, false});
 }
 
 }  // namespace elmstall::test
--- a/tests/support/leader_view.hpp
+++ b/tests/support/leader_view.hpp
@@ -40,7 +40,7 @@
   std::size_t count = 0;
   for (const auto& [number, block] : job->blocks) {
     for (const auto& task : block->tasks)
-      count += task.in_last_heartbeat && task.state == wire::TaskState::running;
+      count += task.in_last_heartbeat() && task.reported_state() == wire::TaskState::running;
   }
   return count;
 }
