--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Every constant of the project, with its unit and the reason for its value. The groups are the
 /// packages that use the constants. What a deployment may change comes from the settings file, and
 /// what an operator may change from the properties file, not from here.
@@ -50,8 +51,9 @@
 inline constexpr double kWorkerSocketShare = 0.08;
 
 // --- store: client of the state store ----------------------------------------------------------
-/// Connections to the state store for ordinary requests, and for watches.
+/// Connections to the state store for ordinary requests.
 inline constexpr std::size_t kStateConnections = 8;
+/// Connections to the state store for watches, each of which occupies one for seconds.
 inline constexpr std::size_t kWatchConnections = 2;
 /// Seconds. Longest wait for an answer of the state store. Users wait 5 s for the answer to a
 /// submission, which leaves time to read the record back and to try a second time.
@@ -117,9 +119,10 @@
 // --- peer: connections between controllers -----------------------------------------------------
 /// Bytes. Largest message between controllers.
 inline constexpr std::size_t kMaxPeerMessageBytes = std::size_t{256} * 1024;
-/// Bytes. Messages between controllers are written together up to this size, and read in pieces of
-/// at most this size. A forwarded heartbeat takes some hundred bytes.
+/// Bytes. Messages between controllers are written together up to this size. A forwarded heartbeat
+/// takes some hundred bytes.
 inline constexpr std::size_t kPeerWriteBytes = std::size_t{16} * 1024;
+/// Bytes. Messages between controllers are read in pieces of at most this size.
 inline constexpr std::size_t kPeerReadBytes = std::size_t{8} * 1024;
 
 // --- config: time limits of leases, see Settings -----------------------------------------------
@@ -135,8 +138,10 @@
 /// Seconds. A worker ignores the answer to a heartbeat that arrives later than this.
 inline constexpr double kHeartbeatReplyTimeout = 4.0;
 /// Seconds. Used if the settings do not say how long a gang's task waits on its machine for the
-/// other tasks, and how soon it notices that one of them is gone.
+/// other tasks.
 inline constexpr double kGangWaitDefault = 30.0;
+/// Seconds. Used if the settings do not say how soon a gang's task notices that another one is
+/// gone.
 inline constexpr double kGangPeerDefault = 8.0;
 
 // --- election and controller: leadership -------------------------------------------------------
@@ -182,9 +187,10 @@
 inline constexpr double kDecideInterval = 0.05;
 /// Seconds. Time for which the state store is asked to hold a watch open.
 inline constexpr double kWatchHold = 10.0;
-/// Seconds. Pause before a watch is opened again, on the leader and on other nodes. Every watch
-/// costs one request of the state store's rate, so changes should come in batches.
+/// Seconds. Pause before the leader opens a watch again. Every watch costs one request of the state
+/// store's rate, so changes should come in batches.
 inline constexpr double kWatchPauseLeader = 0.02;
+/// Seconds. The same pause on other nodes, where changes are less urgent.
 inline constexpr double kWatchPauseFollower = 0.1;
 /// Seconds. Pause after a request that the state store did not serve.
 inline constexpr double kStateRetry = 0.3;
@@ -221,9 +227,10 @@
 /// Seconds. After a failed command RPC the machine gets its commands with the answers to its
 /// heartbeats for this long.
 inline constexpr double kCommandRpcBackoff = 6.0;
-/// Command RPCs that may be under way at the same time, and command RPCs without commands that are
-/// begun in each tick after a takeover. They compete with the heartbeats for the processor.
+/// Command RPCs that may be under way at the same time. They compete with the heartbeats for the
+/// processor.
 inline constexpr std::size_t kCommandRpcsMax = 48;
+/// Command RPCs without commands that are begun in each tick after a takeover.
 inline constexpr std::size_t kSynchronizationsPerTick = 24;
 /// Share of a lease. A machine whose heartbeats arrive, but show no effect of the commands that it
 /// was sent this long ago, counts as unresponsive.
@@ -234,8 +241,9 @@
 inline constexpr int kMachineErrorLimit = 2;
 /// Machines. A job is held responsible when its tasks have failed on this many machines.
 inline constexpr int kJobErrorMachines = 3;
-/// Seconds. First and longest pause before a failed task is tried again.
+/// Seconds. First pause before a failed task is tried again.
 inline constexpr double kErrorBackoff = 2.0;
+/// Seconds. Longest pause before a failed task is tried again.
 inline constexpr double kErrorBackoffMax = 60.0;
 
 // --- dispatch: commands for a worker -----------------------------------------------------------
@@ -251,9 +259,11 @@
 inline constexpr double kPollDeadline = 1.5;
 /// Seconds. The time after which users are told to try again.
 inline constexpr int kRetryAfter = 1;
-/// Requests. The self-adjusting limit of requests in progress: its initial value and its bounds.
+/// Requests. Initial value of the self-adjusting limit of requests in progress.
 inline constexpr double kLimitStart = 64;
+/// Requests. Smallest value of that limit.
 inline constexpr double kLimitMin = 8;
+/// Requests. Largest value of that limit.
 inline constexpr double kLimitMax = 400;
 /// Seconds. Shorter times of requests are counted as this long, because differences below it do
 /// not indicate load.
@@ -287,9 +297,10 @@
 inline constexpr double kBeginWithin = 150.0;
 /// Seconds. Interval at which every machine is reviewed for what changes with time alone.
 inline constexpr double kReviewInterval = 1.0;
-/// Work that can no longer meet its objective gets a later one: each step adds this share of the
-/// objective, up to this number of steps.
+/// Share of the objective. Work that can no longer meet its objective gets a later one, in steps of
+/// this size.
 inline constexpr double kTierStep = 0.5;
+/// Steps. Largest number of steps by which an objective is put off.
 inline constexpr int kMaxTier = 8;
 /// Tasks. Most tasks of one job that stand in lists at the same time. A job of 100,000 tasks gets
 /// its blocks as they are needed.
@@ -313,8 +324,8 @@
 /// Seconds. A gang that has waited this long keeps the free places that there are, so that smaller
 /// work does not take one after the other for ever.
 inline constexpr double kGangReserveAfter = 10.0;
-/// Seconds. Longest time for which it keeps them, since they stay unused meanwhile, and the time
-/// after which it may keep places again.
+/// Seconds. Longest time for which such a gang keeps free places, since they stay unused meanwhile,
+/// and the time after which it may keep places again.
 inline constexpr double kGangReserveMax = 60.0;
 /// Seconds. Machines for a gang are rented in one zone for this long before another zone is tried.
 inline constexpr double kGangZonePatience = 20.0;
@@ -348,8 +359,9 @@
 inline constexpr double kBootGiveUp = 3.0;
 /// Leases. A machine that stays unresponsive for this long is terminated.
 inline constexpr double kUnresponsiveLeases = 3.0;
-/// Seconds. First and longest pause after the cloud had no capacity; it doubles every time.
+/// Seconds. First pause after the cloud had no capacity; it doubles every time.
 inline constexpr double kNoCapacityPause = 10.0;
+/// Seconds. Longest pause after the cloud had no capacity.
 inline constexpr double kNoCapacityPauseMax = 40.0;
 
 // --- autoscaler: size of the fleet -------------------------------------------------------------
@@ -363,9 +375,11 @@
 inline constexpr double kArrivalSettle = 10.0;
 /// Seconds. The arrival rate is used only after arrivals were counted for this long.
 inline constexpr double kArrivalLearn = 15.0;
-/// Room that is kept free for services, which must start sooner than a machine boots: a number of
-/// machines, and a share of the ordinary work that there is.
+/// Machines. Fixed part of the room that is kept free for services, which must start sooner than a
+/// machine boots. `kHeadroomShare` adds to it.
 inline constexpr double kHeadroomMachines = 0.5;
+/// Share of the ordinary work that there is. Part of the room for services that grows with the
+/// load.
 inline constexpr double kHeadroomShare = 0.1;
 /// Boot times. Machines are rented ahead of its arrival for work whose objective leaves less than
 /// this beyond its run time. Other work can wait for a machine.
--- a/src/config/endpoint.hpp
+++ b/src/config/endpoint.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Network addresses as the settings file writes them.
 #pragma once
 
--- a/src/config/properties.hpp
+++ b/src/config/properties.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The operators' own settings, beside the platform's settings file: a file of Java-style
 /// properties. Its keys are described in docs/operations.md.
 #pragma once
@@ -24,12 +25,12 @@
 
 /// One key of the file: its name, the values it accepts, and the member it sets.
 struct Property {
-  std::string key;
-  std::string unit;
-  double low = 0;   ///< smallest accepted value
-  double high = 0;  ///< largest accepted value
-  double Tuning::*field = nullptr;
-  std::string meaning;
+  std::string key;                  ///< name of the property in the file
+  std::string unit;                 ///< unit of the value, for listings
+  double low = 0;                   ///< smallest accepted value
+  double high = 0;                  ///< largest accepted value
+  double Tuning::*field = nullptr;  ///< the member that receives the value
+  std::string meaning;              ///< what the value does, for listings
 };
 /// All keys that a file may contain.
 [[nodiscard]] const std::vector<Property>& properties();
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -15,7 +15,8 @@
 constexpr double kMostPerSecond = 1e9;
 constexpr double kMostValueKb = 1e6;
 constexpr double kMostTransactionWrites = 1e6;
-/// The final state of a job, the removal of its record, one value of the ledger log, and one more.
+/// The smallest limit that the program can work with. One transaction writes the final state of a
+/// job, removes the record of the job, and writes one value of the ledger log; one more is spare.
 constexpr double kLeastTransactionWrites = 4;
 constexpr double kHourS = 3600;
 constexpr double kDayS = 86400;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The settings of one node: the platform's settings file (TOML), and the operators' own
 /// properties. The keys of both files are described in docs/operations.md.
 #pragma once
@@ -22,14 +23,14 @@
 
 /// Another controller.
 struct Peer {
-  std::string name;
+  std::string name;      ///< value of the setting `node` of that controller
   std::string zone;      ///< empty: not stated
   std::string endpoint;  ///< `ADDRESS:PORT` for messages between controllers
 };
 
 /// Guarantees and limits of a team; 0 means that there is none.
 struct Team {
-  std::string name;
+  std::string name;     ///< name that jobs state as their team
   double cpus = 0;      ///< guaranteed
   double cpus_max = 0;  ///< limit
   double gpus = 0;      ///< guaranteed
@@ -38,10 +39,10 @@
 
 /// A service-level objective for one class of jobs.
 struct Objective {
-  std::string kind;  ///< which event of a job it is about, for example `finished`
-  std::string job_class;
-  double within_s = 0;  ///< seconds from the submission to the event
-  double share = 0;     ///< share of the jobs that should meet it
+  std::string kind;       ///< which event of a job it is about, for example `finished`
+  std::string job_class;  ///< the class of jobs to which it applies
+  double within_s = 0;    ///< seconds from the submission to the event
+  double share = 0;       ///< share of the jobs that should meet it
 };
 
 /// Limits of the state store, for all nodes together.
@@ -54,19 +55,19 @@
 
 /// The settings of one node. They do not change while it runs.
 struct Settings {
-  std::string node;       ///< name of this node
-  std::string zone;       ///< zone in which it runs
-  std::string api_addr;   ///< `ADDRESS:PORT` that serves users and workers
-  std::string peer_addr;  ///< `ADDRESS:PORT` for messages between controllers
-  std::vector<Peer> peers;
-  std::string cloud_endpoint;
-  std::string state_endpoint;  ///< of the state store
-  std::vector<std::string> zones;
-  double skew_s = 0;  ///< bound on the difference of wall clocks that the deployment states
-  std::vector<Team> teams;
-  std::vector<Objective> objectives;
-  double heartbeat_interval_s = 0;  ///< seconds between two heartbeats of a worker
-  double lease_s = 0;               ///< life of a worker's lease, seconds
+  std::string node;                ///< name of this node
+  std::string zone;                ///< zone in which it runs
+  std::string api_addr;            ///< `ADDRESS:PORT` that serves users and workers
+  std::string peer_addr;           ///< `ADDRESS:PORT` for messages between controllers
+  std::vector<Peer> peers;         ///< the other controllers
+  std::string cloud_endpoint;      ///< `ADDRESS:PORT` of the cloud's interface
+  std::string state_endpoint;      ///< `ADDRESS:PORT` of the state store
+  std::vector<std::string> zones;  ///< all zones of the deployment
+  double skew_s = 0;        ///< bound on the difference of wall clocks that the deployment states
+  std::vector<Team> teams;  ///< teams with guarantees or limits
+  std::vector<Objective> objectives;  ///< objectives, in the order of the file
+  double heartbeat_interval_s = 0;    ///< seconds between two heartbeats of a worker
+  double lease_s = 0;                 ///< life of a worker's lease, seconds
   /// Seconds from the acceptance of a cancellation until all tasks of the job must have stopped.
   double cancel_s = 0;
   double gang_wait_s = 0;  ///< how long a gang's task waits on its machine for the others, seconds
@@ -91,7 +92,7 @@
   /// learn of is thereby honoured in time: no lease is renewed after W, and the last lease of a
   /// worker expires `lease_s` later.
   [[nodiscard]] double leader_lease_s() const;
-  /// Seconds after which a worker's lease that nobody renewed has certainly expired.
+  /// Seconds after which a worker's lease that was not renewed has certainly expired.
   [[nodiscard]] double lease_over_s() const;
   /// Seconds without a heartbeat after which a machine counts as silent.
   [[nodiscard]] double silent_after_s() const;
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The cloud's interface: machine types, provision and termination of machines, the machine list.
 /// All decode functions throw DecodeError.
 #pragma once
@@ -14,16 +15,16 @@
 /// A type of machine that the cloud rents out. Prices are in the cloud's own unit; the program only
 /// compares them with each other.
 struct MachineType {
-  std::string name;
-  double cpus = 0;
-  double gpus = 0;
-  double memory_gb = 0;
-  double cache_gb = 0;        ///< local storage for images
-  double fetch_gb_per_s = 0;  ///< rate at which a machine fetches an image; 0: not stated
-  double price = 0;           ///< of an ordinary machine
-  double spot_price = 0;      ///< of a spot machine
-  double ready_s = 0;         ///< usual time from the request until the machine is up
-  std::vector<std::string> zones;
+  std::string name;                ///< by which it is requested
+  double cpus = 0;                 ///< processor cores
+  double gpus = 0;                 ///< graphics processors
+  double memory_gb = 0;            ///< main memory, GB
+  double cache_gb = 0;             ///< local storage for images, GB
+  double fetch_gb_per_s = 0;       ///< rate of fetching an image, GB per second; 0: not stated
+  double price = 0;                ///< price of an ordinary machine
+  double spot_price = 0;           ///< price of a spot machine
+  double ready_s = 0;              ///< usual time from the request until the machine is up, seconds
+  std::vector<std::string> zones;  ///< zones in which it is offered
 };
 /// Reads the cloud's answer, or the machine types as they are stored.
 [[nodiscard]] std::vector<MachineType> decode_machine_types(const Object& object);
@@ -32,19 +33,24 @@
 
 /// A machine as the cloud lists it.
 struct CloudMachine {
-  enum class State : std::uint8_t { booting, running, failed };
-  std::string id;
-  std::string addr;  ///< empty while it has none
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  State state = State::booting;
-  double age_s = 0;  ///< seconds since it was rented
+  /// Where the machine is in its life.
+  enum class State : std::uint8_t {
+    booting,  ///< rented, and not up yet
+    running,  ///< up
+    failed    ///< defective; it never comes back (rule 6)
+  };
+  std::string id;                ///< name that the cloud gave the machine
+  std::string addr;              ///< empty while it has none
+  std::string type;              ///< machine type
+  std::string zone;              ///< zone in which it is
+  bool spot = false;             ///< whether it is a spot machine
+  State state = State::booting;  ///< state of the machine, not of its worker
+  double age_s = 0;              ///< seconds since it was rented
 };
 /// One page of the machine list.
 struct CloudPage {
-  std::vector<CloudMachine> machines;
-  bool truncated = false;  ///< more pages follow
+  std::vector<CloudMachine> machines;  ///< in the order of the cloud's list
+  bool truncated = false;              ///< more pages follow
 };
 /// Reads one page of the machine list.
 [[nodiscard]] CloudPage decode_cloud_page(const Object& object);
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// MessagePack, restricted to what the protocols allow: maps with text keys, lists, text, finite
 /// numbers, booleans and null.
 ///
@@ -40,16 +41,22 @@
   /// The field. Throws DecodeError if it is missing.
   [[nodiscard]] const Object& require(std::string_view key) const;
 
-  // Each of these throws DecodeError if the field is missing.
+  /// The text of the field. Throws DecodeError if the field is missing.
   [[nodiscard]] std::string text(std::string_view key) const;
+  /// The number in the field. Throws DecodeError if the field is missing.
   [[nodiscard]] double number(std::string_view key) const;
+  /// The whole number in the field. Throws DecodeError if the field is missing or negative.
   [[nodiscard]] std::uint64_t integer(std::string_view key) const;
+  /// The boolean in the field. Throws DecodeError if the field is missing.
   [[nodiscard]] bool flag(std::string_view key) const;
 
-  // Each of these returns nothing, or the fallback, if the field is missing.
+  /// The text, or nothing if the field is missing.
   [[nodiscard]] std::optional<std::string> maybe_text(std::string_view key) const;
+  /// The number, or nothing if the field is missing.
   [[nodiscard]] std::optional<double> maybe_number(std::string_view key) const;
+  /// The whole number, or the fallback if the field is missing.
   [[nodiscard]] std::uint64_t integer_or(std::string_view key, std::uint64_t fallback) const;
+  /// The boolean, or the fallback if the field is missing.
   [[nodiscard]] bool flag_or(std::string_view key, bool fallback) const;
 
  private:
@@ -58,11 +65,14 @@
 
 /// The elements of a list, for a range-based `for`. Valid only as long as the Document.
 struct Elements {
-  const Object* first = nullptr;
-  const Object* last = nullptr;  ///< one past the last element
+  const Object* first = nullptr;  ///< equal to `last` if the list is empty
+  const Object* last = nullptr;   ///< one past the last element
 
+  /// The first element, for range-based loops.
   [[nodiscard]] const Object* begin() const { return first; }
+  /// One past the last element, for range-based loops.
   [[nodiscard]] const Object* end() const { return last; }
+  /// Number of elements.
   [[nodiscard]] std::size_t size() const { return static_cast<std::size_t>(last - first); }
   /// The element at this position, which must be less than size().
   [[nodiscard]] const Object& operator[](std::size_t position) const { return first[position]; }
@@ -102,6 +112,7 @@
 /// as many calls; the sizes are not checked.
 class Packer {
  public:
+  /// Begins a message without content.
   Packer() : packer_(buffer_) {}
   /// Begins a map with this number of fields. For each, call key() and add one value.
   Packer& map(std::size_t size);
@@ -109,10 +120,15 @@
   Packer& list(std::size_t size);
   /// Adds the name of the next field of a map.
   Packer& key(std::string_view name) { return text(name); }
+  /// Adds a text.
   Packer& text(std::string_view value);
+  /// Adds a whole number that is not negative.
   Packer& integer(std::uint64_t value);
+  /// Adds a number. It must be finite, since decoders refuse others.
   Packer& number(double value);
+  /// Adds a boolean.
   Packer& flag(bool value);
+  /// Adds a null. Readers treat a field that is null as missing.
   Packer& null();
   /// Adds a list of texts.
   Packer& texts(const std::vector<std::string>& values);
--- a/src/wire/jobs.hpp
+++ b/src/wire/jobs.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Users' interface: submissions and the state of jobs. All decode functions throw DecodeError.
 #pragma once
 
@@ -18,32 +19,42 @@
   gang      ///< all tasks run at the same time, or none does
 };
 /// Priorities, the lowest first.
-enum class Priority : std::uint8_t { idle, normal, high, critical };
+enum class Priority : std::uint8_t {
+  idle,     ///< goes after all other work, and preempts none without a guarantee
+  normal,   ///< goes before idle work
+  high,     ///< goes before normal work
+  critical  ///< goes before all work of other priorities
+};
 /// State of a job; `done` and `cancelled` are final.
-enum class JobState : std::uint8_t { queued, running, done, cancelled };
+enum class JobState : std::uint8_t {
+  queued,    ///< no task is assigned to a machine
+  running,   ///< at least one task is assigned to a machine
+  done,      ///< all tasks have completed
+  cancelled  ///< a user has cancelled it
+};
 
 /// A job as a user submits it.
 struct JobSpec {
-  std::string id;  ///< chosen by the user, see valid_job_id()
-  std::string job_class;
-  std::string team;
-  JobKind kind = JobKind::array;
-  Priority priority = Priority::normal;
-  std::uint32_t tasks = 1;  ///< number of tasks
-  double cpus = 0;          ///< needed by each task, as are the two below
-  double gpus = 0;
-  double memory_gb = 0;
-  std::vector<std::string> types;   ///< allowed machine types; empty: any
-  std::optional<std::string> zone;  ///< nothing: any
-  bool together = false;            ///< all tasks must run in one zone
-  bool spread = false;              ///< limits the number of tasks in each zone
-  bool spot = false;                ///< tasks may run on spot machines
-  std::string image;
-  double image_gb = 0;
-  double expect_s = 0;            ///< expected run time of a task, seconds
-  double checkpoint_every_s = 0;  ///< seconds between two checkpoints of a task
-  double checkpoint_s = 0;        ///< seconds that a checkpoint takes
-  std::optional<double> due_s;    ///< completion objective, seconds from the submission
+  std::string id;                        ///< chosen by the user, see valid_job_id()
+  std::string job_class;                 ///< name of the class; objectives apply to classes
+  std::string team;                      ///< team whose guarantee and limit apply
+  JobKind kind = JobKind::array;         ///< how its tasks depend on each other
+  Priority priority = Priority::normal;  ///< compared first when jobs are queued
+  std::uint32_t tasks = 1;               ///< number of tasks
+  double cpus = 0;                       ///< processor cores needed by each task
+  double gpus = 0;                       ///< graphics processors needed by each task
+  double memory_gb = 0;                  ///< main memory needed by each task, GB
+  std::vector<std::string> types;        ///< allowed machine types; empty: any
+  std::optional<std::string> zone;       ///< nothing: any
+  bool together = false;                 ///< all tasks must run in one zone
+  bool spread = false;                   ///< limits the number of tasks in each zone
+  bool spot = false;                     ///< tasks may run on spot machines
+  std::string image;                     ///< name of the image that its tasks need
+  double image_gb = 0;                   ///< size of the image, GB
+  double expect_s = 0;                   ///< expected run time of a task, seconds
+  double checkpoint_every_s = 0;         ///< seconds between two checkpoints of a task
+  double checkpoint_s = 0;               ///< seconds that a checkpoint takes
+  std::optional<double> due_s;           ///< completion objective, seconds from the submission
 };
 
 /// True if the text has the form of a job id: `job-` and digits, at most 40 bytes.
@@ -57,10 +68,10 @@
 
 /// What a user is told of a job.
 struct JobStatus {
-  std::string id;
-  JobState state = JobState::queued;
-  std::uint64_t done = 0;     ///< number of completed tasks
-  std::uint64_t running = 0;  ///< number of assigned tasks
+  std::string id;                     ///< as in the submission
+  JobState state = JobState::queued;  ///< state of the job as a whole
+  std::uint64_t done = 0;             ///< number of completed tasks
+  std::uint64_t running = 0;          ///< number of assigned tasks
 };
 /// The protocol's word for the state.
 [[nodiscard]] std::string_view to_text(JobState state);
--- a/src/wire/names.hpp
+++ b/src/wire/names.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Helpers for the files of this package: enumerations, numbers and optional values as the
 /// protocols write them. Other packages do not include this header.
 #pragma once
@@ -15,8 +16,8 @@
 /// The word by which a protocol denotes a value of an enumeration.
 template <typename Enum>
 struct Name {
-  std::string_view text;
-  Enum value;
+  std::string_view text;  ///< the word, as in messages
+  Enum value;             ///< the value that the word denotes
 };
 
 /// All words of an enumeration.
@@ -64,14 +65,17 @@
 [[nodiscard]] double amount_or_zero(const Fields& fields, std::string_view key);
 
 /// Whether a message may lack a field.
-enum class Presence : std::uint8_t { required, optional };
+enum class Presence : std::uint8_t {
+  required,  ///< a message without the field is refused
+  optional   ///< a missing field counts as 0
+};
 
 /// A field that holds a number which is not negative, and the member it is read into.
 template <typename Message>
 struct AmountField {
-  std::string_view name;
-  double Message::*member;
-  Presence presence = Presence::required;
+  std::string_view name;                   ///< name of the field in messages
+  double Message::*member;                 ///< receives the number
+  Presence presence = Presence::required;  ///< whether the field may be missing
 };
 
 /// Reads the fields into the message. Throws DecodeError if one is negative, or missing though
--- a/src/wire/state.hpp
+++ b/src/wire/state.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The state store's interface: keys, watches, transactions and leases. All decode functions throw
 /// DecodeError. Revisions are version numbers of the whole store; they only grow, and 0 is none.
 #pragma once
@@ -31,7 +32,7 @@
 
 /// A key with its value.
 struct Entry {
-  std::string key;
+  std::string key;                 ///< the whole key, with its prefix
   std::string value;               ///< MessagePack
   std::uint64_t mod_revision = 0;  ///< modification revision: that of its last change
 };
@@ -40,7 +41,7 @@
 
 /// One page of the keys below a prefix.
 struct Listing {
-  std::vector<Entry> entries;
+  std::vector<Entry> entries;  ///< in the order of their keys
   bool truncated = false;      ///< more pages follow
   std::uint64_t revision = 0;  ///< of the store at the moment when the page was read
 };
@@ -49,9 +50,9 @@
 
 /// A key that was set or deleted.
 struct Change {
-  std::string key;
+  std::string key;                   ///< the key that was changed
   std::optional<std::string> value;  ///< MessagePack; nothing: the key was deleted
-  std::uint64_t mod_revision = 0;
+  std::uint64_t mod_revision = 0;    ///< revision of this change
 };
 /// The answer to a watch.
 struct Changes {
@@ -64,20 +65,21 @@
 /// A condition of a transaction: the key's modification revision must be this one, or the key must
 /// not exist if it is 0.
 struct Precondition {
-  std::string key;
-  std::uint64_t mod_revision = 0;
+  std::string key;                 ///< the key that is compared
+  std::uint64_t mod_revision = 0;  ///< required revision; 0: the key must not exist
 };
 /// A change that a transaction makes.
 struct Write {
-  std::string key;
+  std::string key;                   ///< the key to set or delete
   std::optional<std::string> value;  ///< MessagePack; nothing: delete the key
   std::uint64_t lease = 0;           ///< lease to which the key is bound; 0: none
 };
 /// Changes that are made all together, or not at all if a precondition fails.
 struct Transaction {
-  std::vector<Precondition> preconditions;
-  std::vector<Write> writes;
+  std::vector<Precondition> preconditions;  ///< all of them must hold
+  std::vector<Write> writes;                ///< the changes to make
 };
+/// Writes the body of a request to `kCommitPath`.
 [[nodiscard]] std::string encode_transaction(const Transaction& transaction);
 
 /// The answer to a transaction.
--- a/src/wire/workers.hpp
+++ b/src/wire/workers.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Workers' interface: heartbeats and commands. A worker is the program that runs tasks on a
 /// machine. All decode functions throw DecodeError.
 #pragma once
@@ -38,27 +39,28 @@
 
 /// One task as a worker reports it.
 struct TaskStatus {
-  std::string job;
-  std::uint32_t index = 0;  ///< position within the job
-  std::uint64_t attempt = 0;
-  TaskState state = TaskState::fetching;
-  EndCause cause = EndCause::none;  ///< of a task that ended
-  bool saved = false;               ///< it saved its progress before it ended
+  std::string job;                        ///< id of the job
+  std::uint32_t index = 0;                ///< position within the job
+  std::uint64_t attempt = 0;              ///< number of the attempt
+  TaskState state = TaskState::fetching;  ///< progress of the attempt on the machine
+  EndCause cause = EndCause::none;        ///< why the task ended, if it did
+  bool saved = false;                     ///< it saved its progress before it ended
 };
 
 /// The status message of a worker.
 struct WorkerHeartbeat {
-  std::string machine;  ///< id of the machine
-  std::string addr;     ///< address at which the worker takes commands; empty: not stated
-  std::string type;
-  std::string zone;
-  bool spot = false;
+  std::string machine;         ///< id of the machine
+  std::string addr;            ///< address at which the worker takes commands; empty: not stated
+  std::string type;            ///< machine type
+  std::string zone;            ///< zone in which the machine is
+  bool spot = false;           ///< whether it is a spot machine
   std::uint64_t epoch = 0;     ///< worker session; a new one begins whenever the lease expires
   std::uint64_t sequence = 0;  ///< grows with every heartbeat of the epoch
   std::uint64_t token = 0;     ///< highest fencing token that the worker has seen
   /// Seconds until a spot machine is taken back; nothing without an interruption notice.
   std::optional<double> interruption_in_s;
-  std::vector<TaskStatus> tasks;
+  std::vector<TaskStatus>
+      tasks;  ///< all tasks on the machine, with ended ones until they are cleared
 };
 /// Reads a heartbeat.
 [[nodiscard]] WorkerHeartbeat decode_heartbeat(const Object& object);
@@ -73,10 +75,10 @@
 };
 /// One command to a worker.
 struct WorkerCommand {
-  Verb verb = Verb::run;
-  std::string job;
-  std::uint32_t index = 0;  ///< position of the task within the job
-  std::uint64_t attempt = 0;
+  Verb verb = Verb::run;      ///< what to do with the task
+  std::string job;            ///< id of the job
+  std::uint32_t index = 0;    ///< position of the task within the job
+  std::uint64_t attempt = 0;  ///< the attempt to which the command applies
   double grace_period_s = 0;  ///< seconds to write a checkpoint, with `stop`
 };
 /// Writes the answer to a heartbeat, which renews the worker's lease.
@@ -87,14 +89,14 @@
                                                  const std::vector<WorkerCommand>& commands);
 /// Commands as a worker receives them, by either way.
 struct CommandEnvelope {
-  std::uint64_t token = 0;
-  std::uint64_t epoch = 0;  ///< of a command RPC; 0 in the answer to a heartbeat
-  std::vector<WorkerCommand> commands;
+  std::uint64_t token = 0;              ///< fencing token of the sender
+  std::uint64_t epoch = 0;              ///< of a command RPC; 0 in the answer to a heartbeat
+  std::vector<WorkerCommand> commands;  ///< in the order in which they were composed
 };
 /// Reads commands.
 [[nodiscard]] CommandEnvelope decode_commands(const Object& object);
-/// Writes an answer that redirects a worker to the controller `node`; empty: to whichever
-/// controller the worker tries next.
+/// Writes an answer that redirects a worker to the controller `node`; if the
+/// name is empty, the worker chooses the controller that it tries next.
 [[nodiscard]] std::string encode_redirect(std::string_view node);
 
 /// The name of a task in the protocol: job id, slash and position within the job.
