--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// HTTP/1.1 client with a pool of kept-alive connections, on one Asio event loop.
 ///
 /// All calls and callbacks are made on the thread that runs the `asio::io_context`.
@@ -17,7 +18,7 @@
   /// HTTP status code. 0 means that no response arrived in time: the server may have executed
   /// the request or may yet execute it, unless `never_sent` is set.
   int status = 0;
-  std::string body;
+  std::string body;  ///< body of the response; empty if none arrived
   /// No byte of the request was written to a connection, so the server can't have executed it.
   bool never_sent = false;
 };
--- a/src/net/http_client_connection.hpp
+++ b/src/net/http_client_connection.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// One connection of the HTTP client. Private to the implementation of `HttpClient`.
 #pragma once
 
@@ -17,6 +18,8 @@
 /// between requests the pool does.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
+  /// Prepares a connection to the endpoint of the pool without connecting yet. The connection
+  /// keeps the pool alive.
   explicit Connection(std::shared_ptr<Pool> pool);
   ~Connection();
   Connection(const Connection&) = delete;
@@ -31,8 +34,9 @@
   /// Closes the socket of an idle connection, whose timer does not run.
   void close_idle();
 
-  /// Whether an idle connection can't be used any more. The server owes nothing on an idle
-  /// connection, so whatever can be read from it is its end or an unexpected message.
+  /// Whether an idle connection can't be used any more. The server sends
+  /// nothing on an idle connection unless it was asked. Anything that can be read from it is
+  /// therefore either the end of the connection or an unexpected message.
   [[nodiscard]] bool is_stale();
 
  private:
--- a/src/net/http_client_pool.hpp
+++ b/src/net/http_client_pool.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The connections of one HTTP client and the requests that wait for one of them. Private to the
 /// implementation of `HttpClient`.
 #pragma once
@@ -18,15 +19,17 @@
 /// pool outlives the client until the last request in progress has ended.
 class HttpClient::Pool : public std::enable_shared_from_this<Pool> {
  public:
+  /// The clock of the deadlines.
   using Clock = std::chrono::steady_clock;
 
   /// A request that has not been given to a connection yet.
   struct PendingRequest {
-    std::string text;  ///< as it goes over the connection, header fields included
-    Clock::time_point deadline;
-    ReplyHandler handler;
+    std::string text;            ///< the request as sent, header fields included
+    Clock::time_point deadline;  ///< the request fails if it has no response by then
+    ReplyHandler handler;        ///< receives the outcome
   };
 
+  /// Opens no connection yet. `max_connections` counts busy and idle ones.
   Pool(asio::io_context& io, asio::ip::tcp::endpoint endpoint, std::size_t max_connections);
 
   /// Queues a request and serves it from the event loop, not from inside this call.
@@ -39,12 +42,16 @@
   /// Calls `serve_pending` from the event loop.
   void schedule_serving();
 
+  /// The event loop of all connections.
   [[nodiscard]] asio::io_context& io() const { return io_; }
+  /// The address to which connections are opened.
   [[nodiscard]] const asio::ip::tcp::endpoint& endpoint() const { return endpoint_; }
+  /// Whether the client has been destroyed, so that no further request is served.
   [[nodiscard]] bool is_shut_down() const { return shut_down_; }
 
-  /// To be called by the constructor and the destructor of each connection.
+  /// Counts a connection as open. To be called by the connection's constructor.
   void connection_created() { ++open_connections_; }
+  /// Stops counting a connection. To be called by the connection's destructor.
   void connection_destroyed() { --open_connections_; }
 
  private:
--- a/src/net/http_request_parser.cpp
+++ b/src/net/http_request_parser.cpp
@@ -37,7 +37,8 @@
       http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
   if (complete_) {
     // Clients of this protocol do not pipeline requests. Should one do so nevertheless, the
-    // connection is closed after the response, so that the further bytes are never mistaken.
+    // connection is closed after the response, so that the further bytes can't be taken for a
+    // separate request.
     if (parsed < bytes.size()) keep_alive_ = false;
     return Result::complete;
   }
--- a/src/net/http_request_parser.hpp
+++ b/src/net/http_request_parser.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Parser of HTTP requests, as the server reads them from a connection.
 #pragma once
 
@@ -16,6 +17,7 @@
 /// arrive in. Does no I/O. Not copyable, since the underlying C parser refers to this object.
 class HttpRequestParser {
  public:
+  /// State of the current request after a piece of its bytes was parsed.
   enum class Result : std::uint8_t {
     incomplete,         ///< more bytes are needed
     complete,           ///< `take_request` returns the request
--- a/src/net/http_response_parser.hpp
+++ b/src/net/http_response_parser.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Parser of HTTP responses, as the client reads them from a connection.
 #pragma once
 
@@ -15,12 +16,14 @@
 /// arrive in. Does no I/O. Not copyable, since the underlying C parser refers to this object.
 class HttpResponseParser {
  public:
+  /// State of the current response after a piece of its bytes was parsed.
   enum class Result : std::uint8_t {
     incomplete,  ///< more bytes are needed
     complete,    ///< `status` and `take_body` return the response
     malformed,   ///< not an HTTP response, or larger than `constants::kMaxReplyBytes`
   };
 
+  /// The parser is ready for the first response.
   HttpResponseParser() { reset(); }
   HttpResponseParser(const HttpResponseParser&) = delete;
   HttpResponseParser& operator=(const HttpResponseParser&) = delete;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// HTTP/1.1 server on one Asio event loop. It knows nothing of jobs or of the scheduler.
 ///
 /// All calls and callbacks are made on the thread that runs the `asio::io_context`.
@@ -16,15 +17,15 @@
 struct Request {
   std::string method;  ///< "GET", "POST", and so on
   std::string path;    ///< request target as sent, query included
-  std::string body;
+  std::string body;    ///< empty if the request has none
 };
 
 /// What is sent in reply to a request.
 struct Response {
-  int status = 200;  ///< HTTP status code
-  std::string body;
+  int status = 200;       ///< HTTP status code
+  std::string body;       ///< empty for a response without content
   int retry_after_s = 0;  ///< seconds for the `Retry-After` header; 0 leaves the header out
-  std::string content_type = "application/msgpack";
+  std::string content_type = "application/msgpack";  ///< value of the `Content-Type` header
   /// The client can reconnect at little cost, so the server may close this connection after the
   /// response when connections run short (see `ServerLimits::crowded`).
   bool yields = false;
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// One connection of the HTTP server, and the state that all its connections share. Private to
 /// the implementation of `HttpServer`.
 #pragma once
@@ -20,24 +21,26 @@
 /// What the server and its connections share. Each connection holds a reference, so that this
 /// outlives the server until the last connection is gone.
 struct HttpServer::Shared {
-  ServerLimits limits;
-  Handler handler;
-  std::unordered_set<Connection*> connections;
+  ServerLimits limits;                          ///< limits that the server was given
+  Handler handler;                              ///< answers the requests of all connections
+  std::unordered_set<Connection*> connections;  ///< all whose objects still exist
   /// Connections that wait for a request or for the rest of one, in the order in which they
   /// began to wait: the one at the front has been waiting longest.
   std::list<Connection*> awaiting_request;
   /// Open sockets. Less than `connections.size()` while the handlers of a closed socket are
   /// still to run, since they keep their connection object alive.
   std::size_t open_sockets = 0;
-  bool server_destroyed = false;
+  bool server_destroyed = false;  ///< if set, no further request is served
 };
 
 /// Serves the requests of one client, one after the other. Lives as long as a pending operation
 /// of the socket or a responder refers to it. Runs on the server's event loop.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
+  /// The clock of the deadlines.
   using Clock = std::chrono::steady_clock;
 
+  /// Takes over an accepted socket. Reads nothing yet.
   Connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared);
   ~Connection();
   Connection(const Connection&) = delete;
--- a/src/net/write_all.hpp
+++ b/src/net/write_all.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Writing to a non-blocking socket, shared by the HTTP client and the HTTP server.
 ///
 /// Requests and responses are small, so the socket's send buffer nearly always has room for all
--- a/src/runtime/coalescing_timer.hpp
+++ b/src/runtime/coalescing_timer.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// A timer that several callers may start and that fires once for all of them.
 #pragma once
 
@@ -13,6 +14,7 @@
 /// drops its command.
 class CoalescingTimer {
  public:
+  /// The timer runs on `event_loop` and posts its commands to `queue`.
   CoalescingTimer(EventLoop& event_loop, CommandQueue& queue)
       : event_loop_(event_loop), scope_(queue) {}
 
--- a/src/runtime/command_queue.hpp
+++ b/src/runtime/command_queue.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The command queue of a controller. All state of a controller has one owner, which changes it
 /// only through commands that this queue runs one after the other on the event loop's thread, so
 /// that no lock is needed.
@@ -61,6 +62,7 @@
 /// refer to that object.
 class CommandScope {
  public:
+  /// Commands of this scope are posted to `queue`.
   explicit CommandScope(CommandQueue& queue) : queue_(queue) {}
 
   /// Returns a callback that posts a command, which calls `fn` with the callback's arguments. The
--- a/src/runtime/event_loop.hpp
+++ b/src/runtime/event_loop.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Time, randomness and deferred execution, as the single-threaded parts of the program see them.
 /// Production code runs on Asio (`app::AsioEventLoop`); tests simulate time.
 #pragma once
--- a/src/runtime/lifetime_token.hpp
+++ b/src/runtime/lifetime_token.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Detection of callbacks that arrive after the object they are meant for has been destroyed.
 #pragma once
 
@@ -16,6 +17,7 @@
   /// Tells whether the owner of the token has been destroyed. May be copied and may outlive it.
   class Observer {
    public:
+    /// True once the object that holds the token has been destroyed.
     [[nodiscard]] bool owner_destroyed() const { return mark_.expired(); }
 
    private:
@@ -26,10 +28,12 @@
 
   LifetimeToken() = default;
   ~LifetimeToken() = default;
-  /// Not copyable: a copy would outlive the owner and vouch for it.
+  /// Not copyable: a copy could outlive the owner, and observers would then report that the owner
+  /// still exists.
   LifetimeToken(const LifetimeToken&) = delete;
   LifetimeToken& operator=(const LifetimeToken&) = delete;
 
+  /// Returns an observer for one callback.
   [[nodiscard]] Observer observe() const { return Observer(mark_); }
 
  private:
