--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Framing of messages on a byte stream: each frame is a length of 4 bytes, little-endian, and
 /// then the message of that many bytes.
 #pragma once
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -7,7 +7,7 @@
 std::string encode(const Message& message) {
   std::ostringstream out(std::ios::binary);
   {
-    // Only the end of its life guarantees that an archive has written everything.
+    // An archive is guaranteed to have written everything only once it has been destroyed.
     cereal::PortableBinaryOutputArchive archive(out);
     archive(message);
   }
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The messages between controllers, encoded with cereal's portable binary archive.
 ///
 /// Controllers of different versions may run side by side, so the fields of a message, their order
@@ -23,11 +24,13 @@
   bool state_reachable = false;  ///< the state service answers the sender
   bool leader_heard = false;     ///< the sender receives the leader's heartbeats
   /// Revision up to which the sender's mirror of the records is complete; 0 while it has not been
-  /// read in full. From then on the sender does nothing that the records up to there forbid.
+  /// read in full. Once it is not 0, the sender takes no action that the records up to this
+  /// revision forbid.
   std::uint64_t revision = 0;
   /// Seconds since the sender last answered a worker's heartbeat as a zone delegate, that is
   /// without the leader; if it never did, seconds since its process started.
   double replied_ago_s = 0;
+  /// Reads or writes the fields by a cereal archive, in the order that all versions share.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(node, term, leader, state_reachable, leader_heard, revision, replied_ago_s);
@@ -40,6 +43,7 @@
   std::string node;      ///< name of the follower that forwards, and to which the reply goes
   std::uint64_t id = 0;  ///< number that the follower gave it, to recognize the reply
   std::string body;      ///< body of the worker's HTTP request
+  /// Reads or writes the fields by a cereal archive, in the order that all versions share.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(node, id, body);
@@ -51,6 +55,7 @@
   std::uint64_t id = 0;  ///< that of the forwarded heartbeat
   int status = 0;        ///< HTTP status code
   std::string body;      ///< body of the HTTP response
+  /// Reads or writes the fields by a cereal archive, in the order that all versions share.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id, status, body);
@@ -61,6 +66,7 @@
 /// message arrives sooner, and also reaches controllers that the state service does not answer.
 struct Cancelled {
   std::string job;  ///< id of the job
+  /// Reads or writes the fields by a cereal archive, in the order that all versions share.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(job);
--- a/src/peer/tcp_transport.hpp
+++ b/src/peer/tcp_transport.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The transport between controllers over TCP. Each controller keeps one connection to every other
 /// controller, to which it only writes; it receives on the connections that the others open.
 /// Each frame holds one message.
--- a/src/peer/transport.hpp
+++ b/src/peer/transport.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The transport for messages between controllers, as the rest of the program sees it.
 ///
 /// Delivery is best effort: any message may be lost, and no rule of docs/design.md relies on one
--- a/src/sched/arrivals.hpp
+++ b/src/sched/arrivals.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Estimate of the rate at which demand arrives. Pure: no clock, no randomness, no I/O.
 #pragma once
 
--- a/src/sched/balance.hpp
+++ b/src/sched/balance.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The load balancing law of the paper that the design builds on (Tang et al., equation (1); see
 /// docs/design.md). Pure: no clock, no randomness, no I/O.
 ///
@@ -36,9 +37,9 @@
 
 /// A number of tasks that move from one worker to another.
 struct Transfer {
-  std::size_t from = 0;  ///< index of the sender
-  std::size_t to = 0;    ///< index of the receiver
-  std::size_t tasks = 0;
+  std::size_t from = 0;   ///< index of the sender
+  std::size_t to = 0;     ///< index of the receiver
+  std::size_t tasks = 0;  ///< how many tasks move
 };
 
 /// One round of balancing: every worker whose z exceeds the mean by more than `threshold_tasks`
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Placement of gangs: finds machines for all tasks of a gang at once, or for none.
 /// Pure: no clock, no randomness, no I/O. Machines are numbers that the caller assigns.
 #pragma once
@@ -11,14 +12,15 @@
 
 /// A machine that a gang's tasks could run on. A slot is room for one task of the gang.
 struct GangSite {
-  std::size_t machine = 0;  ///< the caller's number for the machine
-  std::string zone;
+  std::size_t machine = 0;      ///< the caller's number for the machine
+  std::string zone;             ///< name of the zone in which the machine is
   std::size_t free_slots = 0;   ///< slots that are free now
   std::size_t extra_slots = 0;  ///< further slots that preemption of lesser tasks would free
   bool avoid = false;           ///< an earlier attempt of the gang failed to start here
   bool cached = false;          ///< the machine has the gang's image, or is fetching it
   bool fetching = false;        ///< the machine is fetching another image, which slows a fetch
-  /// Room would be left over for other tasks, which may start soon and slow a fetch with their own.
+  /// The machine would have room left for other tasks. These may start soon, and the fetches of
+  /// their images would slow the fetch of the gang's image.
   bool inviting = false;
   /// Slots for other tasks that would be lost if the gang took this room; half a slot is added for
   /// a machine that is empty so far.
@@ -28,7 +30,7 @@
 
 /// The tasks that are to be placed.
 struct GangRequest {
-  std::size_t tasks = 0;
+  std::size_t tasks = 0;       ///< number of tasks of the gang
   bool together = false;       ///< all tasks must be in one zone
   std::size_t zone_limit = 0;  ///< largest number of tasks in one zone; 0: no limit
 };
--- a/src/sched/group.cpp
+++ b/src/sched/group.cpp
@@ -9,7 +9,7 @@
 namespace elmstall::sched {
 namespace {
 
-/// Seconds. Smallest mean run time that is reckoned with, so that z is never 0 for queued tasks.
+/// Seconds. Smallest mean run time that is used, so that z is never 0 for queued tasks.
 constexpr double kLeastTaskTime = 1e-3;
 
 std::optional<Queued> first_startable(const std::vector<Queued>& list,
@@ -82,7 +82,7 @@
   }
   change_worker(*found, [](Worker& worker) { worker = {}; });
   workers_.erase(found);
-  // As in count_out: the sum of no workers is exact.
+  // Rounding errors add up in this sum too (see count_out). Without workers it is set to 0.
   if (workers_.empty()) total_load_ = 0;
 }
 
@@ -193,7 +193,8 @@
                               std::size_t limit, const Eligible& eligible) {
   std::vector<Queued> moving;
   change_worker(sender, [&](Worker& worker) {
-    // From the end of the list: the tasks at its front start soonest where they are.
+    // Tasks are taken from the end of the list, because those at its front start soonest where
+    // they are.
     for (std::size_t i = worker.list.size(); i-- > 0 && moving.size() < limit;) {
       if (!eligible(worker.list[i].id, receiver.first)) continue;
       moving.push_back(worker.list[i]);
--- a/src/sched/group.hpp
+++ b/src/sched/group.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The queues of one group of workers, that is of machines of one type and zone. Each worker has a
 /// list of tasks that wait for it, and tasks move between the lists by equation (1) of the paper
 /// (see sched/balance.hpp for its symbols). Pure: no clock, no randomness, no I/O.
@@ -25,7 +26,7 @@
 
 /// A task that waits in a list. Lists are ordered by precedence, tier, due time and id.
 struct Queued {
-  TaskId id = 0;
+  TaskId id = 0;       ///< must be unique in the group
   int precedence = 0;  ///< tasks with a higher precedence go first
   int tier = 0;        ///< tasks with a lower tier go first; 0 while the task can still be in time
   double due = 0;      ///< seconds on the caller's clock; tasks that are due earlier go first
@@ -59,7 +60,9 @@
   void set_worker(const std::string& name, std::size_t in_transit, double slots, bool room);
   /// Removes a worker. The tasks of its list move to the inbox.
   void remove_worker(const std::string& name);
+  /// All workers of the group, by name.
   [[nodiscard]] const std::map<std::string, Worker>& workers() const { return workers_; }
+  /// The tasks that are in no worker's list, in the order in which lists are kept.
   [[nodiscard]] const std::vector<Queued>& inbox() const { return inbox_; }
 
   /// Adds a block of tasks to the list of one worker, the one with the lowest z that is eligible
--- a/src/sched/resources.hpp
+++ b/src/sched/resources.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Amounts of resources: what tasks need, what machines have, and what teams may use.
 /// Pure: no clock, no randomness, no I/O.
 #pragma once
@@ -14,19 +15,24 @@
 
 /// An amount of each resource. The single resources are called dimensions below.
 struct Amount {
-  double cpus = 0;
-  double gpus = 0;
-  double memory_gb = 0;
+  double cpus = 0;       ///< processor cores
+  double gpus = 0;       ///< graphics processors
+  double memory_gb = 0;  ///< main memory, GB
 
+  /// Adds in each dimension.
   Amount& operator+=(const Amount& other) {
     cpus += other.cpus;
     gpus += other.gpus;
     memory_gb += other.memory_gb;
     return *this;
   }
+  /// Subtracts in each dimension; the result may be negative.
   Amount& operator-=(const Amount& other) { return *this += other * -1.0; }
+  /// The sum in each dimension.
   friend Amount operator+(Amount a, const Amount& b) { return a += b; }
+  /// The difference in each dimension, which may be negative.
   friend Amount operator-(Amount a, const Amount& b) { return a -= b; }
+  /// Every dimension times the factor.
   friend Amount operator*(const Amount& a, double factor) {
     return {a.cpus * factor, a.gpus * factor, a.memory_gb * factor};
   }
--- a/src/sched/scaling_plan.hpp
+++ b/src/sched/scaling_plan.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Fleet sizing: how many machines of which zone and kind to rent, and how many could be given
 /// back. Pure: no clock, no randomness, no I/O. All functions treat one machine type at a time.
 #pragma once
@@ -10,9 +11,9 @@
 
 /// The machines of one type, zone and kind (ordinary or spot).
 struct Pool {
-  std::string type;
-  std::string zone;
-  bool spot = false;
+  std::string type;      ///< name of the machine type
+  std::string zone;      ///< name of the zone
+  bool spot = false;     ///< whether the machines may be interrupted
   double price = 0;      ///< of one machine, as the cloud states it
   int alive = 0;         ///< machines that are up and usable
   int booting = 0;       ///< machines that are rented, or requested, and not up yet
@@ -29,7 +30,7 @@
 /// Machines to rent for one pool.
 struct ScaleOut {
   std::size_t pool = 0;  ///< index of the pool
-  int count = 0;
+  int count = 0;         ///< number of machines
 };
 
 /// The machines to rent now, so that the pools meet the demand. Flexible demand is met by free
@@ -40,8 +41,8 @@
 
 /// Numbers of machines, by kind, that the demand does not need.
 struct Surplus {
-  int ordinary = 0;
-  int spot = 0;
+  int ordinary = 0;  ///< number of ordinary machines
+  int spot = 0;      ///< number of spot machines
 };
 
 /// The machines that could be given back.
