--- a/src/store/keys.hpp
+++ b/src/store/keys.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The names of the records in the state store: how keys are built and taken apart.
 ///
 /// All keys share one prefix, so that a single watch delivers every change in order. Live records
@@ -48,18 +49,19 @@
 
 /// A key taken apart into the kind of its record and the name of the record.
 struct Key {
+  /// Kind of the record that a key names.
   enum class Kind : std::uint8_t {
-    other,  ///< not a key of this program
-    term,
-    lead,
-    types,
-    job,
-    slot,
-    delegation,
-    final,
-    earlier  ///< a record of the layout before the ledger log, which this program can't read
+    other,       ///< not a key of this program
+    term,        ///< the TermRecord
+    lead,        ///< the LeadRecord
+    types,       ///< the machine types
+    job,         ///< a JobRecord
+    slot,        ///< a SlotRecord
+    delegation,  ///< a DelegationRecord
+    final,       ///< a FinalRecord
+    earlier      ///< a record of the layout before the ledger log, which this program can't read
   };
-  Kind kind = Kind::other;
+  Kind kind = Kind::other;   ///< decides whether `id` or `number` is set
   std::string id;            ///< job id (job, final) or node name (delegation); empty otherwise
   std::uint32_t number = 0;  ///< slot number (slot); 0 otherwise
 };
--- a/src/store/ledger_codec.hpp
+++ b/src/store/ledger_codec.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Encoding and decoding of the values of the ledger log, as MessagePack.
 ///
 /// A value is composed of entries that are packed one by one, so that group commit can stop adding
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -111,7 +111,7 @@
 }
 
 void Mirror::put_block(std::uint32_t slot, std::uint64_t number, const BlockEntry& entry) {
-  // While the mirror is being loaded the record of the job may still come.
+  // The record of the job may still arrive while the mirror is being loaded.
   if (loaded() && !jobs_.contains(entry.job)) return;
   auto& block = blocks_[entry.job][entry.number];
   if (block.number <= number) block = {number, slot, entry.record};
--- a/src/store/mirror.hpp
+++ b/src/store/mirror.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// A node's local replica of the records in the state store, kept current by a watch.
 ///
 /// The mirror does no I/O. Its owner (controller::Node) lists the live records, feeds every page to
@@ -23,35 +24,35 @@
  public:
   /// A value that is kept as it was stored.
   struct Value {
-    std::string packed;
-    std::uint64_t mod_revision = 0;
+    std::string packed;              ///< the value, as MessagePack
+    std::uint64_t mod_revision = 0;  ///< revision of its last change
   };
   /// The latest state of a block, and which value of the ledger log it was read from.
   struct Block {
     std::uint64_t number = 0;  ///< number of the value
     std::uint32_t slot = 0;    ///< slot in which the value is stored
-    BlockRecord record;
+    BlockRecord record;        ///< state of the tasks of the block
   };
   /// The latest state of a machine, and which value of the ledger log it was read from.
   struct Machine {
     std::uint64_t number = 0;  ///< number of the value
     std::uint32_t slot = 0;    ///< slot in which the value is stored
-    MachineRecord record;
+    MachineRecord record;      ///< state of the machine
   };
   /// A slot of the ledger log.
   struct Slot {
-    std::uint64_t mod_revision = 0;
-    std::uint64_t number = 0;  ///< number of the value that it holds
+    std::uint64_t mod_revision = 0;  ///< revision at which the value was written
+    std::uint64_t number = 0;        ///< number of the value that it holds
   };
   /// The record of an unfinished job.
   struct Job {
-    JobRecord record;
-    std::uint64_t mod_revision = 0;
+    JobRecord record;                ///< the job, and whether it was cancelled
+    std::uint64_t mod_revision = 0;  ///< revision of its last change
   };
   /// The record by which a node is a zone delegate.
   struct Delegation {
-    std::string zone;
-    std::uint64_t mod_revision = 0;
+    std::string zone;                ///< the zone in which the node may answer heartbeats
+    std::uint64_t mod_revision = 0;  ///< revision at which it was written
   };
 
   /// Forgets the live records, before they are listed anew. Final states are kept because they
--- a/src/store/mirror_follower.cpp
+++ b/src/store/mirror_follower.cpp
@@ -44,8 +44,8 @@
 }
 
 void MirrorFollower::watch() {
-  // Until the mirror is whole, the reply must not wait for a change: none may come
-  // for long.
+  // Until the mirror is complete, the state store must reply at once. It would otherwise wait for
+  // a change, and there may be none for a long time.
   const double hold = context_.mirror.loaded() ? k::kWatchHold : 0;
   context_.store.watch(std::string(kRoot), context_.mirror.follow_from(), hold,
                        scope_.wrap([this](const WatchResult& result) { on_watched(result); }));
--- a/src/store/mirror_follower.hpp
+++ b/src/store/mirror_follower.hpp
@@ -1,5 +1,7 @@
-// Keeps the mirror current: lists the live records once, then watches for changes,
-// and lists again when the state store no longer has the changes in between.
+/// @file
+/// Keeps the mirror current: lists the live records once and then watches for changes. Lists the
+/// records again when the state store no longer keeps the changes in between. Runs on the event
+/// loop.
 #pragma once
 
 #include <functional>
@@ -12,19 +14,23 @@
 
 namespace elmstall::store {
 
+/// Feeds a mirror from the state store, from the call of `start` for as long as this object exists.
+/// Requests that fail are repeated, so errors are not reported.
 class MirrorFollower {
  public:
+  /// The objects and callbacks that the follower uses. The objects must outlive it.
   struct Context {
-    runtime::EventLoop& event_loop;
-    runtime::CommandQueue& queue;
-    StateStore& store;
-    Mirror& mirror;
+    runtime::EventLoop& event_loop;  ///< for the pauses between requests
+    runtime::CommandQueue& queue;    ///< where the replies are handled
+    StateStore& store;               ///< source of the records
+    Mirror& mirror;                  ///< the replica that is kept current
     /// Called after these records have changed in the mirror.
     std::function<void(const std::vector<Key>&)> changed;
     /// Seconds to wait between the reply to a watch and the next watch.
     std::function<double()> watch_pause;
   };
 
+  /// Sends no request before `start`.
   explicit MirrorFollower(Context context);
 
   /// Begins to follow; to be called once.
--- a/src/store/record_codec.hpp
+++ b/src/store/record_codec.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Encoding and decoding of the records that have a key of their own, as MessagePack. The values of
 /// the ledger log are in store/ledger_codec.hpp.
 ///
@@ -12,18 +13,26 @@
 
 namespace elmstall::store {
 
-/// The value to store for a record.
+/// The value to store under `kTermKey`.
 [[nodiscard]] std::string encode(const TermRecord& record);
+/// The value to store under `kLeadKey`.
 [[nodiscard]] std::string encode(const LeadRecord& record);
+/// The value to store under the `job_key` of the job.
 [[nodiscard]] std::string encode(const JobRecord& record);
+/// The value to store under the `delegation_key` of the node.
 [[nodiscard]] std::string encode(const DelegationRecord& record);
+/// The value to store under the `final_key` of the job.
 [[nodiscard]] std::string encode(const FinalRecord& record);
 
-/// The record that a stored value holds.
+/// Reads the value of `kTermKey`.
 [[nodiscard]] TermRecord decode_term(std::string_view packed);
+/// Reads the value of `kLeadKey`.
 [[nodiscard]] LeadRecord decode_lead(std::string_view packed);
+/// Reads the value of a `job_key`.
 [[nodiscard]] JobRecord decode_job(std::string_view packed);
+/// Reads the value of a `delegation_key`.
 [[nodiscard]] DelegationRecord decode_delegation(std::string_view packed);
+/// Reads the value of a `final_key`.
 [[nodiscard]] FinalRecord decode_final(std::string_view packed);
 
 }  // namespace elmstall::store
--- a/src/store/record_sizes.hpp
+++ b/src/store/record_sizes.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Size arithmetic of the records: how many tasks and bytes fit into one value of the state store.
 ///
 /// The store limits the size of a value in KiB of JSON, whatever the encoding in use. Functions
--- a/src/store/record_types.hpp
+++ b/src/store/record_types.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The records that the controllers keep in the state store, as plain value types.
 ///
 /// What the leader records of tasks and machines has no keys of its own, because the store takes
@@ -15,28 +16,28 @@
 
 /// Number of the present leadership; every election raises it.
 struct TermRecord {
-  std::uint64_t term = 0;
+  std::uint64_t term = 0;  ///< 0 stands for no leadership
 };
 
 /// Which process leads. The record is bound to a lease and disappears with it.
 struct LeadRecord {
-  std::string node;
+  std::string node;         ///< name of the node that leads
   std::string incarnation;  ///< name of the process, which differs after a restart of the node
-  std::uint64_t term = 0;
+  std::uint64_t term = 0;   ///< the term that this leadership began
 };
 
 /// An accepted job that has no final state yet.
 struct JobRecord {
-  wire::JobSpec spec;
+  wire::JobSpec spec;      ///< the submission; see cancelled_record() for its exception
   bool cancelled = false;  ///< true once a user has cancelled the job
   double submitted = 0;    ///< wall clock, seconds since 1970
 };
 
 /// An unfinished task that was assigned to a machine at least once.
 struct TaskRecord {
-  std::uint32_t index = 0;  ///< position within the job
-  std::uint64_t attempt = 0;
-  std::string machine;  ///< id of the machine it is assigned to; empty if it is not assigned
+  std::uint32_t index = 0;    ///< position within the job
+  std::uint64_t attempt = 0;  ///< number of the latest attempt to run the task
+  std::string machine;        ///< id of the machine it is assigned to; empty if it is not assigned
 };
 
 /// The state of a block: a run of consecutive tasks of one job that are recorded together.
@@ -52,10 +53,10 @@
 
 /// A machine that was rented and has not been removed from the records.
 struct MachineRecord {
-  std::string addr;
-  std::string type;
-  std::string zone;
-  bool spot = false;
+  std::string addr;   ///< address at which its worker takes commands
+  std::string type;   ///< machine type
+  std::string zone;   ///< zone in which it is
+  bool spot = false;  ///< whether it is a spot machine
   /// The leader is about to declare the tasks of this machine lost, so no zone delegate may
   /// answer its heartbeats any more (rule 6).
   bool retired = false;
@@ -63,29 +64,29 @@
 
 /// Declares a node to be a zone delegate of its zone. The node's name is in the key.
 struct DelegationRecord {
-  std::string zone;
+  std::string zone;  ///< zone whose workers the node may answer
 };
 
 /// The whole state of one block at the moment when a value of the ledger log was written.
 struct BlockEntry {
-  std::string job;
+  std::string job;           ///< id of the job
   std::uint32_t number = 0;  ///< position of the block within the job
-  BlockRecord record;
+  BlockRecord record;        ///< replaces what earlier values say of the block
 };
 
 /// The whole state of one machine at the moment when a value of the ledger log was written.
 struct MachineEntry {
-  std::string id;
+  std::string id;        ///< id of the machine
   bool removed = false;  ///< the machine is no longer recorded; `record` is then unused
-  MachineRecord record;
+  MachineRecord record;  ///< replaces what earlier values say of the machine
 };
 
 /// One value of the ledger log, as it is stored in one slot. If several values contain an entry
 /// for the same block or machine, then the entry of the value with the highest number is valid.
 struct SlotRecord {
-  std::uint64_t number = 0;  ///< every value that is written gets a higher number
-  std::vector<BlockEntry> blocks;
-  std::vector<MachineEntry> machines;
+  std::uint64_t number = 0;            ///< every value that is written gets a higher number
+  std::vector<BlockEntry> blocks;      ///< the blocks that changed, or were copied
+  std::vector<MachineEntry> machines;  ///< the machines that changed, or were copied
 };
 
 /// The final state of a job. It never changes once it is written.
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Everything about the records in the state store: keys, types, encodings and sizes.
 #pragma once
 
--- a/src/store/state_store.hpp
+++ b/src/store/state_store.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The interface to the state store: the replicated key-value store that holds the records.
 ///
 /// Implemented by StateStoreClient over HTTP and by fakes in tests. All functions are asynchronous
@@ -27,34 +28,34 @@
 
 /// Result of StateStore::commit().
 struct CommitResult {
-  Outcome outcome = Outcome::unknown;
-  std::uint64_t revision = 0;       ///< revision of the transaction's changes, with `ok`
-  std::vector<std::string> failed;  ///< keys whose precondition failed, with `conflict`
+  Outcome outcome = Outcome::unknown;  ///< tells which of the other members are set
+  std::uint64_t revision = 0;          ///< revision of the transaction's changes, with `ok`
+  std::vector<std::string> failed;     ///< keys whose precondition failed, with `conflict`
 };
 
 /// Result of StateStore::get().
 struct GetResult {
-  Outcome outcome = Outcome::unknown;
-  wire::Entry entry;           ///< with `ok`
-  std::uint64_t revision = 0;  ///< the store's present revision, with `missing`
+  Outcome outcome = Outcome::unknown;  ///< tells which of the other members are set
+  wire::Entry entry;                   ///< with `ok`
+  std::uint64_t revision = 0;          ///< the store's present revision, with `missing`
 };
 
 /// Result of StateStore::list().
 struct ListResult {
-  Outcome outcome = Outcome::unknown;
-  wire::Listing listing;  ///< with `ok`
+  Outcome outcome = Outcome::unknown;  ///< tells whether `listing` is set
+  wire::Listing listing;               ///< with `ok`
 };
 
 /// Result of StateStore::watch().
 struct WatchResult {
-  Outcome outcome = Outcome::unknown;
-  wire::Changes changes;  ///< with `ok`
+  Outcome outcome = Outcome::unknown;  ///< tells whether `changes` is set
+  wire::Changes changes;               ///< with `ok`
 };
 
 /// Result of StateStore::grant().
 struct GrantResult {
-  Outcome outcome = Outcome::unknown;
-  std::uint64_t lease = 0;  ///< id of the new lease, with `ok`
+  Outcome outcome = Outcome::unknown;  ///< tells whether `lease` is set
+  std::uint64_t lease = 0;             ///< id of the new lease, with `ok`
 };
 
 /// A state store, as the rest of the program uses it.
--- a/src/store/state_store_client.hpp
+++ b/src/store/state_store_client.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// HTTP client of the state store that keeps within this node's share of the store's rate limits.
 ///
 /// Runs on one Asio loop; it has no locks.
@@ -16,14 +17,15 @@
 
 /// The part of the store's rate limits that one node may use.
 struct RateShare {
-  double requests_per_s = 1;
-  double writes_per_s = 1;  ///< single puts and deletes, however many are in a transaction
+  double requests_per_s = 1;  ///< requests of any kind
+  double writes_per_s = 1;    ///< single puts and deletes, however many are in a transaction
 };
 
 /// Sends requests to one address of the state store. Requests that exceed the rate wait in a queue;
 /// one that can't be sent within constants::kStateTimeout ends as Outcome::unavailable.
 class StateStoreClient : public StateStore {
  public:
+  /// `endpoint` is the address of the state store. Connects only once there is a request.
   StateStoreClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, RateShare share);
 
   void get(const std::string& key, std::function<void(GetResult)> done) override;
