--- a/src/app/app.hpp
+++ b/src/app/app.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The program: command line, logging, and exit codes.
 #pragma once
 
--- a/src/app/asio_event_loop.hpp
+++ b/src/app/asio_event_loop.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The event loop of production: `runtime::EventLoop` on Asio.
 #pragma once
 
@@ -15,6 +16,7 @@
 /// with the io_context.
 class AsioEventLoop : public runtime::EventLoop {
  public:
+  /// Seeds the random numbers. Throws what std::random_device throws if the system provides none.
   explicit AsioEventLoop(asio::io_context& io);
 
   [[nodiscard]] double now() const override;
--- a/src/app/controller_process.hpp
+++ b/src/app/controller_process.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// One controller process: the node put together with its clients, its transport to other
 /// controllers and its HTTP server, all on one Asio event loop.
 #pragma once
@@ -16,7 +17,7 @@
   /// Starts at once. Throws std::system_error when an address can't be listened on, and
   /// std::invalid_argument when an address of the settings can't be parsed.
   ControllerProcess(asio::io_context& io, const config::Settings& settings);
-  /// Ends all service at once, as the end of the process would.
+  /// Stops all service at once, with the same effect as the end of the process.
   ~ControllerProcess();
   ControllerProcess(const ControllerProcess&) = delete;
   ControllerProcess& operator=(const ControllerProcess&) = delete;
--- a/src/clients/cloud.hpp
+++ b/src/clients/cloud.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The cloud that rents out machines, as the rest of the program sees it.
 #pragma once
 
@@ -13,6 +14,7 @@
 
 /// Outcome of a request to rent machines.
 struct ProvisionResult {
+  /// What is known of the execution of the request.
   enum class Outcome : std::uint8_t {
     ok,           ///< machines were rented, perhaps fewer than were asked for
     no_capacity,  ///< nothing was rented, since the cloud has no such machine at present
@@ -20,8 +22,8 @@
     unknown,      ///< machines may have been rented; the request must be repeated under its name
     rejected,     ///< the request is wrong, and would be refused again
   };
-  Outcome outcome = Outcome::unknown;
-  std::vector<std::string> machines;  ///< ids of the machines that were rented, after `ok`
+  Outcome outcome = Outcome::unknown;  ///< decides whether the request must be repeated
+  std::vector<std::string> machines;   ///< ids of the machines that were rented, after `ok`
 };
 
 /// The cloud's interface. All calls and callbacks are made on the event loop's thread.
--- a/src/clients/cloud_client.hpp
+++ b/src/clients/cloud_client.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// The cloud's interface over HTTP.
 #pragma once
 
@@ -17,6 +18,7 @@
 /// Runs on the thread of the io_context, which must outlive this object.
 class CloudClient : public Cloud {
  public:
+  /// `endpoint` is the address of the cloud's interface. Connects only once there is a request.
   CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint);
 
   void machine_types(
--- a/src/clients/worker_rpc.hpp
+++ b/src/clients/worker_rpc.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Command RPCs: commands that a controller sends to a worker directly, instead of with the answer
 /// to the worker's next heartbeat.
 #pragma once
@@ -14,13 +15,14 @@
 
 /// Outcome of one command RPC.
 struct CommandResult {
+  /// What is known of the execution of the commands.
   enum class Outcome : std::uint8_t {
     done,      ///< the worker has executed the commands
     refused,   ///< the worker has executed none of them: token or epoch did not match
     not_sent,  ///< the worker was not reached, and certainly executes none of them
     unknown,   ///< the worker may have executed them, or may yet execute them
   };
-  Outcome outcome = Outcome::unknown;
+  Outcome outcome = Outcome::unknown;  ///< decides whether the commands must be repeated
   /// What the worker reports of itself after `done` or `refused`.
   std::optional<wire::WorkerHeartbeat> heartbeat;
 };
--- a/src/clients/worker_rpc_client.hpp
+++ b/src/clients/worker_rpc_client.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Command RPCs over HTTP.
 #pragma once
 
