--- a/src/election/connectivity.hpp
+++ b/src/election/connectivity.hpp
@@ -1,16 +1,19 @@
-// What a node sees of the controllers and the state store around it.
+/// @file
+/// How well a controller is connected to the leader, to the state store and to its neighbours.
 #pragma once
 
 #include <string>
 
 namespace elmstall::election {
 
+/// Connections of this node at one moment, as far as messages and replies of the last seconds
+/// show them.
 struct Connectivity {
-  bool leader_heard = false;
-  bool state_reachable = false;
-  /// Set when neither of them is reached: another controller of this node's zone
-  /// that is heard and does not hear the leader either, so that the whole zone is
-  /// known to be cut off.
+  bool leader_heard = false;     ///< the leader has sent a message recently, or is this node
+  bool state_reachable = false;  ///< the state store has replied recently
+  /// Name of another controller of this node's zone that is heard and does not hear the leader
+  /// either, which shows that the whole zone is cut off. Set only while this node reaches neither
+  /// the leader nor the state store; empty otherwise.
   std::string cut_off_neighbour;
 };
 
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -59,8 +59,8 @@
 
 void Election::become_leader(const Candidacy& candidacy) {
   role_ = Role::leader;
-  // Each candidacy wins at most once: tokens and names of provisioning requests of a
-  // term must not be used again.
+  // Each candidacy wins at most once, because tokens and names of provisioning requests of a term
+  // must not be used again (rule 10).
   candidacies_.clear();
   context_.elected(candidacy);
 }
@@ -69,7 +69,7 @@
   role_ = Role::candidate;
   start_at_.reset();
   context_.store.grant(k::kLeadLease, scope_.wrap([this](const store::GrantResult& granted) {
-    // Somebody else may have won while the lease was asked for.
+    // Another node may have won while the lease was being granted.
     const bool still_open = role_ != Role::leader && leadership_open();
     if (granted.outcome == Outcome::ok && still_open) return request_leadership(granted.lease);
     back_off(k::kStateRetry);
@@ -91,9 +91,10 @@
                         {std::string(store::kLeadKey), store::encode(lead), lease}};
   context_.store.commit(std::move(transaction),
                         scope_.wrap([this](const store::CommitResult& result) {
-                          // The mirror will tell whether it is won, for it must hold everything
-                          // that came before this term in any case. If it tells too late, the lease
-                          // is over and another candidacy is due.
+                          // The candidacy counts as won only when the mirror shows it, because the
+                          // mirror must then hold everything that was committed before this term.
+                          // If it shows it too late, the lease has ended, and this node stands
+                          // again.
                           back_off(result.outcome == Outcome::ok ? k::kLeadLease : k::kStateRetry);
                         }));
 }
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -1,10 +1,11 @@
-// Candidacy for leadership.
-//
-// The leader is whoever the record `lead` names. That record is attached to a
-// lease of the state store and disappears with it. A node that sees no leader
-// waits for a short random time, has a lease granted, and writes `term` and `lead`
-// in one transaction that requires both to be unchanged. It has won only when its
-// own mirror shows the record (docs/design.md, rule 10).
+/// @file
+/// Candidacy for leadership.
+///
+/// The leader is the controller that the record `lead` names. That record is attached to a
+/// lease of the state store, which deletes it when the lease ends. A node that sees no leader
+/// waits for a short random time, has a lease granted, and writes `term` and `lead`
+/// in one transaction that requires both to be unchanged. It has won only when its
+/// own mirror shows the record (docs/design.md, rule 10). Runs on the controller's event loop.
 #pragma once
 
 #include <cstdint>
@@ -21,32 +22,35 @@
 
 namespace elmstall::election {
 
-/// One attempt to be elected. Its transaction may be applied long after it was
-/// given up, so each attempt has its own name, lease and time.
+/// One attempt to be elected. The state store may apply its transaction long after the node has
+/// given the attempt up, so each attempt has its own name, lease and time (rule 10).
 struct Candidacy {
-  std::string name;
+  std::string name;         ///< kept in `lead`; differs from all other candidacies of this node
   std::uint64_t lease = 0;  ///< of the state store, to which `lead` is attached
-  double sent_at = 0;       ///< when its transaction was sent
+  double sent_at = 0;       ///< when its transaction was sent; seconds of the steady clock
 };
 
+/// Stands for election on behalf of one controller, and notices when it has won.
 class Election {
  public:
+  /// What an election works with. The references have to outlive it.
   struct Context {
-    const config::Settings& settings;
-    runtime::EventLoop& event_loop;
-    runtime::CommandQueue& queue;
-    store::StateStore& store;
-    const store::Mirror& mirror;
-    const TermTracker& terms;
+    const config::Settings& settings;  ///< settings of this controller
+    runtime::EventLoop& event_loop;    ///< clock and timers
+    runtime::CommandQueue& queue;      ///< runs the callbacks, one after the other
+    store::StateStore& store;          ///< client of the state service
+    const store::Mirror& mirror;       ///< local replica of the records
+    const TermTracker& terms;          ///< highest known term and its leader
     /// Called when the mirror shows that this candidacy has won.
     std::function<void(const Candidacy&)> elected;
   };
 
-  /// `incarnation` differs from that of every earlier process of this node.
+  /// `incarnation`: part of the names of candidacies. It must differ from that of every earlier
+  /// process of this node.
   Election(Context context, std::string incarnation);
 
-  /// To be called when the records changed and now and then: takes up a candidacy
-  /// that was won, or starts one when nobody leads.
+  /// Takes up the leadership if the mirror shows a won candidacy, or starts a candidacy if there
+  /// is no leader. To be called after every change of the records, and at regular intervals.
   void consider();
   /// This node no longer leads and may stand for election again.
   void resign() { role_ = Role::follower; }
@@ -54,16 +58,16 @@
  private:
   enum class Role : std::uint8_t { follower, candidate, leader };
 
-  /// Nobody leads, or the leader is what this node was before it was restarted.
+  /// Whether there is no leader, or the records name an earlier process of this node.
   [[nodiscard]] bool leadership_open() const;
-  /// The candidacy of this process that the mirror shows as won.
+  /// The candidacy of this process that the mirror shows as won, if any.
   [[nodiscard]] std::optional<Candidacy> won_candidacy() const;
   /// Whether the records have a layout that this program can't read.
   [[nodiscard]] bool layout_unreadable();
   void become_leader(const Candidacy& candidacy);
   void start_candidacy();
   void request_leadership(std::uint64_t lease);
-  /// Allows another candidacy after so many seconds, unless this one is won by then.
+  /// Allows another candidacy after `delay_s` seconds, unless this one is won by then.
   void back_off(double delay_s);
 
   Context context_;
--- a/src/election/leader_lease.hpp
+++ b/src/election/leader_lease.hpp
@@ -1,9 +1,11 @@
-// The leader lease: how long a leader may act without hearing from the state store.
-//
-// A leader may reply to heartbeats, which renews worker leases, only while both
-// its term and its copy of the records were confirmed recently (docs/design.md,
-// rule 5). The lease is evaluated at the moment of each reply, so a process that
-// stood still can't act on an evaluation from before.
+/// @file
+/// The leader lease: how long a leader may act without hearing from the state store.
+///
+/// A leader may reply to heartbeats, which renews worker leases, only while both
+/// its term and its copy of the records were confirmed recently (docs/design.md,
+/// rule 5). The lease is evaluated at the moment of each reply, so a process that was suspended
+/// can't act on an evaluation made before. Runs on the controller's event loop; times are seconds
+/// of its steady clock.
 #pragma once
 
 #include <functional>
@@ -14,6 +16,7 @@
 
 namespace elmstall::election {
 
+/// Says whether this leader may reply to heartbeats, and whether it may start tasks.
 class LeaderLease {
  public:
   /// Returns whether every other controller is heard and says that the state
@@ -24,15 +27,15 @@
   LeaderLease(const config::Settings& settings, const runtime::EventLoop& event_loop,
               const ReadIndex& read_index, double confirmed_at, CommonOutage common_outage);
 
-  /// A request that proved the term to be current was sent at this time.
+  /// Prolongs the lease: the reply to a request sent at `sent_at` has proved the term current.
   void confirm(double sent_at);
 
-  /// Whether this node may still act for the controllers.
+  /// Whether this node may still act as the leader (rule 5).
   [[nodiscard]] bool valid() const;
 
-  /// Whether tasks may be started: the records were confirmed within the last
-  /// seconds, or an outage that every controller sees excludes that a
-  /// cancellation was confirmed elsewhere (docs/design.md, rule 1).
+  /// Whether tasks may be started (rule 1). Either the term and the copy of the records were
+  /// confirmed within the last `constants::kStartKnowledge` seconds, or every controller says that
+  /// the state store does not answer it, so that no controller can have confirmed a cancellation.
   [[nodiscard]] bool may_start_tasks() const;
 
  private:
--- a/src/election/leadership_renewal.hpp
+++ b/src/election/leadership_renewal.hpp
@@ -1,5 +1,7 @@
-// Keeps a leadership that was won: renews the lease to which the record `lead` is
-// attached, and confirms with the state store that the term is still current.
+/// @file
+/// Keeps a leadership that was won: renews the lease to which the record `lead` is
+/// attached, and confirms with the state store that the term is still current. Runs on the
+/// controller's event loop.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +14,26 @@
 
 namespace elmstall::election {
 
-/// Lives as long as the leadership; replies that come later are ignored.
+/// Exists as long as the leadership. Replies that arrive after its destruction are ignored.
 class LeadershipRenewal {
  public:
+  /// What the renewal works with. The references have to outlive it.
   struct Context {
-    runtime::EventLoop& event_loop;
-    runtime::CommandQueue& queue;
-    store::StateStore& store;
-    const store::Mirror& mirror;
-    /// A request that was sent at this time proved the term to be current.
+    runtime::EventLoop& event_loop;  ///< clock and timers
+    runtime::CommandQueue& queue;    ///< runs the callbacks, one after the other
+    store::StateStore& store;        ///< client of the state service
+    const store::Mirror& mirror;     ///< local replica of the records
+    /// Called when the reply to a request sent at `sent_at` has proved the term current.
     std::function<void(double sent_at)> confirmed;
-    /// The leadership is lost, for this reason. May destroy the caller.
+    /// Called when the leadership is lost; `reason` is for the log. May destroy the caller.
     std::function<void(const char* reason)> lost;
   };
 
-  /// `lease`: of the candidacy that won.
+  /// `lease`: lease of the state store that the won candidacy is attached to.
   LeadershipRenewal(Context context, std::uint64_t lease);
 
-  /// Sends the requests when they are due. `machine_types` are recorded once, for
-  /// nodes that start while the cloud does not answer.
+  /// Sends the requests if they are due; to be called at regular intervals. `machine_types` are
+  /// recorded once, for nodes that start while the cloud does not answer.
   void tick(const std::vector<wire::MachineType>& machine_types);
 
  private:
--- a/src/election/pending_heartbeat.hpp
+++ b/src/election/pending_heartbeat.hpp
@@ -1,4 +1,5 @@
-// A worker's heartbeat that could not be replied to at once.
+/// @file
+/// A worker's heartbeat that could not be replied to at once.
 #pragma once
 
 #include <string>
@@ -8,11 +9,12 @@
 
 namespace elmstall::election {
 
+/// The heartbeat with all that is needed to reply to it, or to forward it, later.
 struct PendingHeartbeat {
-  wire::WorkerHeartbeat heartbeat;
-  std::string body;  ///< as it was received, for forwarding
-  net::Responder respond;
-  double deadline = 0;  ///< steady clock; the worker is refused after it
+  wire::WorkerHeartbeat heartbeat;  ///< the decoded message
+  std::string body;                 ///< the message as it was received, for forwarding
+  net::Responder respond;           ///< sends the reply to the worker; to be called once
+  double deadline = 0;              ///< seconds of the steady clock; the worker is refused after it
 };
 
 }  // namespace elmstall::election
--- a/src/election/read_index.cpp
+++ b/src/election/read_index.cpp
@@ -71,7 +71,7 @@
   for (auto& read : ready) {
     const bool current = mirror_has_reached(read.required_revision);
     if (current) current_as_of_ = std::max(current_as_of_.value_or(kFarPast), read.requested_at);
-    // Nobody waits any more for a read whose deadline has passed. The process may also have
+    // The requester no longer waits for a read whose deadline has passed. The process may also have
     // been suspended since the mirror became current, so that the answer would be outdated.
     read.callback(current && now < read.deadline);
   }
--- a/src/election/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Linearizable read barrier for answers that a controller gives from its mirror.
 ///
 /// The mirror follows the state store with a delay. An answer that is read from it may thus
--- a/src/election/term_tracker.hpp
+++ b/src/election/term_tracker.hpp
@@ -1,4 +1,5 @@
-// The highest term that this node has heard of, and who leads in it.
+/// @file
+/// Keeps the highest term that this node has heard of, and the name of its leader.
 #pragma once
 
 #include <algorithm>
@@ -7,24 +8,26 @@
 
 namespace elmstall::election {
 
+/// Term and leader as this node knows them. Neither proves that the leader still leads.
 class TermTracker {
  public:
-  /// Takes in a term told by the records, a peer or a worker's token. `leader` is
-  /// empty where the source does not tell who leads in it.
+  /// Takes in a term that the records, a peer or a worker's token have told. `leader` is empty if
+  /// the source does not name the leader of that term. Lower terms than the known one are ignored.
   void learn(std::uint64_t term, const std::string& leader) {
     if (term > term_) leader_.clear();
     const bool tells_leader = term >= term_ && !leader.empty();
     if (tells_leader && leader_.empty()) leader_ = leader;
     term_ = std::max(term_, term);
   }
-  /// This node has been elected.
+  /// Enters a term that this node has been elected in; `leader` is its own name.
   void set(std::uint64_t term, const std::string& leader) {
     term_ = term;
     leader_ = leader;
   }
-  /// The leader of the present term has stepped down.
+  /// Forgets the leader, because the leader of the present term has stepped down.
   void clear_leader() { leader_.clear(); }
 
+  /// The highest term heard of; 0 before the first.
   [[nodiscard]] std::uint64_t term() const { return term_; }
   /// Name of the leading node; empty while it is not known.
   [[nodiscard]] const std::string& leader() const { return leader_; }
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -35,7 +35,8 @@
 
 void ZoneDelegate::on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity) {
   const bool other_zone = heartbeat.heartbeat.zone != context_.settings.zone;
-  // The worker would drop our reply, and stay here while its lease runs out.
+  // A worker that knows a later term would drop our reply. It would stay with this node while its
+  // lease runs out.
   const bool later_term = term_of(heartbeat.heartbeat.token) > context_.mirror.term();
   if (other_zone || later_term) return heartbeat.respond({kServiceUnavailable, {}, 0});
   if (may_reply(heartbeat.heartbeat.machine, connectivity))
@@ -62,14 +63,14 @@
                                         const Connectivity& connectivity) const {
   if (connectivity.leader_heard || connectivity.state_reachable) return false;
   if (!context_.mirror.loaded()) return false;
-  // As for a leader, what is known of the term and of cancellations must be recent
-  // enough at the moment of the reply (docs/design.md, rule 5).
+  // As with a leader, the knowledge of the term and of cancellations must be recent enough at the
+  // moment of the reply (docs/design.md, rule 5).
   const double now = context_.event_loop.now();
   const double records_age = now - context_.read_index.current_as_of();
   if (records_age >= context_.settings.leader_lease_s()) return false;
   if (!connectivity.cut_off_neighbour.empty()) return true;
-  // Perhaps only this node is cut off, and its workers are served elsewhere. One
-  // that was sent elsewhere and is back was not.
+  // Perhaps only this node is cut off, and other controllers can serve its workers. A worker that
+  // was sent to another controller and has come back was not served there.
   const auto sent = sent_elsewhere_.find(machine);
   return sent != sent_elsewhere_.end() && now > sent->second;
 }
@@ -80,8 +81,8 @@
   const auto& neighbour = connectivity.cut_off_neighbour;
   if (neighbour.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
   // In a zone that is cut off, controllers of other zones can't be reached, and
-  // trying each of them takes a worker 5 s. If it stays with us or our neighbour, it
-  // is heard as soon as the cut ends.
+  // trying each of them takes a worker 5 s. If the worker stays with this node or its neighbour,
+  // the leader hears of it as soon as the cut ends.
   heartbeat.respond({kMisdirected, wire::encode_redirect(neighbour), 0});
 }
 
@@ -94,8 +95,8 @@
     return respond({kServiceUnavailable, {}, 0});
   if (may_start_cancelled(heartbeat)) return respond({kServiceUnavailable, {}, 0});
   replied_at_ = context_.event_loop.now();
-  // The leader may have raised this machine's fence. A lower token than the worker
-  // has seen would be dropped, and its lease with it.
+  // The leader may have raised this machine's fence. The worker would drop a reply with a lower
+  // token than it has seen, and its lease would run out.
   const auto term = context_.mirror.term();
   const auto token =
       term_of(heartbeat.token) == term ? heartbeat.token : term << k::kTokenFenceBits;
@@ -114,10 +115,9 @@
 }
 
 bool ZoneDelegate::may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const {
-  // A `run` that is held up on its way is carried out whenever it arrives, as long as
-  // the worker has seen no higher token and its epoch lives. A zone delegate has no
-  // higher token to give, so it lets the epoch end instead ("Held commands" in
-  // docs/design.md).
+  // A worker carries out a `run` that was delayed in the network whenever it arrives, as long as
+  // it has seen no higher token and its epoch has not ended. A zone delegate has no higher token
+  // to give, so it lets the epoch end instead ("Held commands" in docs/design.md).
   const auto& mirror = context_.mirror;
   for (const auto& id : mirror.cancelled()) {
     const auto* blocks = mirror.blocks(id);
@@ -175,8 +175,8 @@
   const auto own = delegations.find(node);
   const std::uint64_t own_revision = own == delegations.end() ? 0 : own->second.mod_revision;
   wire::Transaction transaction;
-  // The record's own revision is required as well: otherwise the transaction of an
-  // earlier attempt that is applied late could attach it to that attempt's lease.
+  // The record's own revision is a precondition, too. Otherwise a transaction of an earlier
+  // attempt that is applied late could attach the record to that attempt's lease.
   transaction.preconditions = {{std::string(store::kTermKey), context_.mirror.term_revision()},
                                {key, own_revision}};
   transaction.writes = {{key, store::encode(store::DelegationRecord{zone}), lease_}};
@@ -214,8 +214,8 @@
   leader_heard_since_.reset();
   if (!was_active) return;
   spdlog::info("no longer zone delegate of {}: {}", context_.settings.zone, reason);
-  // No heartbeat is replied to from here on, so the record may go. If its removal
-  // fails, the end of the lease removes it.
+  // This node replies to no heartbeat from here on, so the record may be removed. If the removal
+  // fails, the state store deletes the record when the lease ends.
   remove_record();
 }
 
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -1,17 +1,20 @@
-// Keeps the leases of a zone's workers alive while they and their leader can't
-// reach each other.
-//
-// A follower that receives heartbeats of its zone while it does not hear the leader
-// records that it is the delegate of its zone. It then renews worker leases, starts
-// nothing, and stops only tasks of cancelled jobs. The record is attached to a
-// lease of the state store, and heartbeats are replied to under it only while that
-// lease certainly lives (docs/design.md, "Zone delegates").
-//
-// Where the zone is cut off from the state store too, nothing can be recorded. The
-// delegation is then unrecorded: the node replies in the same way, for as long as a
-// leader may without the state store (rule 5), and only to machines that are not
-// recorded as retired. A leader that gives up a machine takes that into account
-// (rule 6).
+/// @file
+/// Keeps the leases of a zone's workers alive while they and their leader can't
+/// reach each other.
+///
+/// A follower that receives heartbeats of its zone while it does not hear the leader
+/// records that it is the delegate of its zone. It then renews worker leases, starts
+/// nothing, and stops only tasks of cancelled jobs. The record is attached to a
+/// lease of the state store, and the delegate replies to heartbeats only while that
+/// lease has certainly not ended (docs/design.md, "Zone delegates").
+///
+/// Where the zone is cut off from the state store too, nothing can be recorded. The
+/// delegation is then unrecorded: the node replies in the same way, for as long as a
+/// leader may without the state store (rule 5), and only to machines that are not
+/// recorded as retired. A leader that gives up a machine takes that into account
+/// (rule 6).
+///
+/// Runs on the controller's event loop; times are seconds of its steady clock.
 #pragma once
 
 #include <map>
@@ -27,33 +30,37 @@
 
 namespace elmstall::election {
 
+/// The delegation of one controller, recorded or unrecorded, and the heartbeats that wait for it.
 class ZoneDelegate {
  public:
+  /// What the zone delegate works with. The references have to outlive it.
   struct Context {
-    const config::Settings& settings;
-    runtime::EventLoop& event_loop;
-    runtime::CommandQueue& queue;
-    store::StateStore& store;
-    const store::Mirror& mirror;
-    const ReadIndex& read_index;
+    const config::Settings& settings;  ///< settings of this controller
+    runtime::EventLoop& event_loop;    ///< clock and timers
+    runtime::CommandQueue& queue;      ///< runs the callbacks, one after the other
+    store::StateStore& store;          ///< client of the state service
+    const store::Mirror& mirror;       ///< local replica of the records
+    const ReadIndex& read_index;       ///< tells how recent the mirror is
   };
 
+  /// Without a delegation at first.
   explicit ZoneDelegate(Context context);
 
-  /// Replies to a heartbeat of this zone, now or once that is possible. After its
-  /// deadline the worker is sent to another controller.
+  /// Replies to a heartbeat of this zone, now or as soon as a delegation permits it. A heartbeat
+  /// that waits beyond its deadline is refused, or its worker is sent to another controller.
   void on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity);
-  /// Heartbeats that still wait, to be replied to by a leader instead.
+  /// Hands over all heartbeats that still wait, so that a leader can reply to them instead.
   [[nodiscard]] std::vector<PendingHeartbeat> take_waiting() { return std::exchange(waiting_, {}); }
   /// Renews the delegation, or ends it when the leader is heard again.
   void tick(const Connectivity& connectivity);
-  /// Replies to no more heartbeats and removes the record. Does nothing where there
-  /// is no delegation. `reason` is for the log.
+  /// Ends the delegation: replies to no more heartbeats and removes the record. Does nothing if
+  /// there is no delegation. `reason` is for the log.
   void end(const char* reason);
-  /// A delegation is recorded, or is being recorded.
+  /// Whether a delegation is recorded, or is being recorded.
   [[nodiscard]] bool active() const { return state_ != State::idle; }
-  /// When this node last replied to a heartbeat as a delegate. Before the first
-  /// reply, when the process began: nobody knows what the process before it did.
+  /// When this node last replied to a heartbeat as a delegate. Before the first reply this is the
+  /// start of the process, because it is not known what an earlier process of this node did
+  /// (rule 6).
   [[nodiscard]] double replied_at() const { return replied_at_; }
 
  private:
@@ -67,7 +74,8 @@
   void send_elsewhere(const PendingHeartbeat& heartbeat, const Connectivity& connectivity);
   void reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
   void track_leader(bool leader_heard, double now);
-  /// The recorded delegation certainly lives, and the records are recent enough.
+  /// Whether the lease of the recorded delegation has certainly not ended, and the copy of the
+  /// records is recent enough.
   [[nodiscard]] bool delegation_valid() const;
   [[nodiscard]] bool may_reply_unrecorded(const std::string& machine,
                                           const Connectivity& connectivity) const;
@@ -89,7 +97,7 @@
   std::optional<double> leader_heard_since_;
   double replied_at_;
   std::vector<PendingHeartbeat> waiting_;
-  std::map<std::string, double> sent_elsewhere_;  ///< machines, and when they were
+  std::map<std::string, double> sent_elsewhere_;  ///< by machine: when it was sent
 };
 
 }  // namespace elmstall::election
