--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -23,8 +23,8 @@
 }
 
 bool CommandComposer::may_clear(const state::TaskAttempt& exited) {
-  // Only after what it reported is recorded: once cleared, the worker would
-  // start the attempt anew.
+  // An attempt is cleared only after the result that the worker reported is recorded, because a
+  // worker would start a cleared attempt anew (rule 4).
   auto* job = model_.job(exited.job);
   if (job == nullptr) return true;
   if (group_commit_.finishing(exited.job)) return false;
@@ -41,8 +41,8 @@
 }
 
 void CommandComposer::add_stop(state::Task& task, double now, Commands& commands) {
-  // A task that saves is left alone unless its work is of no use. One that
-  // waits for its gang to have saved may be reported as running.
+  // A task that writes its checkpoint is not told again to stop, unless its work has no use. While
+  // it waits until all tasks of its gang have written theirs, it may be reported as running.
   if (task.grace_period_s > 0) {
     if (task.state == TaskState::checkpointing || now < task.stop_sent + k::kStopRepeat) return;
     task.stop_sent = now;
@@ -53,7 +53,7 @@
 bool CommandComposer::run_due(const state::Task& task, const state::Machine& machine) {
   if (task.in_last_heartbeat || task.block->record->written < task.required_version) return false;
   if (task.job->is_gang() && !gangs_.may_run(task)) return false;
-  // While the machine knows an earlier attempt it would refuse this one.
+  // While an earlier attempt is not cleared on the machine, it would refuse this one.
   return std::none_of(
       machine.exited.begin(), machine.exited.end(), [&](const state::TaskAttempt& exited) {
         return exited.index == task.index && exited.job == task.job->id && !may_clear(exited);
--- a/src/dispatch/command_composer.hpp
+++ b/src/dispatch/command_composer.hpp
@@ -1,4 +1,6 @@
-// Which commands a machine is to be given now.
+/// @file
+/// Derives the commands for a machine from the leader's model. Runs on the controller's event loop;
+/// times are seconds of its steady clock.
 #pragma once
 
 #include <vector>
@@ -8,16 +10,20 @@
 
 namespace elmstall::dispatch {
 
+/// Composes the commands that are due for a machine.
 class CommandComposer {
  public:
+  /// All arguments have to outlive the composer.
   CommandComposer(const config::Settings& settings, state::Model& model,
                   const state::GroupCommit& group_commit, placement::GangCoordinator& gangs)
       : settings_(settings), model_(model), group_commit_(group_commit), gangs_(gangs) {}
 
-  /// All that is due there; `starting`: also what starts a task.
+  /// All commands that are due for the machine, `constants::kMaxCommands` at most. Commands that
+  /// start tasks are among them only if `starting` is true. The model notes what is sent.
   [[nodiscard]] std::vector<wire::WorkerCommand> compose(state::Machine& machine, double now,
                                                          bool starting);
-  /// What no answer that renews the machine's lease may lack.
+  /// Commands that stop the tasks of cancelled jobs on the machine. Every reply that renews the
+  /// machine's lease must contain them (rule 8).
   [[nodiscard]] static std::vector<wire::WorkerCommand> cancellations(
       const state::Machine& machine);
 
@@ -26,7 +32,7 @@
 
   void add_clears(const state::Machine& machine, Commands& commands);
   static void add_stop(state::Task& task, double now, Commands& commands);
-  /// The machine may be told to run the task.
+  /// Whether the machine may be told now to run the task (rule 1).
   [[nodiscard]] bool run_due(const state::Task& task, const state::Machine& machine);
   [[nodiscard]] bool may_clear(const state::TaskAttempt& exited);
 
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -18,14 +18,14 @@
 /// which the reply to its heartbeat is taken to be on its way.
 constexpr double kSynchronizationPause = 1;
 
-/// Clearing exited tasks alone neither starts nor stops anything.
+/// Whether the commands start or stop a task. Commands that clear exited tasks do neither.
 bool starts_or_stops(const std::vector<wire::WorkerCommand>& commands) {
   return std::any_of(commands.begin(), commands.end(), [](const wire::WorkerCommand& command) {
     return command.verb != wire::Verb::clear;
   });
 }
 
-/// Whether a task there waits to be started or stopped.
+/// Whether a task on the machine waits to be started or stopped.
 bool awaits_commands(const state::Machine& machine) {
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const state::Task* task) {
     const bool awaits_start = !task->in_last_heartbeat && !task->job->cancelled;
@@ -43,9 +43,9 @@
   const double now = context_.event_loop.now();
   std::vector<wire::WorkerCommand> commands;
   if (machine.rpc_in_flight) {
-    // The RPC's reply would not show what this reply commands. Only the end of
-    // cancelled tasks is commanded both ways: this reply renews their lease, and an
-    // RPC can hang (docs/design.md, rule 8).
+    // The reply to the RPC would not show the effect of commands in this reply (rule 2). Only
+    // cancelled tasks are stopped both ways, because this reply renews their lease and an RPC can
+    // hang (docs/design.md, rule 8).
     machine.reply_carried_commands = false;
     commands = CommandComposer::cancellations(machine);
   } else {
@@ -82,12 +82,12 @@
     auto& machine = **it;
     const bool waits = machine.synchronized && awaits_commands(machine);
     if (!waits) {
-      it = attention.erase(it);  // its next heartbeat, or a change, brings it back
+      it = attention.erase(it);  // its next heartbeat, or a change, adds it again
       continue;
     }
     if (rpc_possible(machine)) {
       const auto commands = context_.composer.compose(machine, now, may_start);
-      // Clearing alone is not worth a message of its own.
+      // Commands that only clear tasks can wait for the reply to the next heartbeat.
       if (starts_or_stops(commands)) start_rpc(machine, commands);
     }
     ++it;
@@ -98,8 +98,8 @@
                                   const std::vector<wire::WorkerCommand>& commands) {
   machine.rpc_in_flight = true;
   ++rpcs_in_flight_;
-  // The epoch of a machine that is not known yet is most likely its first. If it is
-  // not, the worker refuses the RPC, and the refusal tells the epoch.
+  // A machine whose epoch is not known yet is most likely in its first. If it is in a later one,
+  // the worker refuses the RPC, and its refusal contains the epoch.
   const std::uint64_t epoch = std::max<std::uint64_t>(1, machine.epoch);
   const bool carried_commands = !commands.empty();
   context_.worker_rpc.send_commands(
@@ -146,8 +146,8 @@
 }
 
 void CommandDispatcher::synchronize_machines() {
-  // Nothing may be moved before a machine has shown the new token, and its next
-  // heartbeat may be long in coming.
+  // No task may be moved off a machine before the machine has shown the new token (rule 3), and
+  // its next heartbeat may take long to arrive.
   const double now = context_.event_loop.now();
   std::size_t begun = 0;
   for (auto& [id, machine] : context_.model.machines()) {
--- a/src/dispatch/command_dispatcher.hpp
+++ b/src/dispatch/command_dispatcher.hpp
@@ -1,9 +1,10 @@
-// Delivers commands to workers, with the replies to their heartbeats or by RPCs
-// straight to their addresses.
-//
-// Only one way is used at a time (docs/design.md, rule 2): while an RPC is in
-// flight, a reply only renews the lease, and after a reply that starts or stops
-// tasks nothing is sent until the next heartbeat.
+/// @file
+/// Delivers commands to workers, with the replies to their heartbeats or by RPCs
+/// straight to their addresses.
+///
+/// Only one way is used at a time (docs/design.md, rule 2): while an RPC is in
+/// flight, a reply only renews the lease, and after a reply that starts or stops
+/// tasks nothing is sent until the next heartbeat. Runs on the controller's event loop.
 #pragma once
 
 #include <functional>
@@ -21,28 +22,31 @@
 
 namespace elmstall::dispatch {
 
+/// Sends commands to all machines, and keeps to one way at a time for each of them.
 class CommandDispatcher {
  public:
+  /// What the dispatcher works with. The references have to outlive it.
   struct Context {
-    const runtime::EventLoop& event_loop;
-    runtime::CommandQueue& queue;
-    clients::WorkerRpc& worker_rpc;
-    const election::LeaderLease& lease;
-    state::Model& model;
-    reconcile::Fencing& fencing;
-    reconcile::HeartbeatReader& heartbeat_reader;
-    CommandComposer& composer;
+    const runtime::EventLoop& event_loop;          ///< clock
+    runtime::CommandQueue& queue;                  ///< runs the callbacks, one after the other
+    clients::WorkerRpc& worker_rpc;                ///< sends command RPCs to workers
+    const election::LeaderLease& lease;            ///< says whether replies and starts are allowed
+    state::Model& model;                           ///< the leader's model of jobs and machines
+    reconcile::Fencing& fencing;                   ///< fencing tokens of this term
+    reconcile::HeartbeatReader& heartbeat_reader;  ///< takes in the status that an RPC returns
+    CommandComposer& composer;                     ///< says which commands are due
   };
 
+  /// Keeps the context; sends nothing yet.
   explicit CommandDispatcher(Context context);
 
   /// Replies to a heartbeat that was just read, which renews the worker's lease.
   void reply(state::Machine& machine, const net::Responder& respond);
-  /// Replies to a heartbeat that crossed the reply to a command RPC, which was
-  /// newer: the lease is renewed, and no task but cancelled ones is touched.
+  /// Replies to a heartbeat that was received after the newer reply to a command RPC. The reply
+  /// renews the lease, and commands nothing but the end of cancelled tasks.
   void reply_to_crossed(state::Machine& machine, const net::Responder& respond);
 
-  /// Something may have changed that commands follow from.
+  /// Notes that the model may have changed, so that commands may be due.
   void mark_due() { due_ = true; }
   /// Sends what is due to machines that should not wait for their next heartbeat.
   void deliver();
--- a/src/reconcile/fencing.hpp
+++ b/src/reconcile/fencing.hpp
@@ -1,9 +1,10 @@
-// Fencing tokens of one term.
-//
-// A token consists of the term and, in its low bits, a fence count for one
-// machine. A worker refuses commands whose token is lower than the highest it has
-// seen. Raising the fence of a machine therefore makes all commands void that were
-// sent to it before (docs/design.md, rule 3).
+/// @file
+/// Fencing tokens of one term.
+///
+/// A token consists of the term and, in its low bits, a fence count for one
+/// machine. A worker refuses commands whose token is lower than the highest it has
+/// seen. Raising the fence of a machine therefore makes all commands void that were
+/// sent to it before (docs/design.md, rule 3). Runs on the controller's event loop.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +13,18 @@
 
 namespace elmstall::reconcile {
 
+/// Computes the tokens of this leader's messages, and raises the fences of machines.
 class Fencing {
  public:
+  /// `term`: the leader's term. `model` has to outlive this object.
   Fencing(std::uint64_t term, state::Model& model) : term_(term), model_(model) {}
 
   /// The term's lowest token.
   [[nodiscard]] std::uint64_t term_token() const;
   /// The token that messages to this machine carry now.
   [[nodiscard]] std::uint64_t token(const state::Machine& machine) const;
-  /// Voids everything sent to the machine so far. It counts as synchronized again
-  /// once a heartbeat shows the new token.
+  /// Raises the machine's fence, which makes everything sent to it so far void. The machine counts
+  /// as synchronized again once a heartbeat carries the new token (rule 3).
   void raise(state::Machine& machine);
 
  private:
--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -55,9 +55,9 @@
   if (machine.epoch_known && heartbeat.epoch > machine.epoch)
     remove_all_tasks(context_.model, context_.planner, machine, "its epoch ended");
   context_.lease_expiry.revive(machine);
-  // Commands reach machines that can reach no controller, and renew no lease: what
-  // starts there ends with the lease. So a reply to them is no sign of life, except
-  // as the first contact in a term, for a heartbeat may be long in coming then.
+  // Command RPCs also reach machines that can't reach any controller. They renew no lease, so
+  // what they start ends with the machine's lease. The reply to an RPC therefore does not count as
+  // a heartbeat, except as the first contact in a term, when the next heartbeat may take long.
   if (source == HeartbeatSource::worker || !machine.heard) machine.last_heartbeat = now;
   machine.last_contact = now;
   machine.heard = true;
@@ -129,15 +129,16 @@
 }
 
 void HeartbeatReader::unassign_absent_tasks(state::Machine& machine) {
-  // The heartbeat is exact: commands sent before it were carried out before it was
-  // sent, or never will be.
+  // The heartbeat of a synchronized machine shows everything: commands sent earlier were carried
+  // out before the heartbeat was sent, or will never be carried out (rules 2 and 3).
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
     if (task->phase != Phase::assigned || task->in_last_heartbeat) continue;
-    // A gang that has begun can't be joined by a task any more.
+    // Once a gang has begun, no task can join it any more.
     const bool attempt_over = task->job->is_gang() && task->job->gang.broken;
     if (task->stopping || task->job->cancelled || attempt_over) context_.model.unassign(*task);
-    // Otherwise `run` is sent again: the attempt was never cleared there.
+    // Otherwise `run` will be sent again. The machine still accepts it, since the attempt was
+    // never cleared there.
   }
 }
 
@@ -151,7 +152,7 @@
     const double time_left = *machine.interruption_at - now;
     const double ran_for = task->running_since == kNever ? 0 : now - task->running_since;
     const double remaining = context_.estimates.run_time(spec.job_class, spec.expect_s) - ran_for;
-    // Whatever can't end in time is moved to another machine at once.
+    // A task that can't end before the interruption is moved to another machine at once.
     if (task->job->is_service() || spec.checkpoint_every_s > 0 || remaining > time_left)
       placement::stop_task(context_.model, *task, placement::StopMode::with_checkpoint, now);
   }
--- a/src/reconcile/heartbeat_reader.hpp
+++ b/src/reconcile/heartbeat_reader.hpp
@@ -1,9 +1,11 @@
-// Reconciles what a worker reports with what the records say.
-//
-// A heartbeat lists every task on its machine. Tasks that the records place there
-// are followed to their end; others are "unrecorded": they take room and count for
-// their team until they are stopped. What a heartbeat does not list is known to be
-// gone only when the machine is synchronized (docs/design.md, rules 3 and 7).
+/// @file
+/// Reconciles what a worker reports with what the records say.
+///
+/// A heartbeat lists every task on its machine. Tasks that the records place there
+/// are followed to their end. Others are "unrecorded": they take room and count for
+/// their team until they are stopped. That a heartbeat does not list a task proves only for a
+/// synchronized machine that the task is not there (docs/design.md, rules 3 and 7). Runs on the
+/// controller's event loop; times are seconds of its steady clock.
 #pragma once
 
 #include <functional>
@@ -25,19 +27,23 @@
   command_reply,  ///< the reply to a command RPC, which proves only the way there
 };
 
+/// Applies the heartbeats of all machines to the leader's model.
 class HeartbeatReader {
  public:
+  /// What the reader works with. The references have to outlive it.
   struct Context {
-    state::Model& model;
-    placement::Planner& planner;
-    placement::GangCoordinator& gangs;
-    placement::RunTimeEstimates& estimates;
-    Fencing& fencing;
-    LeaseExpiry& lease_expiry;
-    /// Called after each heartbeat: there may be something to decide and to command.
+    state::Model& model;                     ///< the leader's model of jobs and machines
+    placement::Planner& planner;             ///< owner of the queues of tasks
+    placement::GangCoordinator& gangs;       ///< starts and ends gangs as a whole
+    placement::RunTimeEstimates& estimates;  ///< learns from the run times of completed tasks
+    Fencing& fencing;                        ///< fencing tokens of this term
+    LeaseExpiry& lease_expiry;               ///< is told that a machine was heard of
+    /// Called after each heartbeat, because there may be new decisions to make and commands to
+    /// send.
     std::function<void()> model_changed;
   };
 
+  /// Keeps the context; reads nothing yet.
   explicit HeartbeatReader(Context context)
       : context_(std::move(context)), failures_(context_.model) {}
 
@@ -46,7 +52,8 @@
   [[nodiscard]] static bool is_newer(const state::Machine& machine,
                                      const wire::WorkerHeartbeat& heartbeat);
 
-  /// Brings the model up to date. The heartbeat must be newer (`is_newer`).
+  /// Brings the model up to date with a heartbeat, which must be newer (`is_newer`). `now`: when
+  /// it was received.
   void read(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source,
             double now);
 
--- a/src/reconcile/job_lifecycle.hpp
+++ b/src/reconcile/job_lifecycle.hpp
@@ -1,6 +1,7 @@
-// Jobs from their acceptance to their final state, as the leader sees them: it
-// follows the records that controllers write for users, stops cancelled jobs and
-// has final states written.
+/// @file
+/// Jobs from their acceptance to their final state, as the leader sees them: it
+/// follows the records that controllers write for users, stops cancelled jobs and
+/// has final states written. Runs on the controller's event loop.
 #pragma once
 
 #include <string>
@@ -14,26 +15,30 @@
 
 namespace elmstall::reconcile {
 
+/// Carries the leader's jobs from the records into the model and, when they are over, back.
 class JobLifecycle {
  public:
+  /// What the lifecycle works with. The references have to outlive it.
   struct Context {
-    const runtime::EventLoop& event_loop;
-    const store::Mirror& mirror;
-    state::Model& model;
-    state::GroupCommit& group_commit;
-    placement::GangCoordinator& gangs;
-    placement::Planner& planner;
+    const runtime::EventLoop& event_loop;  ///< clock
+    const store::Mirror& mirror;           ///< local replica of the records
+    state::Model& model;                   ///< the leader's model of jobs and machines
+    state::GroupCommit& group_commit;      ///< writes the leader's changes of records
+    placement::GangCoordinator& gangs;     ///< starts and ends gangs as a whole
+    placement::Planner& planner;           ///< owner of the queues of tasks
   };
 
+  /// To be made when the leadership begins, because its construction marks that time.
   explicit JobLifecycle(Context context);
 
   /// Restores an unfinished job, with the assignments of its tasks, from the records.
   void restore(const std::string& id, const store::JobRecord& record);
-  /// The record of this job has changed: it was accepted or cancelled.
+  /// To be called when the record of the job has changed: adds an accepted job to the model, and
+  /// stops a cancelled one.
   void on_record_changed(const std::string& id);
-  /// Another controller has recorded that the job is cancelled. Returns whether
-  /// that was news. This message comes on top of the records: it does not show
-  /// that they are current (docs/design.md, rule 8).
+  /// To be called when another controller says that it has recorded the job as cancelled. Returns
+  /// whether this was not known before. The message only speeds up what the records will show: it
+  /// does not prove that the copy of the records is current (docs/design.md, rule 8).
   bool on_cancellation(const std::string& id);
   /// Hands the final states of jobs that are over to the group commit.
   void finalize_completed();
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -5,8 +5,8 @@
 namespace elmstall::reconcile {
 namespace {
 
-/// A controller answers machines of its own zone only; one whose zone the
-/// settings don't tell may be of any.
+/// Whether a controller of this zone may be the machine's zone delegate. Controllers are delegates
+/// for machines of their own zone only. A controller without a zone in the settings may be in any.
 bool may_be_delegate(const std::string& zone, const state::Machine& machine) {
   return zone.empty() || zone == machine.zone;
 }
@@ -14,8 +14,8 @@
 }  // namespace
 
 double LeaseExpiry::inherited_until() const {
-  // Whoever led before may have answered heartbeats until its leader lease ran
-  // out, and what it answered last keeps a lease alive that much longer.
+  // The former leader may have replied to heartbeats until its leader lease ran out. Its last
+  // reply may have renewed a worker lease, which then lasts for its full length.
   return started_ + settings_.leader_lease_s() + settings_.lease_over_s();
 }
 
@@ -26,7 +26,7 @@
     const bool delegated = std::any_of(
         mirror_.delegations().begin(), mirror_.delegations().end(),
         [&zone = machine->zone](const auto& delegation) { return delegation.second.zone == zone; });
-    // Also in the moment it ends: until now it may have answered.
+    // This also holds when the delegation has just ended: the delegate may have replied until now.
     if (delegated || machine->delegated) machine->delegated_at = now;
     machine->delegated = delegated;
     if (delegated) revive(*machine);
@@ -35,10 +35,11 @@
 
 void LeaseExpiry::retire(state::Machine& machine) {
   machine.retired = true;
-  // Nobody may become a zone delegate of its zone without seeing this, and whoever
-  // is one already makes it fail. Others don't answer this machine, so their
-  // delegations must not: what is refused once for a whole zone's cut would hold up
-  // everything else that is to be recorded.
+  // The absence of delegations is a precondition of the retirement (rule 6). A controller that
+  // becomes a delegate of the machine's zone later sees the retirement in the records, and an
+  // existing delegation makes the transaction fail. Delegates of other zones do not reply to this
+  // machine, so they are no precondition: while a zone is cut off, its delegation would otherwise
+  // hold up all other changes that are written in the same transaction.
   const auto exclude = [&](const std::string& node, const std::string& zone) {
     if (may_be_delegate(zone, machine))
       machine.record->absent.push_back(store::delegation_key(node));
@@ -59,13 +60,14 @@
 
 bool LeaseExpiry::excluded(const state::Machine& machine, double now) const {
   const double lease = settings_.lease_over_s();
-  // Whoever proved its records current before the retirement was written may
-  // have acted as an unrecorded delegate without a record until its leader lease ran out.
+  // A controller that proved its records current just before the retirement was written may have
+  // replied as an unrecorded delegate until its leader lease ran out. After that and one worker
+  // lease more, no controller can have kept the machine's lease alive.
   if (now >= machine.retired_at + settings_.leader_lease_s() + lease) return true;
   return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const config::Peer& peer) {
     if (!may_be_delegate(peer.zone, machine)) return true;
-    // Sooner if it says so: it knows of the retirement, and what it answered
-    // before that has run out.
+    // The time is shorter if the controller says that its mirror holds the retirement, and a
+    // lease has passed since it last replied on its own.
     const auto read_state = read_state_(peer.name);
     return read_state.revision >= machine.record->revision && now >= read_state.replied_at + lease;
   });
@@ -75,19 +77,21 @@
   const double lease = settings_.lease_over_s();
   for (auto& [id, machine] : model_.machines()) {
     if (machine->tasks.empty()) continue;
-    // A epoch may have begun just before we heard of it, and direct commands
-    // start tasks in one that was never answered: hearing counts as well.
+    // An epoch may have begun just before its heartbeat was received, and command RPCs start
+    // tasks in an epoch to which no reply was sent. Therefore the last contact counts as well as
+    // the last reply.
     const double last_touched =
         std::max({machine->last_reply, machine->last_contact, machine->delegated_at});
     const double alive_until = std::max(machine->inherited_until, last_touched + lease);
     if (alive_until == state::kNever || machine->delegated || machine->record == nullptr) continue;
     if (!machine->retired) {
-      // Ahead of the lease's end, so that all who might answer it know by then.
+      // The machine is retired before its lease ends, so that all controllers that might reply to
+      // it know of the retirement by then.
       const double silent_since = std::max(last_touched, started_);
       if (now >= std::min(alive_until, silent_since + settings_.silent_after_s())) retire(*machine);
       continue;
     }
-    // Written, and the mirror has passed that point without a zone delegate.
+    // Go on only when the retirement is committed and the mirror has reached its revision.
     if (!machine->record->clean() || mirror_.revision() < machine->record->revision) continue;
     if (machine->retired_at == state::kNever) machine->retired_at = now;
     if (now < alive_until || !excluded(*machine, now)) continue;
--- a/src/reconcile/lease_expiry.hpp
+++ b/src/reconcile/lease_expiry.hpp
@@ -1,5 +1,7 @@
-// Decides when a silent machine's tasks are certainly gone: rule 6 of the safety
-// argument in docs/design.md.
+/// @file
+/// Decides when the tasks of a silent machine certainly do not run any more: rule 6 of the safety
+/// argument in docs/design.md. Runs on the controller's event loop; times are seconds of its
+/// steady clock.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +13,22 @@
 
 namespace elmstall::reconcile {
 
-/// What another controller said of itself.
+/// What another controller has said of its copy of the records and of its replies.
 struct PeerReadState {
-  std::uint64_t revision = 0;         ///< its copy of the records is at least this far
-  double replied_at = state::kNever;  ///< it answered no heartbeat on its own after this
+  std::uint64_t revision = 0;         ///< its mirror has reached this revision, or a later one
+  double replied_at = state::kNever;  ///< it replied to no heartbeat on its own after this
 };
 
+/// Retires silent machines in the records, and reports those whose tasks are certainly gone.
 class LeaseExpiry {
  public:
+  /// Returns what the controller of this name has said of itself.
   using PeerStates = std::function<PeerReadState(const std::string& peer)>;
+  /// Receives a machine whose tasks certainly do not run any more.
   using Expired = std::function<void(state::Machine&)>;
 
-  /// `started`: when this leadership began. `expired`: called for a machine whose
-  /// tasks can run nowhere any more.
+  /// `started`: when this leadership began. `expired`: called for each machine whose tasks are
+  /// certainly gone. The references have to outlive this object.
   LeaseExpiry(const config::Settings& settings, const store::Mirror& mirror, state::Model& model,
               state::GroupCommit& group_commit, double started, PeerStates read_state,
               Expired expired)
@@ -35,19 +40,20 @@
         read_state_(std::move(read_state)),
         expired_(std::move(expired)) {}
 
-  /// Looks for machines that are silent, records them as retired, and reports
-  /// those whose leases are certainly over.
+  /// Looks for silent machines, records them as retired, and reports those whose worker leases
+  /// have certainly ended (rule 6).
   void expire(double now);
   /// To be called when the delegations in the records have changed.
   void update_delegations(double now);
-  /// The machine was heard: it is not given up.
+  /// Withdraws the retirement of a machine that was heard of again.
   void revive(state::Machine& machine);
-  /// Until then a former leader may have kept leases alive.
+  /// The time until which worker leases that a former leader renewed may last.
   [[nodiscard]] double inherited_until() const;
 
  private:
   void retire(state::Machine& machine);
-  /// Nobody else may be answering this machine, or did so within a lease.
+  /// Whether it is excluded that another controller replies to this machine, or has replied to it
+  /// so recently that the renewed lease may still last (rule 6).
   [[nodiscard]] bool excluded(const state::Machine& machine, double now) const;
 
   const config::Settings& settings_;
--- a/src/reconcile/machine_loss.hpp
+++ b/src/reconcile/machine_loss.hpp
@@ -1,4 +1,5 @@
-// What follows when everything on a machine is certainly gone.
+/// @file
+/// What follows when no task can still run on a machine. Runs on the controller's event loop.
 #pragma once
 
 #include <string_view>
--- a/src/reconcile/responsiveness.cpp
+++ b/src/reconcile/responsiveness.cpp
@@ -34,7 +34,7 @@
 
 bool Responsiveness::lease_lapsed_early(const state::Machine& machine,
                                         const wire::WorkerHeartbeat& heartbeat, double now) const {
-  // The lease could not have run out by now if our last reply had arrived.
+  // If this leader's last reply had arrived, the lease could not have run out by now.
   return machine.epoch_known && heartbeat.epoch > machine.epoch &&
          now - machine.last_reply < settings_.lease_s * (1 - k::kDrift);
 }
@@ -46,8 +46,8 @@
 
 void Responsiveness::check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                            double now) {
-  // A heartbeat proves that a machine lives, not that it hears us: our replies may
-  // be lost on the way, and then its lease runs out.
+  // A heartbeat proves that a machine works, not that it receives replies. They may be lost on
+  // the way, and then its lease runs out.
   if (shows_our_replies(machine, heartbeat)) {
     if (machine.unresponsive) spdlog::info("machine {} hears us again", machine.id);
     machine.unresponsive = false;
--- a/src/reconcile/responsiveness.hpp
+++ b/src/reconcile/responsiveness.hpp
@@ -1,5 +1,6 @@
-// Detects machines whose heartbeats arrive while our replies and commands do not
-// reach them.
+/// @file
+/// Detects machines whose heartbeats arrive while this leader's replies and commands do not
+/// reach them. Runs on the controller's event loop.
 #pragma once
 
 #include "config/settings.hpp"
@@ -8,8 +9,10 @@
 
 namespace elmstall::reconcile {
 
+/// Judges machines by their heartbeats, and raises the fence of those that seem to hear nothing.
 class Responsiveness {
  public:
+  /// Both references have to outlive this object.
   Responsiveness(const config::Settings& settings, Fencing& fencing)
       : settings_(settings), fencing_(fencing) {}
 
@@ -17,7 +20,7 @@
   /// A machine is unresponsive when its lease ran out although its heartbeats were
   /// replied to, or when it has shown no effect of token or commands for a large
   /// part of a lease. Its fence is raised then, and it gets no new work until a
-  /// heartbeat shows the new token.
+  /// heartbeat shows the new token (rule 3). `now`: seconds of the steady clock.
   void check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, double now);
 
  private:
--- a/src/reconcile/task_failures.cpp
+++ b/src/reconcile/task_failures.cpp
@@ -45,8 +45,9 @@
 }
 
 void TaskFailures::blame_job(state::Job& job, double now) {
-  // Several machines agree that the job is at fault. It must not use up the fleet,
-  // and the machines are cleared of its failures.
+  // The job failed on several machines, so the job is the likely cause. It backs off, so that it
+  // does not get one machine after the other quarantined, and its failures no longer count against
+  // the machines.
   ++job.failures;
   job.failed_until = now + backoff(job.failures + kJobFirstDoublings, kJobDoublings);
   for (const auto& id : job.failed_on) {
--- a/src/reconcile/task_failures.hpp
+++ b/src/reconcile/task_failures.hpp
@@ -1,17 +1,21 @@
-// Who is to blame for a failed task: its machine or its job.
+/// @file
+/// Decides whether the machine or the job is the likely cause of task failures. Runs on the
+/// controller's event loop.
 #pragma once
 
 #include "state/model.hpp"
 
 namespace elmstall::reconcile {
 
+/// Counts failures by machine and by job, and reacts when they repeat.
 class TaskFailures {
  public:
+  /// `model` has to outlive this object.
   explicit TaskFailures(state::Model& model) : model_(model) {}
 
-  /// The task exited with `error`. It is retried with a growing backoff. A machine
-  /// on which tasks of several jobs failed is quarantined; a job that failed on
-  /// several machines is blamed itself and backs off as a whole.
+  /// Takes in that the task exited with `error`. The task is retried with a growing backoff. A
+  /// machine on which tasks of several jobs failed is quarantined. A job that failed on several
+  /// machines is taken for the cause, and backs off as a whole. `now`: seconds of the steady clock.
   void on_failure(state::Task& task, state::Machine& machine, double now);
 
  private:
