--- a/src/autoscaler/demand_estimator.cpp
+++ b/src/autoscaler/demand_estimator.cpp
@@ -62,7 +62,7 @@
 bool DemandEstimator::counts_as_arrival(const state::Job& job,
                                         const wire::MachineType& machine_type) const {
   // Jobs taken over from a former leader did not arrive just now, and right after a takeover users
-  // catch up with submissions that were refused before. Neither tells of the usual rate.
+  // catch up with submissions that were refused before. Neither shows the usual rate.
   return job.spec.spot && urgent(job, machine_type) && job.serial > newest_counted_serial_ &&
          job.submitted > term_start_.at + k::kArrivalSettle;
 }
--- a/src/autoscaler/demand_estimator.hpp
+++ b/src/autoscaler/demand_estimator.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Estimates how many machines of a type the jobs will need one boot time from now.
 ///
 /// A machine that is provisioned now can serve only the demand of one boot time later. The demand
@@ -21,6 +21,7 @@
 /// Runs on the controller's event loop.
 class DemandEstimator {
  public:
+  /// `term_start`: when the present leadership began. The references have to outlive this object.
   DemandEstimator(const config::Settings& settings, state::Model& model,
                   const placement::RunTimeEstimates& estimates, TermStart term_start);
 
--- a/src/autoscaler/fleet_autoscaler.hpp
+++ b/src/autoscaler/fleet_autoscaler.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Keeps the fleet at the size that the jobs need: scales out (provisions machines), scales in
 /// (returns idle ones), and replaces machines that have failed.
 #pragma once
@@ -32,8 +32,8 @@
                   placement::RunTimeEstimates& estimates, std::uint64_t term,
                   const std::function<void(state::Machine&)>& machine_lost);
 
-  /// Does whatever is due: reads the cloud's list, reviews the machines' health, plans the size
-  /// of the fleet, and sends deletions. To be called every few hundred milliseconds.
+  /// Does the steps that are due: reads the cloud's list, reviews the machines' health, plans the
+  /// size of the fleet, and sends deletions. To be called every few hundred milliseconds.
   void tick();
 
   /// Has the cloud delete the machine. Once the cloud has confirmed the deletion, the machine's
--- a/src/autoscaler/health_review.hpp
+++ b/src/autoscaler/health_review.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Decides which machines have to be deleted because something is wrong with them: they have
 /// failed, are quarantined, never came up, have fallen silent, or do not follow commands.
 ///
--- a/src/autoscaler/machine_list.hpp
+++ b/src/autoscaler/machine_list.hpp
@@ -1,9 +1,9 @@
-/// \file
+/// @file
 /// Reads the cloud's list of machines, page by page, and applies it to the model.
 ///
 /// The list lags behind by up to `Settings::list_lag_s`. It therefore proves little: a machine
 /// may be listed although it has been deleted, or missing although it was provisioned a moment
-/// ago. The one permanent truth it tells is that a machine has failed (rule 6).
+/// ago. The only lasting fact that it shows is that a machine has failed (rule 6).
 #pragma once
 
 #include <functional>
--- a/src/autoscaler/pool_key.hpp
+++ b/src/autoscaler/pool_key.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The key of a machine pool. The cloud provisions machines per pool, so capacity and pending
 /// requests are tracked per pool as well.
 #pragma once
@@ -10,9 +10,9 @@
 
 /// All machines of one type, in one zone, that are either all spot or all ordinary machines.
 struct PoolKey {
-  std::string machine_type;
-  std::string zone;
-  bool spot = false;
+  std::string machine_type;  ///< name of the type at the cloud
+  std::string zone;          ///< name of the zone at the cloud
+  bool spot = false;         ///< spot machines, which the cloud may take back
 
   /// Orders by machine type, then by zone, then ordinary before spot.
   friend auto operator<=>(const PoolKey&, const PoolKey&) = default;
@@ -20,8 +20,8 @@
 
 /// Machines that should be added to one pool.
 struct PoolScaleOut {
-  PoolKey pool;
-  int machines = 0;
+  PoolKey pool;      ///< where to provision them
+  int machines = 0;  ///< how many more machines the pool should get
 };
 
 }  // namespace elmstall::autoscaler
--- a/src/autoscaler/pool_survey.cpp
+++ b/src/autoscaler/pool_survey.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The pool as far as the provision requests tell of it; its machines are counted later.
+/// The pool with what is known from its provision requests; its machines are counted later.
 sched::Pool pool_without_machines(const wire::MachineType& machine_type, const PoolKey& key,
                                   const Provisioning& provisioning, double now) {
   sched::Pool pool;
--- a/src/autoscaler/pool_survey.hpp
+++ b/src/autoscaler/pool_survey.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Counts the machines of each pool, as the input of the fleet size decisions.
 #pragma once
 
--- a/src/autoscaler/provisioning.hpp
+++ b/src/autoscaler/provisioning.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Sends provision requests to the cloud: names them, paces them, repeats those that stayed
 /// without an answer, and backs off from pools without capacity.
 #pragma once
--- a/src/autoscaler/scale_in.hpp
+++ b/src/autoscaler/scale_in.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Returns idle machines that the fleet does not need any more.
 #pragma once
 
@@ -14,6 +14,7 @@
 /// Runs on the controller's event loop.
 class ScaleIn {
  public:
+  /// All arguments have to outlive this object.
   ScaleIn(const config::Settings& settings, state::Model& model, Terminations& terminations);
 
   /// Marks idle machines of the type for deletion: as many as the pools have beyond the demand,
--- a/src/autoscaler/task_packing.hpp
+++ b/src/autoscaler/task_packing.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// How tasks of one size pack onto machines of one type. Pure functions.
 #pragma once
 
--- a/src/autoscaler/terminations.hpp
+++ b/src/autoscaler/terminations.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Deletes machines through the cloud. Machines are marked one by one and deleted in batches,
 /// because every request counts against the cloud's rate limit.
 #pragma once
--- a/src/autoscaler/zone_planner.hpp
+++ b/src/autoscaler/zone_planner.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Plans machines for work that may run in certain zones only.
 ///
 /// The size of the fleet follows the sum of all demand, but a machine in one zone is of no use to
@@ -20,7 +20,7 @@
 /// Waiting work that may run in one zone only: its job names the zone, it is a gang that needs
 /// its machines together, or it is spread work that may have no more tasks elsewhere.
 struct ZoneDemand {
-  double machines = 0;
+  double machines = 0;       ///< machines that the work would fill; may be a fraction
   bool spot_allowed = true;  ///< all of the work may use spot machines
 };
 
@@ -34,6 +34,7 @@
 /// Runs on the controller's event loop. Keeps no state between calls.
 class ZonePlanner {
  public:
+  /// All arguments have to outlive this object.
   ZonePlanner(const config::Settings& settings, state::Model& model);
 
   /// `pools`: the surveyed pools of the machine type.
--- a/src/placement/direct_placement.hpp
+++ b/src/placement/direct_placement.hpp
@@ -16,6 +16,7 @@
 /// Places the tasks of such jobs at once where there is room, or else by preemption.
 class DirectPlacement {
  public:
+  /// All arguments have to outlive this object.
   DirectPlacement(const config::Settings& settings, state::Model& model,
                   const MachineIndex& machines, PreemptionSearch& preemption,
                   GangCoordinator& gangs)
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -74,7 +74,7 @@
 // --- replacement of lost tasks ---------------------------------------------------------------
 
 bool GangAttempts::others_still_wait(state::Job& job) const {
-  // Heartbeats tell of the past. Therefore each of the other tasks must have been seen waiting in
+  // Heartbeats show the past. Therefore each of the other tasks must have been seen waiting in
   // a heartbeat that was sent after the machine was told to run it.
   const auto tasks = load_gang_tasks(model_, job);
   return std::all_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
--- a/src/placement/gang_attempts.hpp
+++ b/src/placement/gang_attempts.hpp
@@ -15,6 +15,7 @@
 /// Carries attempts from their start to their end.
 class GangAttempts {
  public:
+  /// All arguments have to outlive this object.
   GangAttempts(const config::Settings& settings, state::Model& model, RunTimeEstimates& estimates)
       : settings_(settings), model_(model), estimates_(estimates) {}
 
--- a/src/placement/gang_claims.hpp
+++ b/src/placement/gang_claims.hpp
@@ -19,6 +19,7 @@
 /// Owner of all claims.
 class GangClaims {
  public:
+  /// All arguments have to outlive this object.
   GangClaims(const config::Settings& settings, state::Model& model, const GangSiteFinder& sites,
              GangAttempts& attempts)
       : settings_(settings), model_(model), sites_(sites), attempts_(attempts) {}
--- a/src/placement/gang_sites.hpp
+++ b/src/placement/gang_sites.hpp
@@ -15,22 +15,25 @@
 
 /// Machines on which tasks of a gang could run. Both vectors have the same length and order.
 struct GangSites {
-  std::vector<state::Machine*> machines;
-  std::vector<sched::GangSite> sites;
+  std::vector<state::Machine*> machines;  ///< the machines themselves; never null
+  std::vector<sched::GangSite> sites;     ///< their descriptions, for the placement algorithm
 
+  /// Appends a machine and its description, which keeps both vectors in the same order.
   void add(state::Machine& machine, sched::GangSite site);
 };
 
 /// A machine and the number of the gang's tasks that go there.
 struct GangPlace {
-  state::Machine* machine = nullptr;
-  std::size_t tasks = 0;
+  state::Machine* machine = nullptr;  ///< where the tasks go; never null in a place that was found
+  std::size_t tasks = 0;              ///< number of the gang's tasks for this machine
 };
+/// Places for several tasks of one gang; each machine occurs once at most.
 using GangPlaces = std::vector<GangPlace>;
 
 /// Describes machines from a gang's point of view.
 class GangSiteFinder {
  public:
+  /// All arguments have to outlive this object.
   GangSiteFinder(const config::Settings& settings, state::Model& model)
       : settings_(settings), model_(model) {}
 
@@ -69,7 +72,7 @@
                          const GangPlaces& places,
                          const std::function<void(state::Task&, state::Machine&)>& put);
 
-/// Whether so many tasks of the gang fit into its team's quota together.
+/// Whether `task_count` tasks of the gang fit into its team's quota together.
 [[nodiscard]] bool gang_within_quota(const state::Job& job, std::size_t task_count);
 
 /// Chooses the zone for which machines are provisioned, for a gang whose tasks must stay together:
--- a/src/placement/job_queues.hpp
+++ b/src/placement/job_queues.hpp
@@ -24,6 +24,7 @@
   /// Decides whether a queued task may be taken.
   using TaskFilter = std::function<bool(sched::TaskId)>;
 
+  /// All arguments have to outlive this object.
   JobQueues(const config::Settings& settings, state::Model& model,
             const RunTimeEstimates& estimates)
       : settings_(settings), model_(model), estimates_(estimates) {}
@@ -47,8 +48,10 @@
   /// group with the longest mean wait. The task stays in its queue.
   [[nodiscard]] std::optional<sched::Queued> next_for(const state::Machine& machine,
                                                       const TaskFilter& may_take);
+  /// Whether no task is queued in any group.
   [[nodiscard]] bool empty() const;
 
+  /// The queues of all groups, by the name of the group.
   [[nodiscard]] const std::map<std::string, sched::Group>& groups() const { return groups_; }
   /// Tasks that balancing has moved between machines so far.
   [[nodiscard]] std::size_t moves() const { return moves_; }
--- a/src/placement/machine_index.hpp
+++ b/src/placement/machine_index.hpp
@@ -15,6 +15,7 @@
 /// Knows which machines can receive tasks now.
 class MachineIndex {
  public:
+  /// All arguments have to outlive this object.
   MachineIndex(const config::Settings& settings, state::Model& model, JobQueues& queues)
       : settings_(settings), model_(model), queues_(queues) {}
 
--- a/src/placement/machine_score.cpp
+++ b/src/placement/machine_score.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Gigabytes per second. Rate at which images are fetched where the machine type tells none.
+/// Gigabytes per second. Rate at which images are fetched where the machine type names none.
 constexpr double kDefaultFetchRate = 1.0;
 /// Points for each of the job's tasks in the machine's zone. Spreading a job over zones is worth
 /// some seconds of fetching its image.
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -29,7 +29,7 @@
   starter_.start_on_machines_with_room(now);
   preemption_.preempt_for_queued(now);
   // The decisions have changed the room on machines. The index and the queues show that at once, so
-  // that nobody reads outdated figures between two rounds.
+  // that no reader gets outdated figures between two rounds.
   machines_.update(now);
 }
 
--- a/src/placement/preemption_search.hpp
+++ b/src/placement/preemption_search.hpp
@@ -16,14 +16,15 @@
 
 /// A machine, and the tasks on it that have to be stopped to make room.
 struct PreemptionPlan {
-  state::Machine* machine = nullptr;
-  double score = 0;  ///< higher is better, see `machine_score`
-  std::vector<state::Task*> victims;
+  state::Machine* machine = nullptr;  ///< never null in a plan that a search returns
+  double score = 0;                   ///< higher is better, see `machine_score`
+  std::vector<state::Task*> victims;  ///< the tasks to stop
 };
 
 /// Preemption for services, arrays that stay together, and queued tasks.
 class PreemptionSearch {
  public:
+  /// All arguments have to outlive this object.
   PreemptionSearch(const config::Settings& settings, state::Model& model, JobQueues& queues)
       : settings_(settings), model_(model), queues_(queues) {}
 
--- a/src/placement/queued_task_starter.hpp
+++ b/src/placement/queued_task_starter.hpp
@@ -16,6 +16,7 @@
 /// Starts tasks from the queues.
 class QueuedTaskStarter {
  public:
+  /// All arguments have to outlive this object.
   QueuedTaskStarter(state::Model& model, JobQueues& queues, const MachineIndex& machines)
       : model_(model), queues_(queues), machines_(machines) {}
 
