--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Admission of submissions: decides whether a well-formed job can ever run on this site. A job
 /// that can't is rejected at once (422), because it would otherwise wait for ever.
 #pragma once
@@ -24,15 +24,17 @@
   record_too_large,         ///< the job's record exceeds the state service's limit for a value
 };
 
-/// The text that tells the user of the reason.
+/// The text that explains the reason to the user.
 [[nodiscard]] std::string_view to_text(RejectionReason reason);
 
 /// Checks submissions. All controllers must decide alike, so the decision rests on nothing but
 /// the settings, the machine types and the job itself. Does no I/O.
 class Admission {
  public:
+  /// `settings` has to outlive this object. No submission can be checked yet.
   explicit Admission(const config::Settings& settings) : settings_(settings) {}
 
+  /// Replaces the machine types that the cloud offers.
   void set_machine_types(const std::vector<wire::MachineType>& machine_types) {
     machine_types_ = machine_types;
   }
--- a/src/api/concurrency_limit.hpp
+++ b/src/api/concurrency_limit.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// A limit on the number of user requests in progress that adjusts itself to the measured
 /// response times: it shrinks while requests take much longer than the best ones did, which is
 /// the sign of overload, and grows otherwise. Requests beyond the limit are shed.
@@ -54,6 +54,7 @@
 
   /// Requests that may be in progress at once, at present. Fractions count as nothing.
   [[nodiscard]] double limit() const { return limit_; }
+  /// Requests that have entered and not left yet.
   [[nodiscard]] int in_progress() const { return in_progress_; }
   /// Requests that were shed since the start.
   [[nodiscard]] std::size_t shed() const { return shed_; }
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -22,7 +22,8 @@
   auto call = std::make_shared<Call>();
   call->deadline = now + patience_s;
   call->respond = [this, now, respond = std::move(respond)](net::Response response) {
-    // A 503 tells of the state service's troubles, not of this controller's load.
+    // A 503 is caused by trouble of the state service, so its time does not show this controller's
+    // load.
     limit_.leave(response.status == 503 ? ConcurrencyLimit::kNotMeasured : loop_.now() - now);
     respond(std::move(response));
   };
@@ -223,7 +224,7 @@
   if (result.outcome == Outcome::unavailable)
     return retry_before_deadline(call, [this, call] { cancel_live_job(call); });
   // The record was changed by another controller, or perhaps by this very request if its outcome
-  // is unknown. A mirror that is current tells which.
+  // is unknown. A mirror that is current shows which of the two happened.
   read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
     if (!current) return reply_unavailable(call);
     retry_before_deadline(call, [this, call] { cancel_live_job(call); });
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The requests of users: submissions, polls and cancellations.
 ///
 /// Every controller serves them straight against the state service, so users never wait for an
@@ -55,6 +55,7 @@
   /// Cancels a job. 200: cancelled, or over already; 404; 503: try again.
   void cancel(const std::string& id, net::Responder respond);
 
+  /// The limit on user requests in progress, with its present value and its counts.
   [[nodiscard]] const ConcurrencyLimit& limit() const { return limit_; }
 
  private:
@@ -85,7 +86,8 @@
   static void reply_unavailable(const CallPtr& call);
   /// Answers with the job's state if there is such a job, else calls `otherwise`.
   void reply_if_known(const CallPtr& call, TaskCounts counts, std::function<void()> otherwise);
-  /// The second half of that, for jobs that are not among the live ones: reads the final record.
+  /// Does the same for a job that is not among the live ones: reads its final record from the state
+  /// service, and answers with it if there is one, else calls `otherwise`.
   void reply_if_final(const CallPtr& call, TaskCounts counts, std::function<void()> otherwise);
 
   // Submissions.
--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -29,7 +29,7 @@
   if (heartbeat.zone == context_.settings.zone) return false;
   const double now = context_.event_loop.now();
   auto& last = redirects_[heartbeat.machine];
-  // A worker that is back so soon could not reach the node it was sent to.
+  // A worker that comes back so soon could not reach the node that it was sent to.
   if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
   for (const auto& peer : context_.settings.peers) {
     if (peer.zone != heartbeat.zone || !context_.peers.heard(peer.name)) continue;
--- a/src/controller/heartbeat_router.hpp
+++ b/src/controller/heartbeat_router.hpp
@@ -1,9 +1,11 @@
-// Brings workers' heartbeats to whoever may reply to them: the leader, or the zone
-// delegate while the leader is not heard.
-//
-// Workers report to a controller of their own zone, which forwards their heartbeats
-// to the leader. When the zone is cut off, or the leader ends, they are already where
-// their leases can be kept alive (docs/design.md, "Forwarding").
+/// @file
+/// Brings workers' heartbeats to the controller that may reply to them: the leader, or the zone
+/// delegate while the leader is not heard.
+///
+/// Workers report to a controller of their own zone, which forwards their heartbeats
+/// to the leader. When the zone is cut off or the leader fails, the workers already talk to a
+/// controller that can renew their leases (docs/design.md, "Forwarding"). Runs on the controller's
+/// event loop.
 #pragma once
 
 #include <cstdint>
@@ -21,26 +23,31 @@
 
 class Leader;
 
+/// Routes the heartbeats that workers send to this node.
 class HeartbeatRouter {
  public:
+  /// What the router works with. The references have to outlive it.
   struct Context {
-    const config::Settings& settings;
-    const runtime::EventLoop& event_loop;
-    const PeerMonitor& peers;
-    const election::TermTracker& terms;
-    election::ZoneDelegate& zone_delegate;
-    PeerOutbox& outbox;
-    /// The leader, if this node leads.
+    const config::Settings& settings;       ///< settings of this controller
+    const runtime::EventLoop& event_loop;   ///< clock
+    const PeerMonitor& peers;               ///< what other controllers have said of themselves
+    const election::TermTracker& terms;     ///< highest known term and its leader
+    election::ZoneDelegate& zone_delegate;  ///< replies while the leader is not heard
+    PeerOutbox& outbox;                     ///< sends messages to other controllers
+    /// Returns the leader's state if this node leads, else null.
     std::function<Leader*()> leader;
+    /// Returns how this node is connected at the moment of the call.
     std::function<election::Connectivity()> connectivity;
   };
 
+  /// Keeps the context; routes nothing yet.
   explicit HeartbeatRouter(Context context) : context_(std::move(context)) {}
 
-  /// A heartbeat that a worker sent to this node.
+  /// Routes a heartbeat that a worker sent to this node. `body`: the message as it was received.
   void on_heartbeat(wire::WorkerHeartbeat heartbeat, const std::string& body,
                     net::Responder respond);
-  /// The reply to a heartbeat that was forwarded.
+  /// Passes the leader's reply to a forwarded heartbeat on to the worker. Does nothing if the
+  /// worker was already refused.
   void on_forwarded_reply(const peer::ForwardedReply& reply);
   /// Sends heartbeats that wait to the present leader or the zone delegate, and
   /// refuses those past their deadline.
@@ -60,7 +67,7 @@
   /// Sends the worker to a node of its zone; false if it is to be served here.
   bool redirect_to_zone(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
   void forward(election::PendingHeartbeat heartbeat);
-  /// For one that has waited: the leader replies if that is this node by now.
+  /// Routes a heartbeat that has waited. If this node leads by now, its leader replies.
   void route_again(election::PendingHeartbeat heartbeat);
 
   Context context_;
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -53,7 +53,8 @@
 state::GroupCommit::Events Leader::commit_events() {
   state::GroupCommit::Events events;
   events.finished = [this](const std::string& job) { model_.remove_job(job); };
-  // Posted, because it destroys the leader and with it the group commit that calls.
+  // The call is posted to the queue, because it destroys the leader and with it the group commit
+  // that makes the call.
   events.deposed = [this] { context_.queue.post(context_.deposed); };
   events.confirmed = [this](double sent_at) {
     confirm(sent_at);
@@ -87,12 +88,12 @@
   if (!HeartbeatReader::is_newer(machine, heartbeat)) {
     if (crossed_command_rpc(machine, heartbeat))
       return dispatcher_.reply_to_crossed(machine, respond);
-    return respond({unavailable, {}, 0});  // a late copy, for which no worker waits
+    return respond({unavailable, {}, 0});  // a late copy; no worker waits for its reply
   }
   const double now = context_.event_loop.now();
   responsiveness_.check(machine, heartbeat, now);
-  // A worker has one heartbeat in flight and drops late replies: what the last reply
-  // commanded was carried out before this heartbeat, or never will be (rule 2).
+  // A worker has one heartbeat in flight and drops late replies. So the commands of the last reply
+  // were carried out before this heartbeat was sent, or will never be carried out (rule 2).
   machine.reply_carried_commands = false;
   heartbeat_reader_.read(machine, heartbeat, HeartbeatSource::worker, now);
   dispatcher_.reply(machine, respond);
@@ -146,7 +147,7 @@
   if (!decision_due_) return;
   const double now = context_.event_loop.now();
   if (now < next_decision_) {
-    // The timer's batch brings us back here.
+    // The timer's command runs in a batch of its own, after which this function is called again.
     return decision_timer_.after(next_decision_ - now, [] {});
   }
   decision_due_ = false;
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -1,7 +1,9 @@
-// The leading controller's view of the deployment. It exists from an election
-// until the end of that term and coordinates the units that decide: it rebuilds
-// their state from the records, hands them heartbeats and changes of records, and
-// lets them decide, commit and command once per batch.
+/// @file
+/// The leading controller's view of the deployment. It exists from an election
+/// until the end of that term and coordinates the units that decide: it rebuilds
+/// their state from the records, hands them heartbeats and changes of records, and
+/// lets them decide, commit and command once per batch. Runs on the controller's event loop; times
+/// are seconds of its steady clock.
 #pragma once
 
 #include "autoscaler/fleet_autoscaler.hpp"
@@ -21,53 +23,63 @@
 
 namespace elmstall::controller {
 
+/// One leadership. It is destroyed when the node steps down.
 class Leader {
  public:
+  /// What the leader works with. The references have to outlive it.
   struct Context {
-    const config::Settings& settings;
-    runtime::EventLoop& event_loop;
-    runtime::CommandQueue& queue;
-    store::StateStore& store;
-    clients::Cloud& cloud;
-    clients::WorkerRpc& worker_rpc;
-    const store::Mirror& mirror;
-    const election::ReadIndex& read_index;
-    /// What another controller has said of its copy of the records.
+    const config::Settings& settings;       ///< settings of this controller
+    runtime::EventLoop& event_loop;         ///< clock and timers
+    runtime::CommandQueue& queue;           ///< runs the callbacks, one after the other
+    store::StateStore& store;               ///< client of the state service
+    clients::Cloud& cloud;                  ///< lists, provisions and terminates machines
+    clients::WorkerRpc& worker_rpc;         ///< sends command RPCs to workers
+    const store::Mirror& mirror;            ///< local replica of the records
+    const election::ReadIndex& read_index;  ///< tells how recent the mirror is
+    /// Returns what another controller has said of its copy of the records.
     reconcile::LeaseExpiry::PeerStates peer_read_state;
-    /// Whether every controller is heard and none reaches the state store.
+    /// Returns whether every controller is heard and none reaches the state store.
     election::LeaderLease::CommonOutage common_outage;
     /// Called when a commit shows that the term is over.
     std::function<void()> deposed;
   };
 
-  /// `confirmed_at`: when the request that won the term was sent.
+  /// Rebuilds the model from the mirror. `term_revision`: modification revision of the record
+  /// `term`, a precondition of every commit. `confirmed_at`: when the request that won the term
+  /// was sent.
   Leader(Context context, std::uint64_t term, std::uint64_t term_revision, double confirmed_at);
 
+  /// Passes on the machine types that the cloud offers.
   void set_machine_types(const std::vector<wire::MachineType>& machine_types);
+  /// Reads a worker's heartbeat and replies to it. Without a valid leader lease it is refused with
+  /// 503 (rule 5).
   void on_heartbeat(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
-  /// Another controller has recorded that this job is cancelled.
+  /// To be called when another controller says that it has recorded the job as cancelled.
   void on_cancellation(const std::string& job_id);
-  /// These records have changed.
+  /// To be called when the mirror has changed; `keys` are those of the changed records.
   void on_change(const std::vector<store::Key>& keys);
-  /// A request that proved the term to be current was sent at this time.
+  /// Prolongs the leader lease: a request sent at `sent_at` has proved the term current.
   void confirm(double sent_at) { lease_.confirm(sent_at); }
-  /// Periodic work, every `constants::kTickInterval`.
+  /// Does the periodic work; to be called every `constants::kTickInterval`.
   void tick();
   /// To be called after each batch of the command queue.
   void after_batch();
 
+  /// Number of this leadership.
   [[nodiscard]] std::uint64_t term() const { return term_; }
   /// The term's lowest fencing token.
   [[nodiscard]] std::uint64_t token() const { return fencing_.term_token(); }
-  /// Whether this node may still act for the controllers (docs/design.md, rule 5).
+  /// Whether this node may still act as the leader (docs/design.md, rule 5).
   [[nodiscard]] bool leader_lease_valid() const { return lease_.valid(); }
+  /// The leader's model of jobs, tasks and machines.
   [[nodiscard]] state::Model& model() { return model_; }
+  /// The planner, for tests and metrics.
   [[nodiscard]] const placement::Planner& planner() const { return planner_; }
 
  private:
   [[nodiscard]] state::GroupCommit::Events commit_events();
-  /// The heartbeat crossed the newer reply to a command RPC, so the worker still
-  /// waits for its own reply.
+  /// Whether the heartbeat was overtaken by the newer reply to a command RPC, so that the worker
+  /// still waits for the reply to the heartbeat.
   [[nodiscard]] bool crossed_command_rpc(const state::Machine& machine,
                                          const wire::WorkerHeartbeat& heartbeat) const;
   void remove_all_tasks(state::Machine& machine, std::string_view reason);
@@ -90,9 +102,9 @@
   reconcile::HeartbeatReader heartbeat_reader_;
   dispatch::CommandComposer command_composer_;
   dispatch::CommandDispatcher dispatcher_;
-  bool may_start_logged_ = true;  ///< what the log last said of it
-  /// Something happened that scheduling has to look at. Users' polls and the state
-  /// store's replies are not of that kind.
+  bool may_start_logged_ = true;  ///< what the last log line on it said
+  /// Set when something has happened that may lead to new decisions. Users' polls and replies of
+  /// the state store do not.
   bool decision_due_ = true;
   double next_decision_ = state::kNever;
   runtime::CoalescingTimer decision_timer_;
--- a/src/controller/machine_type_source.hpp
+++ b/src/controller/machine_type_source.hpp
@@ -1,4 +1,5 @@
-// Asks the cloud for the machine types until it tells them.
+/// @file
+/// Asks the cloud for the machine types until it answers. Runs on the controller's event loop.
 #pragma once
 
 #include <functional>
@@ -12,8 +13,10 @@
 
 namespace elmstall::controller {
 
+/// Fetches the machine types once, and repeats the request as long as it fails.
 class MachineTypeSource {
  public:
+  /// Receives the machine types.
   using Found = std::function<void(std::vector<wire::MachineType>)>;
 
   /// `found` is called once, with at least one type.
@@ -21,6 +24,7 @@
                     clients::Cloud& cloud, Found found)
       : loop_(event_loop), cloud_(cloud), found_(std::move(found)), scope_(queue) {}
 
+  /// Sends a request, and others every `constants::kTypesRetry` seconds until one succeeds.
   void fetch() {
     cloud_.machine_types(
         scope_.wrap([this](std::optional<std::vector<wire::MachineType>> machine_types) {
--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -25,8 +25,8 @@
   return nodes / (k::kReadIndexShare * settings.state_limits().rps);
 }
 
-/// A worker finds its way back when its connection is closed. Where connections are
-/// short, users and the load balancer go before it.
+/// A worker connects again after its connection was closed. When connections run out, users and
+/// the load balancer therefore take precedence over workers.
 net::Responder yielding(net::Responder respond) {
   return [respond = std::move(respond)](net::Response response) {
     response.yields = true;
@@ -104,9 +104,8 @@
 bool Node::ready() const {
   if (!mirror_.loaded() || machine_types_.empty()) return false;
   if (state_reachable(k::kUnreadyAfter)) return true;
-  // Where every controller sees the same outage, removing all of them from the load
-  // balancer helps nobody. At least one other must confirm it; silent ones don't
-  // count either way.
+  // When every controller sees the same outage, removing all of them from the load balancer is of
+  // no use. At least one other controller must confirm the outage; silent ones are not counted.
   return peers_.heard_ones_without_state_store();
 }
 
--- a/src/controller/node.hpp
+++ b/src/controller/node.hpp
@@ -1,8 +1,9 @@
-// One controller. It owns all state of its process and wires the units together:
-// users' requests, heartbeats of workers, messages of other controllers, the mirror
-// of the records, elections, and the leader while this node leads.
-//
-// Everything runs as commands of one queue, on the event loop's thread.
+/// @file
+/// One controller. It owns all state of its process and wires the units together:
+/// users' requests, heartbeats of workers, messages of other controllers, the mirror
+/// of the records, elections, and the leader while this node leads.
+///
+/// Everything runs as commands of one queue, on the event loop's thread.
 #pragma once
 
 #include <memory>
@@ -26,31 +27,34 @@
 
 namespace elmstall::controller {
 
+/// The state of one controller process.
 class Node {
  public:
+  /// The node's connections to the outside. They have to outlive it.
   struct Ports {
-    runtime::EventLoop& event_loop;
-    store::StateStore& store;
-    clients::Cloud& cloud;
-    clients::WorkerRpc& worker_rpc;
+    runtime::EventLoop& event_loop;  ///< clock and timers
+    store::StateStore& store;        ///< client of the state service
+    clients::Cloud& cloud;           ///< lists, provisions and terminates machines
+    clients::WorkerRpc& worker_rpc;  ///< sends command RPCs to workers
   };
 
   /// `incarnation` differs from that of every earlier process of this node.
   Node(const config::Settings& settings, Ports ports, std::string incarnation);
 
-  /// Begins to work. The transport hands messages to `on_message`, so it is made
-  /// after the node; it must outlive it.
+  /// Begins to work. The transport hands messages to `on_message`, so it is made after the node.
+  /// It has to exist as long as the node works.
   void start(peer::Transport& transport);
-  /// A request of a user, a worker or the load balancer. Safe to call from I/O
-  /// callbacks: it only queues a command.
+  /// Takes a request of a user, a worker or the load balancer. Safe to call from I/O callbacks,
+  /// because it only queues a command.
   void on_request(net::Request request, net::Responder respond);
-  /// A message of another controller; as above.
+  /// Takes a message of another controller. Only queues a command, like `on_request`.
   void on_message(peer::Message message);
 
   /// Whether this node can take users' requests.
   [[nodiscard]] bool ready() const;
   /// The leader's state while this node leads, else null.
   [[nodiscard]] Leader* leader() { return leader_.get(); }
+  /// This node's replica of the records.
   [[nodiscard]] const store::Mirror& mirror() const { return mirror_; }
 
  private:
@@ -59,7 +63,8 @@
   // heartbeats of workers
   void on_heartbeat(const std::string& body, net::Responder respond);
   void on_forwarded_heartbeat(const peer::ForwardedHeartbeat& forwarded);
-  /// Refuses a malformed one with 400, and takes in the term of its token.
+  /// Decodes a heartbeat and takes in the term of its token. A malformed one is refused with 400,
+  /// and the result is empty.
   std::optional<wire::WorkerHeartbeat> decode_heartbeat(const std::string& body,
                                                         const net::Responder& respond);
 
@@ -67,15 +72,16 @@
   void handle(const peer::Message& message);
   void send_peer_heartbeat();
   void on_peer_heartbeat(const peer::Heartbeat& heartbeat);
-  /// A cancellation was recorded by this node: the leader is to hear of it at once.
+  /// Tells the other controllers of a cancellation that this node has recorded, so that the leader
+  /// hears of it at once (rule 8).
   void broadcast_cancellation(const std::string& job);
   void on_cancellation(const std::string& job);
 
   // connectivity
   [[nodiscard]] bool leader_heard() const;
-  /// The state store has replied within so many seconds.
+  /// Whether the state store has replied within the last `within_s` seconds.
   [[nodiscard]] bool state_reachable(double within_s) const;
-  /// Every controller is heard, and the state store replies to none of them.
+  /// Whether every controller is heard, and the state store replies to none of them.
   [[nodiscard]] bool common_outage() const;
   [[nodiscard]] election::Connectivity connectivity() const;
 
@@ -89,8 +95,8 @@
   void step_down(const char* reason);
 
   void tick();
-  /// Has a read index requested now and then, which shows that the state store is
-  /// reached and prolongs the leader lease.
+  /// Requests a read index at regular intervals. Its success shows that the state store is
+  /// reachable, and prolongs the leader lease.
   void probe_state_store(double now);
   void after_batch();
 
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -10,7 +10,7 @@
 
 PeerMonitor::PeerMonitor(const config::Settings& settings, const runtime::EventLoop& event_loop)
     : settings_(settings), loop_(event_loop) {
-  // No peer counts as silent before it had the time to speak. Otherwise a restarted
+  // No peer counts as silent before it has had time to send a heartbeat. Otherwise a restarted
   // node would become the delegate of its zone for no reason.
   for (const auto& peer : settings.peers) peers_[peer.name].last_heartbeat = event_loop.now();
 }
@@ -21,8 +21,8 @@
   peer.last_heartbeat = now;
   peer.state_reachable = heartbeat.state_reachable;
   peer.leader_heard = heartbeat.leader_heard;
-  // The message may be late. What the peer replied to, it replied to before it was
-  // sent, so counting back from now errs on the safe side (docs/design.md, rule 6).
+  // The message may have been delayed. The peer's last reply was then earlier than the time
+  // computed here by counting back from now, which is the safe direction (docs/design.md, rule 6).
   auto& read_state = peer.read_state;
   const double replied_at = now - heartbeat.replied_ago_s * (1 - k::kDrift);
   read_state.revision = std::max(read_state.revision, heartbeat.revision);
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -1,4 +1,6 @@
-// What this node knows of the other controllers from their heartbeats.
+/// @file
+/// What this node knows of the other controllers from their heartbeats. Runs on the controller's
+/// event loop.
 #pragma once
 
 #include <map>
@@ -11,19 +13,22 @@
 
 namespace elmstall::controller {
 
+/// The latest heartbeat of each other controller, and what follows from all of them.
 class PeerMonitor {
  public:
+  /// No peer counts as silent at first. Both references have to outlive this object.
   PeerMonitor(const config::Settings& settings, const runtime::EventLoop& event_loop);
 
+  /// Takes in a heartbeat of another controller.
   void on_heartbeat(const peer::Heartbeat& heartbeat);
 
   /// Whether the peer was heard within the last `constants::kPeerSilence` seconds.
   [[nodiscard]] bool heard(const std::string& peer) const;
-  /// Every peer is heard, and each says that it does not reach the state store.
+  /// Whether every peer is heard, and each says that it does not reach the state store.
   [[nodiscard]] bool all_without_state_store() const;
-  /// Some peer is heard, and none that is heard reaches the state store.
+  /// Whether some peer is heard, and none that is heard reaches the state store.
   [[nodiscard]] bool heard_ones_without_state_store() const;
-  /// A peer of this node's zone that is heard and does not hear the leader; empty if
+  /// Name of a peer of this node's zone that is heard and does not hear the leader; empty if
   /// there is none.
   [[nodiscard]] std::string neighbour_without_leader() const;
   /// What the peer has said of its copy of the records.
--- a/src/controller/peer_outbox.cpp
+++ b/src/controller/peer_outbox.cpp
@@ -17,7 +17,7 @@
 void PeerOutbox::flush() {
   const double now = loop_.now();
   if (now < next_flush_ && !urgent_queued_) {
-    // The timer's batch brings us back here.
+    // The timer's command runs in a batch of its own, after which this function is called again.
     if (collected_queued_) flush_timer_.after(next_flush_ - now, [] {});
     return;
   }
--- a/src/controller/routes.hpp
+++ b/src/controller/routes.hpp
@@ -1,4 +1,5 @@
-// Which part of the HTTP interface a request is for.
+/// @file
+/// Finds out which part of the HTTP interface a request is for. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -6,6 +7,7 @@
 
 namespace elmstall::controller {
 
+/// The endpoints of the HTTP interface, and the reasons why a request is for none of them.
 enum class Endpoint : std::uint8_t {
   ready,         ///< GET /ready
   heartbeat,     ///< POST /v1/report
@@ -13,15 +15,16 @@
   poll_job,      ///< GET /api/jobs/ID
   cancel_job,    ///< POST /api/jobs/ID/cancel
   wrong_method,  ///< the path exists, with another method
-  not_found,
+  not_found,     ///< no such path
 };
 
+/// What method and path of a request say.
 struct Route {
-  Endpoint endpoint = Endpoint::not_found;
-  std::string job_id;  ///< of poll_job and cancel_job; not checked
+  Endpoint endpoint = Endpoint::not_found;  ///< what the request is for
+  std::string job_id;                       ///< of poll_job and cancel_job; not checked
 };
 
-/// `path` may carry a query, which is ignored.
+/// The route of a request. `path` may carry a query, which is ignored.
 [[nodiscard]] Route find_route(const std::string& method, const std::string& path);
 
 }  // namespace elmstall::controller
