--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -134,11 +134,10 @@
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
     if (task->phase != Phase::assigned || task->in_last_heartbeat) continue;
-    // Once a gang has begun, no task can join it any more.
+    // A gang that has begun can't be joined by a task any more.
     const bool attempt_over = task->job->is_gang() && task->job->gang.broken;
     if (task->stopping || task->job->cancelled || attempt_over) context_.model.unassign(*task);
-    // Otherwise `run` will be sent again. The machine still accepts it, since the attempt was
-    // never cleared there.
+    // Otherwise `run` is sent again: the attempt was never cleared there.
   }
 }
 
--- a/src/reconcile/job_lifecycle.cpp
+++ b/src/reconcile/job_lifecycle.cpp
@@ -83,7 +83,7 @@
       if (task.phase != Phase::planned && task.phase != Phase::assigned) continue;
       placement::stop_task(context_.model, task, placement::StopMode::immediate,
                            context_.event_loop.now());
-      // A checkpoint that is being written has no use now.
+      // A checkpoint that is being written is of no use to anybody now.
       task.grace_period_s = 0;
     }
   }
