--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -23,8 +23,8 @@
 }
 
 bool CommandComposer::may_clear(const state::TaskAttempt& exited) {
-  // Only after what it reported is recorded: once cleared, the worker would
-  // start the attempt anew.
+  // An attempt is cleared only after the result that the worker reported is recorded, because a
+  // worker would start a cleared attempt anew (rule 4).
   auto* job = model_.job(exited.job);
   if (job == nullptr) return true;
   if (group_commit_.finishing(exited.job)) return false;
@@ -56,7 +56,7 @@
   if (task.in_last_heartbeat() || task.block->record->written < task.required_version())
     return false;
   if (task.job->is_gang() && !gangs_.may_run(task)) return false;
-  // While the machine knows an earlier attempt it would refuse this one.
+  // While an earlier attempt is not cleared on the machine, it would refuse this one.
   return std::none_of(
       machine.exited.begin(), machine.exited.end(), [&](const state::TaskAttempt& exited) {
         return exited.index == task.index && exited.job == task.job->id && !may_clear(exited);
