--- a/src/autoscaler/pool_key.hpp
+++ b/src/autoscaler/pool_key.hpp
@@ -3,8 +3,8 @@
 /// requests are tracked per pool as well.
 #pragma once
 
-#include <compare>
 #include <string>
+#include <tuple>
 
 namespace elmstall::autoscaler {
 
@@ -15,7 +15,9 @@
   bool spot = false;         ///< spot machines, which the cloud may take back
 
   /// Orders by machine type, then by zone, then ordinary before spot.
-  friend auto operator<=>(const PoolKey&, const PoolKey&) = default;
+  friend bool operator<(const PoolKey& a, const PoolKey& b) {
+    return std::tie(a.machine_type, a.zone, a.spot) < std::tie(b.machine_type, b.zone, b.spot);
+  }
 };
 
 /// Machines that should be added to one pool.
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -308,9 +308,9 @@
 
 // --- placement: preemption ---------------------------------------------------------------------
 /// Seconds. Pause of a job for which preemption could not make room.
-inline constexpr double kDisplaceInterval = 1.0;
+inline constexpr double kPreemptionSearchInterval = 1.0;
 /// Searches for room by preemption in one round of decisions; each looks at all machines.
-inline constexpr int kDisplaceSearches = 4;
+inline constexpr int kPreemptionSearchesPerRound = 4;
 /// Seconds. Pause of a task that was stopped to make room for another one. Whatever else goes
 /// wrong, tasks then can't preempt each other at the rate of the commits.
 inline constexpr double kPreemptPause = 1.0;
--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "config/constants.hpp"
+#include "wire/fencing_token.hpp"
 
 namespace elmstall::controller {
 
@@ -117,7 +118,7 @@
     auto heartbeat = wire::decode_heartbeat(wire::Document::parse(body).root());
     // A worker that has heard of a later term drops replies of an earlier one, and
     // would stay with this node while its lease runs out (rule 5).
-    learn_term(heartbeat.token >> k::kTokenFenceBits, "");
+    learn_term(wire::term_of_token(heartbeat.token), "");
     return heartbeat;
   } catch (const wire::DecodeError& error) {
     spdlog::error("a worker's heartbeat can't be read: {}", error.what());
--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -41,8 +41,8 @@
 }
 
 void CommandComposer::add_stop(state::Task& task, double now, Commands& commands) {
-  // A task that saves is left alone unless its work is of no use. One that
-  // waits for its gang to have saved may be reported as running.
+  // A task that writes its checkpoint is not told again to stop, unless its work is of no use.
+  // While it waits until all tasks of its gang have written theirs, it may be reported as running.
   if (task.grace_period_s() > 0) {
     if (task.reported_state() == TaskState::checkpointing ||
         now < task.stop_sent_at() + k::kStopRepeat)
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -136,7 +136,7 @@
 
 // --- after a takeover ------------------------------------------------------------------
 
-bool CommandDispatcher::needs_synchronization(const state::Machine& machine, double now) const {
+bool CommandDispatcher::needs_synchronization(const state::Machine& machine, double now) {
   if (!machine.recorded() || machine.epoch_known || machine.terminating) return false;
   if (machine.addr.empty() || machine.rpc_in_flight || now < machine.rpc_backoff_until)
     return false;
--- a/src/dispatch/command_dispatcher.hpp
+++ b/src/dispatch/command_dispatcher.hpp
@@ -56,7 +56,7 @@
 
  private:
   [[nodiscard]] bool rpc_possible(const state::Machine& machine) const;
-  [[nodiscard]] bool needs_synchronization(const state::Machine& machine, double now) const;
+  [[nodiscard]] static bool needs_synchronization(const state::Machine& machine, double now);
   void start_rpc(state::Machine& machine, const std::vector<wire::WorkerCommand>& commands);
   void on_rpc_result(const std::string& machine_id, bool carried_commands,
                      const clients::CommandResult& result);
--- a/src/election/leadership_renewal.cpp
+++ b/src/election/leadership_renewal.cpp
@@ -46,7 +46,7 @@
       }));
 }
 
-void LeadershipRenewal::lose(const char* reason) {
+void LeadershipRenewal::lose(const char* reason) const {
   const auto lost = context_.lost;  // the call may destroy this object
   lost(reason);
 }
--- a/src/election/leadership_renewal.hpp
+++ b/src/election/leadership_renewal.hpp
@@ -39,7 +39,7 @@
  private:
   void renew_lease();
   void confirm_term(const std::vector<wire::MachineType>& machine_types);
-  void lose(const char* reason);
+  void lose(const char* reason) const;
 
   Context context_;
   runtime::CommandScope scope_;
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "config/constants.hpp"
+#include "wire/fencing_token.hpp"
 
 namespace elmstall::election {
 
@@ -16,8 +17,6 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kMisdirected = 421;
 
-std::uint64_t term_of(std::uint64_t token) { return token >> k::kTokenFenceBits; }
-
 bool shows_attempt(const wire::WorkerHeartbeat& heartbeat, const std::string& job,
                    const store::TaskRecord& task) {
   return std::any_of(
@@ -37,7 +36,7 @@
   const bool other_zone = heartbeat.heartbeat.zone != context_.settings.zone;
   // A worker that knows a later term would drop our reply. It would stay with this node while its
   // lease runs out.
-  const bool later_term = term_of(heartbeat.heartbeat.token) > context_.mirror.term();
+  const bool later_term = wire::term_of_token(heartbeat.heartbeat.token) > context_.mirror.term();
   if (other_zone || later_term) return heartbeat.respond({kServiceUnavailable, {}, 0});
   if (may_reply(heartbeat.heartbeat.machine, connectivity))
     return reply(heartbeat.heartbeat, heartbeat.respond);
@@ -98,8 +97,8 @@
   // The leader may have raised this machine's fence. The worker would drop a reply with a lower
   // token than it has seen, and its lease would run out.
   const auto term = context_.mirror.term();
-  const auto token =
-      term_of(heartbeat.token) == term ? heartbeat.token : term << k::kTokenFenceBits;
+  const auto token = wire::term_of_token(heartbeat.token) == term ? heartbeat.token
+                                                                  : wire::first_token_of_term(term);
   respond({200, wire::encode_heartbeat_reply(token, stops_of_cancelled(heartbeat)), 0});
 }
 
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -151,11 +151,11 @@
     break;  // All tasks of a gang run for the same time, so one of them is enough.
   }
   for (const auto& [number, block] : job.blocks) {
-    // The model empties a block's list of tasks when the last of them completes. Therefore the
-    // number of tasks is taken before the loop, and the tasks are reached by their position.
-    const std::size_t task_count = block->tasks.size();
-    for (std::size_t i = 0; i < task_count; ++i) {
-      auto& task = block->tasks[i];
+    // The model empties a block's list of tasks when the last of them completes, which ends the
+    // loop. So the tasks are reached by their position and the size is read each time.
+    auto& tasks = block->tasks;
+    for (std::size_t i = 0; i < tasks.size(); ++i) {
+      auto& task = tasks[i];
       if (task.is_planned()) model_.unplan(task);
       if (!task.is_done()) model_.complete(task);
     }
--- a/src/placement/gang_sites.cpp
+++ b/src/placement/gang_sites.cpp
@@ -112,14 +112,14 @@
 
 std::optional<GangPlaces> place_gang_in_free_room(const state::Job& job, std::size_t task_count,
                                                   const GangSites& sites) {
-  return to_places(
-      sites, sched::place_gang(sites.sites, make_request(job, task_count), /*displace=*/false));
+  return to_places(sites, sched::place_gang(sites.sites, make_request(job, task_count),
+                                            sched::Preemption::forbidden));
 }
 
 std::optional<GangPlaces> place_gang_by_preemption(const state::Job& job, std::size_t task_count,
                                                    const GangSites& sites) {
-  return to_places(
-      sites, sched::place_gang(sites.sites, make_request(job, task_count), /*displace=*/true));
+  return to_places(sites, sched::place_gang(sites.sites, make_request(job, task_count),
+                                            sched::Preemption::allowed));
 }
 
 void put_tasks_in_places(state::Job& job, const std::vector<state::Task*>& tasks,
--- a/src/reconcile/fencing.cpp
+++ b/src/reconcile/fencing.cpp
@@ -1,10 +1,10 @@
 #include "reconcile/fencing.hpp"
 
-#include "config/constants.hpp"
+#include "wire/fencing_token.hpp"
 
 namespace elmstall::reconcile {
 
-std::uint64_t Fencing::term_token() const { return term_ << constants::kTokenFenceBits; }
+std::uint64_t Fencing::term_token() const { return wire::first_token_of_term(term_); }
 
 std::uint64_t Fencing::token(const state::Machine& machine) const {
   return term_token() + machine.fence;
@@ -12,7 +12,7 @@
 
 void Fencing::raise(state::Machine& machine) {
   // A fence must never reach the tokens of the next term.
-  const bool exhausted = machine.fence + 1 >= 1U << constants::kTokenFenceBits;
+  const bool exhausted = machine.fence == wire::kMaxFence;
   if (exhausted) return;
   ++machine.fence;
   machine.synchronized = false;
--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -129,10 +129,11 @@
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
     if (!task->may_be_on_machine() || task->in_last_heartbeat()) continue;
-    // A gang that has begun can't be joined by a task any more.
+    // Once a gang has begun, no task can join it any more.
     const bool attempt_over = task->job->is_gang() && task->job->gang.broken;
     if (task->is_stopping() || task->job->cancelled || attempt_over) context_.model.unassign(*task);
-    // Otherwise `run` is sent again: the attempt was never cleared there.
+    // Otherwise `run` will be sent again. The worker still accepts it, since the attempt was never
+    // cleared there.
   }
 }
 
--- a/src/reconcile/job_lifecycle.cpp
+++ b/src/reconcile/job_lifecycle.cpp
@@ -80,7 +80,7 @@
       if (!task.is_planned() && !task.may_be_on_machine()) continue;
       placement::stop_task(context_.model, task, placement::StopMode::immediate,
                            context_.event_loop.now());
-      // A checkpoint that is being written is of no use to anybody now.
+      // A checkpoint that is being written has no use now.
       task.withdraw_grace_period();
     }
   }
--- a/src/sched/gang_placement.cpp
+++ b/src/sched/gang_placement.cpp
@@ -118,8 +118,6 @@
   std::map<std::string, std::size_t> tasks_in_zone_;  ///< by name of the zone
 };
 
-enum class Preemption : std::uint8_t { forbidden, allowed };
-
 /// Places the whole gang on machines that have its image, without preemption.
 std::optional<Placement> place_without_fetch(const std::vector<GangSite>& sites,
                                              const FillingOrder& order,
@@ -177,8 +175,8 @@
 }  // namespace
 
 std::optional<std::vector<GangShare>> place_gang(const std::vector<GangSite>& sites,
-                                                 const GangRequest& request, bool displace) {
-  const auto preemption = displace ? Preemption::allowed : Preemption::forbidden;
+                                                 const GangRequest& request,
+                                                 Preemption preemption) {
   const auto order = filling_order(sites);
   if (!request.together) {
     auto placement = place_on(sites, order, request, preemption);
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -4,6 +4,7 @@
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
@@ -42,15 +43,20 @@
   std::size_t displacing = 0;  ///< those of them for which others must be preempted
 };
 
-/// Returns machines for all tasks, or nothing if there is not room for all. `displace` allows
-/// extra slots to be used, which is done only where free slots do not suffice.
+/// Whether room may be made for a gang by preempting other tasks.
+enum class Preemption : std::uint8_t {
+  forbidden,  ///< free slots only
+  allowed,    ///< extra slots too, where free slots do not suffice
+};
+
+/// Returns machines for all tasks, or nothing if there is not room for all.
 ///
 /// Machines that are not to be avoided are preferred; then those that have the image, those that
 /// can fetch it fastest, and those that other tasks have the least use for. Of several zones for a
 /// gang that must stay together, the one is chosen that requires the least preemption.
 [[nodiscard]] std::optional<std::vector<GangShare>> place_gang(const std::vector<GangSite>& sites,
                                                                const GangRequest& request,
-                                                               bool displace);
+                                                               Preemption preemption);
 
 /// The zone with the most slots, free and extra ones together; empty without sites. Of use for a
 /// gang that must stay together and finds no place yet.
--- a/tests/gang_placement_test.cpp
+++ b/tests/gang_placement_test.cpp
@@ -56,7 +56,8 @@
     request.together = pick(1) == 0;
     if (!request.together && pick(1) == 0) request.zone_limit = (request.tasks + 1) / 2;
     const bool displace = pick(1) == 0;
-    const auto shares = place_gang(sites, request, displace);
+    const auto shares =
+        place_gang(sites, request, displace ? Preemption::allowed : Preemption::forbidden);
     ASSERT_EQ(shares.has_value(), possible(sites, request, displace, 0, {}, request.tasks));
     if (!shares) continue;
     std::size_t placed = 0;
@@ -82,7 +83,7 @@
   sites[0] = {0, "north", 2, 0, false, false, false, false, 0, 0};
   sites[1] = {1, "north", 2, 0, false, true, false, false, 3, 0};
   sites[2] = {2, "north", 2, 0, false, true, true, false, 0, 0};
-  const auto shares = place_gang(sites, {3, true, 0}, false);
+  const auto shares = place_gang(sites, {3, true, 0}, Preemption::forbidden);
   ASSERT_TRUE(shares);
   ASSERT_EQ(shares->size(), 2U);
   EXPECT_EQ((*shares)[0].site, 1U);
@@ -96,7 +97,7 @@
   std::vector<GangSite> sites(2);
   sites[0] = {0, "north", 2, 0, false, false, true, false, 0, 0};
   sites[1] = {1, "north", 2, 0, false, false, false, false, 3, 0};
-  const auto shares = place_gang(sites, {2, true, 0}, false);
+  const auto shares = place_gang(sites, {2, true, 0}, Preemption::forbidden);
   ASSERT_TRUE(shares);
   ASSERT_EQ(shares->size(), 1U);
   EXPECT_EQ(shares->front().site, 1U);
@@ -106,7 +107,7 @@
   std::vector<GangSite> sites(2);
   sites[0] = {0, "north", 2, 0, false, false, false, true, 0, 0};
   sites[1] = {1, "north", 2, 0, false, false, false, false, 0, 0};
-  const auto shares = place_gang(sites, {1, true, 0}, false);
+  const auto shares = place_gang(sites, {1, true, 0}, Preemption::forbidden);
   ASSERT_TRUE(shares);
   EXPECT_EQ(shares->front().site, 1U);
 }
@@ -118,12 +119,12 @@
   for (std::size_t i = 1; i < 4; ++i)
     sites[i] = {i, "north", 2, 0, false, false, false, false, 0, 0};
   GangRequest request{3, true, 0};
-  const auto spread = place_gang(sites, request, false);
+  const auto spread = place_gang(sites, request, Preemption::forbidden);
   ASSERT_TRUE(spread);
   ASSERT_EQ(spread->size(), 3U);
   for (const auto& share : *spread) EXPECT_NE(share.site, 0U);
   request.tasks = 2;
-  const auto whole = place_gang(sites, request, false);
+  const auto whole = place_gang(sites, request, Preemption::forbidden);
   ASSERT_TRUE(whole);
   ASSERT_EQ(whole->size(), 1U);
   EXPECT_EQ(whole->front().site, 0U);
@@ -133,7 +134,7 @@
   std::vector<GangSite> sites(2);
   sites[0] = {0, "north", 1, 5, false, true, false, false, 0, 1};
   sites[1] = {1, "south", 2, 0, false, false, false, false, 9, 0};
-  const auto shares = place_gang(sites, {2, true, 0}, true);
+  const auto shares = place_gang(sites, {2, true, 0}, Preemption::allowed);
   ASSERT_TRUE(shares);
   ASSERT_EQ(shares->size(), 1U);
   EXPECT_EQ(shares->front().site, 1U);
