--- a/src/state/commit_limits.hpp
+++ b/src/state/commit_limits.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// How large the leader's transactions may be.
 #pragma once
 
@@ -15,8 +15,13 @@
 /// docs/design.md.
 class CommitLimits {
  public:
-  enum class ShrinkResult : std::uint8_t { shrunk, already_smallest };
+  /// Whether shrink() has reduced the limits.
+  enum class ShrinkResult : std::uint8_t {
+    shrunk,           ///< the scale is smaller than before
+    already_smallest  ///< the scale is constants::kCommitScaleMin, and stays so
+  };
 
+  /// Starts with a scale of 1. The settings must outlive the object.
   explicit CommitLimits(const config::Settings& settings) : settings_(settings) {}
 
   /// Bytes that the entries of one value may take as JSON.
--- a/src/state/commit_record.hpp
+++ b/src/state/commit_record.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// A record that the leader keeps in the ledger log of the state store.
 ///
 /// The model holds one commit record for each block of tasks and for each machine. The
@@ -24,10 +24,15 @@
 /// finalization of its job was written.
 class CommitRecord {
  public:
-  enum class Kind : std::uint8_t { block, machine };
+  /// What a record is about.
+  enum class Kind : std::uint8_t {
+    block,   ///< a block of tasks
+    machine  ///< a machine
+  };
   /// Packs the present state of the block or machine.
   using PackFunction = std::function<store::Packed()>;
 
+  /// Creates a record that is clean and not in the log. RecordTable gives it its serial number.
   CommitRecord(Kind record_kind, std::string job_id, PackFunction pack_function,
                std::uint64_t serial)
       : kind(record_kind),
@@ -35,11 +40,11 @@
         pack(std::move(pack_function)),
         serial_(serial) {}
 
-  Kind kind;
+  Kind kind;  ///< what the record is about
   /// The job of a block, empty for a machine. A block is written only while the record of
   /// its job exists.
   std::string job;
-  PackFunction pack;
+  PackFunction pack;  ///< called whenever the record is written or carried along
   /// Number of the newest version, increased by every change.
   std::uint64_t version = 0;
   /// Number of the newest version that is known to be in the state store. The command `run`
--- a/src/state/gang.hpp
+++ b/src/state/gang.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The state of a gang: a job whose tasks all run at the same time or not at all.
 ///
 /// All tasks of a gang share one state. The state belongs to the gang's current attempt, which
@@ -40,6 +40,7 @@
 /// The state of a gang's current attempt, kept by the leader for each job that is a gang. Only
 /// GangCoordinator and stop_gang change it.
 struct Gang {
+  /// The states; the transitions between them are listed at the top of this file.
   enum class State : std::uint8_t {
     waiting,   ///< no task is on a machine
     claiming,  ///< places are kept for some or all tasks; no assignment is recorded
@@ -50,7 +51,7 @@
     done,      ///< all tasks are completed
   };
 
-  State state = State::waiting;
+  State state = State::waiting;  ///< the present state
   /// When the gang entered that state.
   double since = -std::numeric_limits<double>::infinity();
   /// Attempt number of the current attempt, or of the last one while the gang is waiting.
--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Group commit: writes the leader's changed records to the ledger log, many in one
 /// transaction.
 ///
@@ -39,9 +39,12 @@
 /// controller's event loop.
 class GroupCommit {
  public:
+  /// The bookkeeping of a block or machine.
   using Record = CommitRecord;
+  /// The final state of a job that is to be written.
   using Finalization = state::Finalization;
 
+  /// What the group commit tells its owner. All handlers must be set.
   struct Events {
     /// The final state of the job is stored. Its block records no longer exist.
     std::function<void(const std::string& job)> finished;
--- a/src/state/log_slots.hpp
+++ b/src/state/log_slots.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// What this leader knows of the slots of the ledger log.
 ///
 /// The log is a set of keys in the state store, the slots. The value of a slot holds entries:
@@ -21,14 +21,16 @@
 /// For each slot its modification revision and its live entries. Used on the event loop only.
 class LogSlots {
  public:
-  using LiveRecords = std::map<std::uint64_t, CommitRecord*>;  ///< by serial number
+  /// Records by their serial number.
+  using LiveRecords = std::map<std::uint64_t, CommitRecord*>;
+  /// What is known of one slot.
   struct Slot {
     std::uint64_t mod_revision = 0;  ///< 0 while the slot's key does not exist
     /// Estimated size of the live entries as JSON, in bytes. It decides only which slot is
     /// overwritten next. It is not exact: set_live_json_bytes() counts the present size of the
     /// entries that are carried along, while remove() subtracts the size noted by place().
     std::size_t live_json_bytes = 0;
-    LiveRecords live;
+    LiveRecords live;  ///< records whose newest stored version is in this slot
   };
 
   /// Starts from the slots that the state store holds; their records are added by place().
@@ -42,11 +44,12 @@
   /// log is small. Slots in `taken` are written by the same transaction and not chosen.
   [[nodiscard]] std::uint32_t choose(const std::set<std::uint32_t>& taken,
                                      std::size_t max_live_json_bytes) const;
-  /// A null pointer for a slot that was never written.
+  /// What is known of the slot, or a null pointer for a slot that was never written.
   [[nodiscard]] const Slot* find(std::uint32_t slot) const;
   /// The modification revision that a transaction which overwrites the slot must name as its
   /// precondition; 0 for a slot that does not exist.
   [[nodiscard]] std::uint64_t mod_revision(std::uint32_t slot) const;
+  /// Notes the modification revision of the slot's key. 0: the key does not exist.
   void set_mod_revision(std::uint32_t slot, std::uint64_t mod_revision);
   /// Corrects the estimate for an existing slot.
   void set_live_json_bytes(std::uint32_t slot, std::size_t json_bytes);
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -1,5 +1,6 @@
 /// @file
 /// Machines, as the leader knows them from their workers' heartbeats, the records and the cloud.
+/// Used on the controller's event loop only; times are seconds of its steady clock.
 #pragma once
 
 #include <algorithm>
@@ -19,85 +20,147 @@
 
 /// One attempt of a task, as a worker names it.
 struct TaskAttempt {
-  std::string job;
-  std::uint32_t index = 0;
-  std::uint64_t attempt = 0;
+  std::string job;            ///< identifier of the job
+  std::uint32_t index = 0;    ///< index of the task within the job
+  std::uint64_t attempt = 0;  ///< attempt number of the task
 };
 
+/// A machine that the leader knows of. Created by Model::machine(), destroyed by
+/// Model::remove_machine().
 struct Machine {
-  std::string id;
-  std::string addr;
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  sched::Amount capacity;
-  std::uint64_t epoch = 0;
-  std::uint64_t sequence = 0;
-  /// A heartbeat that carried the token of its latest fence was received: what it
-  /// lists is exact, what it does not list is not there.
+  // --- identity; set by Model ---
+
+  std::string id;          ///< identifier that the cloud gave the machine
+  std::string addr;        ///< address of its worker; empty if not known yet
+  std::string type;        ///< name of its machine type; empty if not known yet
+  std::string zone;        ///< zone in which it is
+  bool spot = false;       ///< the cloud may take it back at any time
+  sched::Amount capacity;  ///< resources of its type; zero until the type is known
+
+  // --- worker's status; set by reconcile::HeartbeatReader unless said otherwise ---
+
+  std::uint64_t epoch = 0;     ///< epoch of the newest heartbeat
+  std::uint64_t sequence = 0;  ///< sequence of the newest heartbeat within that epoch
+  /// The newest heartbeat carried the token of the machine's latest fence. So a task that it does
+  /// not list is not on the machine (rule 3). reconcile::Fencing and reconcile::LeaseExpiry reset
+  /// this.
   bool synchronized = false;
-  /// Was so once in this term: its epoch is known, and a later one ends all
-  /// that was ordered in this.
+  /// The machine was synchronized at some time in this term, so that `epoch` can be relied on: a
+  /// heartbeat of a later epoch shows that everything commanded in an earlier one is over (rule 3).
   bool epoch_known = false;
-  /// Raised whenever commands may be under way that nobody can tell of; makes
-  /// them void as soon as the machine has seen it.
+
+  // --- commands; set by dispatch::CommandDispatcher unless said otherwise ---
+
+  /// Counter that is part of the machine's fencing token. reconcile::Fencing raises it when it is
+  /// not known whether commands have reached the machine. They are void as soon as the machine has
+  /// seen the higher token (rule 3).
   std::uint32_t fence = 0;
-  bool rpc_in_flight = false;        ///< direct commands are in flight
-  double rpc_completed_at = kNever;  ///< when the last answer to some came
-  bool reply_carried_commands =
-      false;  ///< the last answer carried commands that the next heartbeat will show
-  double rpc_backoff_until = kNever;  ///< no direct commands before
-  /// Since when it has shown no effect of what it was told.
+  bool rpc_in_flight = false;        ///< a command RPC to the machine has no outcome yet
+  double rpc_completed_at = kNever;  ///< when the outcome of the last command RPC was known
+  /// The reply to the last heartbeat carried commands to run or stop tasks. Nothing more is sent
+  /// until the next heartbeat, which shows their effect (rule 2).
+  bool reply_carried_commands = false;
+  double rpc_backoff_until = kNever;  ///< no command RPC is sent before this time
+  /// Since when the machine has shown no effect of what it was told. kNever if no effect is
+  /// outstanding. reconcile::Responsiveness changes it too.
   double unacknowledged_since = kNever;
+  /// The worker sends heartbeats, but they show no effect of commands. Set by
+  /// reconcile::Responsiveness.
   bool unresponsive = false;
-  bool heard = false;  ///< any heartbeat in this term
-  double last_heartbeat =
-      kNever;  ///< of its own accord: a machine that can't reach us shows nothing else
-  double last_contact = kNever;  ///< that, or a reply to direct commands
-  double last_reply = kNever;    ///< when a heartbeat was last answered with 200
-  /// Until then a former leader may have kept its lease alive.
+
+  // --- leases: times of contact, and what rule 6 asks of a silent machine ---
+  // reconcile::HeartbeatReader sets what is heard from the machine, dispatch::CommandDispatcher
+  // sets `last_reply`, and reconcile::LeaseExpiry sets the rest unless said otherwise.
+
+  bool heard = false;  ///< a heartbeat was received from the machine in this term
+  /// When the worker last sent a heartbeat on its own. Replies to command RPCs do not count, except
+  /// as the first contact in a term, because they also come from machines that reach no controller.
+  double last_heartbeat = kNever;
+  double last_contact = kNever;  ///< when a heartbeat or a reply to a command RPC last arrived
+  double last_reply = kNever;    ///< when this leader last answered a heartbeat with 200
+  /// A lease that a former leader renewed may last until this time. Set by
+  /// reconcile::restore_from_records() after a takeover.
   double inherited_until = kNever;
-  /// A zone delegate may be answering it.
+  /// A zone delegate of the machine's zone is recorded, and may answer the machine's heartbeats.
   bool delegated = false;
+  /// The latest time at which a recorded zone delegate is known to have been allowed to answer.
   double delegated_at = kNever;
-  /// Recorded as such; its tasks are gone once that is written.
+  /// The record of the machine says, or will say with the next commit, that the machine is retired,
+  /// so that no zone delegate may answer it.
   bool retired = false;
-  /// When that was first seen to be written.
+  /// When the mirror was first seen to have passed the revision at which the retirement was
+  /// written, which is R of rule 6.
   double retired_at = kNever;
+  /// When the cloud takes the machine back, if a heartbeat has brought an interruption notice.
   std::optional<double> interruption_at;
-  TaskSet tasks;
-  sched::Amount used;            ///< by `tasks`, planned ones included
-  sched::Amount unrecorded_use;  ///< by reported tasks that are not there by our will
-  /// The same for each team's use of them.
+
+  // --- tasks and room; set by Model unless said otherwise ---
+
+  TaskSet tasks;       ///< tasks that are planned for the machine or may be on it
+  sched::Amount used;  ///< resources that `tasks` take
+  /// Resources that unrecorded tasks take, as far as their jobs are known (rule 7).
+  sched::Amount unrecorded_use;
+  /// For each task that `unrecorded_use` counts: its team's usage in the model, and the amount that
+  /// the task adds to it. Model::clear_unrecorded() subtracts these amounts again.
   std::vector<std::pair<sched::Amount*, sched::Amount>> unrecorded_team_use;
-  bool has_unknown_jobs = false;  ///< it shows tasks unknown to us
+  /// The newest heartbeat lists a task that has not ended, of a job that the leader does not know.
+  /// Set by reconcile::HeartbeatReader.
+  bool has_unknown_jobs = false;
+  /// Attempts that have ended according to the newest heartbeat. They remain to be cleared at the
+  /// worker (rule 4). Set by reconcile::HeartbeatReader.
   std::vector<TaskAttempt> exited;
-  std::vector<TaskAttempt> unrecorded_tasks;  ///< running tasks that are not there by our will
-  std::deque<std::uint32_t> images;           ///< believed to be cached, latest last
-  bool dirty = false;                         ///< the planner has to look at it again
+  /// Attempts that the newest heartbeat lists as not ended although the records do not place them
+  /// on this machine. Set by reconcile::HeartbeatReader.
+  std::vector<TaskAttempt> unrecorded_tasks;
+  /// Images that are assumed to be cached on the machine, by Job::image, the one that was last
+  /// assigned at the end.
+  std::deque<std::uint32_t> images;
+  bool dirty = false;  ///< the machine is among those that Model::take_dirty() returns next
+
+  // --- fleet and health; set by the autoscaler unless said otherwise ---
+
+  /// Identifiers of jobs of which tasks failed on the machine, except for jobs that were held to
+  /// blame themselves. Set by reconcile::TaskFailures.
   std::set<std::string> failed_jobs;
+  /// The machine gets no new tasks, because tasks of several jobs failed on it. Set by
+  /// reconcile::TaskFailures.
   bool quarantined = false;
-  bool terminating = false;
-  bool listed = false;  ///< in the last whole machine list
-  bool reported_failed = false;
-  double idle_since = kNever;
+  bool terminating = false;      ///< the machine is to be returned to the cloud
+  bool listed = false;           ///< it is in the last complete machine list of the cloud
+  bool reported_failed = false;  ///< the cloud listed it as failed; it never comes back (rule 6)
+  double idle_since = kNever;    ///< since when it has had no tasks; kNever while it has some
+  /// When the cloud provisioned the machine. kNever if that is not known.
   double provisioned_at = kNever;
+
+  // --- record; set by Model ---
+
+  /// Commit record by which group commit writes the machine; null until Model::record_machine() or
+  /// Model::restore_record(). Owned by GroupCommit.
   GroupCommit::Record* record = nullptr;
+
+  /// Whether the state store holds a record of the machine.
   [[nodiscard]] bool recorded() const { return record != nullptr && record->revision != 0; }
+  /// Resources that no task takes. Planned and unrecorded tasks count as taking theirs (rule 7).
   [[nodiscard]] sched::Amount room() const { return capacity - used - unrecorded_use; }
+  /// Whether the image, given as Job::image, is assumed to be cached on the machine.
   [[nodiscard]] bool caches(std::uint32_t image) const {
     return std::find(images.begin(), images.end(), image) != images.end();
   }
-  /// Seconds since anybody heard of it. The end of a zone delegate's time counts:
-  /// the machine needs a moment to find its leader again.
+  /// Seconds for which the machine has been silent. It is 0 while a zone delegate may answer the
+  /// machine, and counts from the end of the delegation at the earliest, because the machine then
+  /// needs some time to find the leader again.
   [[nodiscard]] double quiet(double now) const {
     return delegated ? 0 : now - std::max(last_heartbeat, delegated_at);
   }
 };
 
+/// Orders machines by their identifiers. They are never ordered by address, for the same reason as
+/// in TaskOrder.
 struct MachineOrder {
+  /// Whether the first machine's identifier sorts before the second's.
   bool operator()(const Machine* a, const Machine* b) const { return a->id < b->id; }
 };
+/// A set of machines, ordered by their identifiers.
 using MachineSet = std::set<Machine*, MachineOrder>;
 
 }  // namespace elmstall::state
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -123,7 +123,8 @@
   store::BlockRecord record;
   record.done = block.done;
   for (const auto& task : block.tasks) {
-    // An attempt number must never be used twice, so it outlives its machine.
+    // Rule 1: an attempt number must never be used twice, so it is recorded also while the task is
+    // on no machine.
     if (task.is_done() || task.attempt() == 0) continue;
     record.tasks.push_back({task.index, task.attempt(),
                             task.may_be_on_machine() ? task.machine()->id : std::string()});
@@ -175,7 +176,7 @@
     return;
   }
   least_gang_need_ = job.need;
-  // No machine was looked at with so small a need in mind.
+  // So far machines were not checked for room for a need as small as this one.
   for (auto& [id, machine] : machines_) mark_dirty(*machine);
 }
 
@@ -187,7 +188,7 @@
   };
   take(least.cpus, job.need.cpus);
   take(least.memory_gb, job.need.memory_gb);
-  // Not every task needs one of these.
+  // For GPUs 0 is a need like any other, because many tasks take none.
   least.gpus = jobs_.empty() ? job.need.gpus : std::min(least.gpus, job.need.gpus);
 }
 
@@ -200,7 +201,8 @@
     smallest = smallest ? sched::smaller(*smallest, job->need) : job->need;
   }
   least_need_ = least.value_or(sched::Amount{});
-  // The last one known is kept: the next gang is most likely like it.
+  // When there is no gang any more, the last value is kept, because the next gang is most likely
+  // similar.
   if (least_of_gangs) least_gang_need_ = least_of_gangs;
 }
 
@@ -220,7 +222,7 @@
 
 void Model::describe(Machine& machine, const std::string& type, const std::string& zone, bool spot,
                      const std::string& addr) const {
-  // What stands there counts for the zone that the machine had: it never moves.
+  // Tasks on the machine were counted for its present zone, and a machine never changes its zone.
   if (machine.tasks.empty() || machine.zone.empty()) machine.zone = zone;
   machine.type = type;
   machine.spot = spot;
@@ -291,7 +293,7 @@
 
 void Model::restore(Task& task, Machine& machine, std::uint64_t attempt) {
   attach(task, machine);
-  task.enter(TaskPhase::dispatched);  // by the former leader, as far as we know
+  task.enter(TaskPhase::dispatched);  // the former leader may have sent `run`
   task.attempt_ = attempt;
   task.job->begun = true;
 }
@@ -311,7 +313,7 @@
   finalizable_.insert(task.job);
   mark_dirty(task);
   if (std::all_of(block.done.begin(), block.done.end(), [](bool done) { return done; })) {
-    // The record needs only the bits from here on.
+    // From now on only the done bits of the block are recorded.
     block.tasks.clear();
     block.tasks.shrink_to_fit();
   }
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -20,115 +20,183 @@
 
 namespace elmstall::state {
 
-/// Jobs, machines and what they take, with every change of a task's place in
-/// one spot, so that usage, zones and records always agree with it.
+/// The jobs and machines of one leader in one term, and the resources that tasks take. Every change
+/// of the machine of a task is made by a function of this class, so that the usage of machines,
+/// teams and zones and the commit records always agree with it (rule 7). Only group commit writes
+/// anything: the functions here at most mark records as dirty.
 class Model {
  public:
+  /// Creates an empty model. Both arguments must outlive it.
   Model(const config::Settings& settings, GroupCommit& group_commit)
       : settings_(settings),
         group_commit_(group_commit),
         max_started_tasks_(store::max_started_tasks(settings.state_limits().value_kb)) {}
 
+  // --- jobs ---
+
+  /// Adds a job whose record exists. `submitted` is the time of the submission by this controller's
+  /// steady clock. None of its blocks is brought into memory.
   Job& add_job(const std::string& id, const store::JobRecord& record, double submitted);
+  /// Forgets a job whose final state is stored. Has no effect if the job is not known.
   void remove_job(const std::string& id);
+  /// The job with this identifier, or null.
   [[nodiscard]] Job* job(const std::string& id);
+  /// The job of a task, or null if the job has been removed.
   [[nodiscard]] Job* job_of(sched::TaskId id);
+  /// The job with this Job::serial, or null if the job has been removed.
   [[nodiscard]] Job* job_by_serial(std::uint64_t serial);
+  /// The settings of the platform.
   [[nodiscard]] const config::Settings& settings() const { return settings_; }
+  /// The task with this Task::id. Null if its job has been removed, or if all tasks of its block
+  /// are completed. Brings the block into memory if necessary.
   [[nodiscard]] Task* task(sched::TaskId id);
-  /// The task, its block brought into memory if need be.
+  /// The task with this index in the job. Null if the job has no such task, or if all tasks of its
+  /// block are completed. Brings the block into memory if necessary.
   [[nodiscard]] Task* task(Job& job, std::uint32_t index);
+  /// Returns the block with this number of the job, and brings it into memory if it is not there
+  /// yet. `stored` is the block as the mirror has it, or null if the block was never recorded. Done
+  /// bits and attempt numbers are taken from it; assignments are taken over by restore().
   Block& load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored);
 
+  // --- machines ---
+
+  /// The machine with this identifier, which is created if it is not known yet.
   Machine& machine(const std::string& id);
+  /// The machine with this identifier, or null.
   [[nodiscard]] Machine* find_machine(const std::string& id);
+  /// Forgets a machine whose deletion the cloud has confirmed, and has its removal recorded. Its
+  /// tasks must have been taken off before. Has no effect if the machine is not known.
   void remove_machine(const std::string& id);
-  /// Deleted in this term: what still arrives from it is late.
+  /// Whether the machine was removed by this leader. Heartbeats and entries of the cloud's machine
+  /// list that still name it are out of date.
   [[nodiscard]] bool terminated(const std::string& id) const { return terminated_.contains(id); }
-  /// Capacity and name of the type, once both are known.
+  /// Takes the machine types that the cloud offers, and sets the capacity of the machines of these
+  /// types.
   void set_machine_types(std::vector<wire::MachineType> machine_types);
+  /// The machine type with this name, or null.
   [[nodiscard]] const wire::MachineType* machine_type(const std::string& type) const;
+  /// Sets what heartbeats, the cloud or the records say of a machine. Its zone is kept while it has
+  /// tasks, and its address is kept if `addr` is empty.
   void describe(Machine& machine, const std::string& type, const std::string& zone, bool spot,
                 const std::string& addr) const;
 
+  // --- placement of tasks; see TaskPhase ---
+
+  /// Keeps room on the machine for a pending task. Nothing is recorded.
   void plan(Task& task, Machine& machine);
+  /// Gives up the room that is kept for a planned task, which is pending afterwards.
   void unplan(Task& task);
-  /// Records machine and a new attempt; `run` may be sent once that is written.
+  /// Assigns a pending or planned task to the machine under a new attempt number and has this
+  /// recorded. `run` may be sent once Task::required_version() is written (rule 1).
   void assign(Task& task, Machine& machine);
-  /// The same with an attempt that the gang's other tasks share.
+  /// Does the same under the given attempt number, which the other tasks of a gang share. It must
+  /// be higher than any number that the task has had.
   void assign(Task& task, Machine& machine, std::uint64_t attempt);
-  /// The task is certainly on no machine any more.
+  /// Makes a task pending that certainly is on no machine any more: it was never sent there (rule
+  /// 1), a synchronized machine does not list it (rule 3), it has exited, or its machine is gone
+  /// (rule 6). The task keeps its attempt number.
   void unassign(Task& task);
+  /// Notes that the task is completed and has this recorded. If it was the last one of its block,
+  /// all Task objects of the block are destroyed.
   void complete(Task& task);
-  /// A reported task of the job that is not there by our will: it takes room
-  /// and counts for its team all the same.
+  /// Counts an unrecorded task of the job on the machine, which takes room there and counts for its
+  /// team like any other (rule 7).
   void add_unrecorded(Machine& machine, const Job& job);
+  /// Ends the effect of all calls of add_unrecorded() for the machine.
   static void clear_unrecorded(Machine& machine);
-  /// Forgets what the last heartbeat listed beside the tasks that are recorded there.
+  /// Forgets what the last heartbeat listed apart from recorded tasks that run: exited attempts,
+  /// unrecorded tasks and tasks of unknown jobs.
   static void clear_heartbeat_content(Machine& machine);
-  /// Has the machine recorded, of which the records know nothing yet.
+  /// Has a machine recorded that has no record yet.
   void record_machine(Machine& machine);
-  /// Links the machine with its entry in the records.
+  /// Gives the machine a commit record for the entry that the ledger log has of it.
   void restore_record(Machine& machine, const store::Mirror::Machine& stored);
-  /// Takes over an assignment found in the records.
+  /// Takes over an assignment that the records contain. The task must be pending. Because the
+  /// former leader may have sent `run`, the task is in phase `dispatched` afterwards.
   void restore(Task& task, Machine& machine, std::uint64_t attempt);
 
+  // --- totals ---
+
+  /// Resources that the tasks of the team take: planned ones, those that may be on machines, and
+  /// unrecorded ones (rule 7).
   [[nodiscard]] const sched::Amount& usage(const std::string& team) const;
+  /// All jobs that are not finalized, by their identifiers.
   [[nodiscard]] std::map<std::string, std::unique_ptr<Job>>& jobs() { return jobs_; }
+  /// All known machines, by their identifiers.
   [[nodiscard]] std::map<std::string, std::unique_ptr<Machine>>& machines() { return machines_; }
+  /// The machine types that the cloud offers; empty until they are known.
   [[nodiscard]] const std::vector<wire::MachineType>& machine_types() const {
     return machine_types_;
   }
 
-  // What has changed, so that nobody has to walk through everything.
-  /// Jobs that may have tasks which wait and act as an unrecorded delegate no list.
+  // --- what has changed, so that no decision has to walk through all jobs and machines ---
+
+  /// Jobs that may have pending tasks that are in no queue. placement::JobQueues and
+  /// placement::DirectPlacement remove a job once it needs nothing more from them.
   [[nodiscard]] JobSet& open() { return open_; }
-  /// Jobs of which a task has ended or gone.
+  /// Jobs that may be over, because one of their tasks was completed or has left its machine, or
+  /// because they are new or cancelled. reconcile::JobLifecycle takes them out.
   [[nodiscard]] JobSet& finalizable() { return finalizable_; }
-  /// Machines that may have commands to be given.
+  /// Machines for which there may be commands to send. dispatch::CommandDispatcher takes them out.
   [[nodiscard]] MachineSet& attention() { return attention_; }
+  /// All planned tasks.
   [[nodiscard]] const TaskSet& planned() const { return planned_; }
-  /// Machines whose room, tasks or state have changed, in order.
+  /// Returns the machines whose room, tasks or status have changed since the last call, ordered by
+  /// their identifiers.
   [[nodiscard]] std::vector<Machine*> take_dirty();
+  /// Makes the machine one of those that take_dirty() returns next.
   void mark_dirty(Machine& machine);
-  /// Least that any task takes, in each dimension: a machine with less room
-  /// than this has none.
+  /// The least that a task of any job except gangs takes, for each resource separately. A machine
+  /// with less room than this has no room for any of them.
   [[nodiscard]] const sched::Amount& least_need() const { return least_need_; }
-  /// The same for gangs, whose tasks may be far smaller; nothing while there
-  /// has been none.
+  /// The same for gangs, which are kept apart because their tasks may be much smaller. Empty until
+  /// there is the first gang.
   [[nodiscard]] const std::optional<sched::Amount>& least_gang_need() const {
     return least_gang_need_;
   }
+  /// Computes both least needs anew from the jobs that are not cancelled. Between these calls they
+  /// only fall, as jobs are added.
   void refresh_least_need();
-  /// Tasks of this priority that are or may be on machines.
+  /// Number of tasks of this priority that are planned for a machine or may be on one.
   [[nodiscard]] std::size_t on_machines(wire::Priority priority) const {
     return on_machines_[static_cast<std::size_t>(priority)];
   }
 
-  /// Whether the job may run on this machine's type, kind and zone at all.
+  // --- rules of placement ---
+
+  /// Whether the job may run on machines of this type, kind (spot or ordinary) and zone at all.
   [[nodiscard]] static bool allowed_kind(const Job& job, const Machine& machine);
-  /// Whether the record of the task's block has room for one more that is started.
+  /// Whether the record of the task's block stays within the largest value of the state store when
+  /// the task is started. Only a certain number of tasks of a block can have an attempt at a time.
   [[nodiscard]] bool recordable(const Task& task) const;
-  /// Rules of placement, given everything that may be on machines now.
+  /// Whether one more task of the job may be on this machine, by allowed_kind() and, given where
+  /// its other tasks may be (rule 7), by the rules for `together` and `spread`. Room is not
+  /// considered.
   [[nodiscard]] static bool allowed(const Job& job, const Machine& machine);
+  /// Whether the quota of the job's team permits one more task of the job (rule 7). False if the
+  /// team is not known.
   [[nodiscard]] static bool within_quota(const Job& job);
 
  private:
+  /// Counts the task as being on the machine in all totals.
   void attach(Task& task, Machine& machine);
+  /// Undoes attach().
   void detach(Task& task);
+  /// Has the block of the task recorded anew.
   void mark_dirty(Task& task);
+  /// Lowers the least need to that of the job where that is smaller.
   void include_need(const Job& job);
   void include_gang_need(const Job& job);
   [[nodiscard]] static store::BlockRecord record_of(const Block& block);
 
   const config::Settings& settings_;
   GroupCommit& group_commit_;
-  std::uint32_t max_started_tasks_;  ///< of one block
+  std::uint32_t max_started_tasks_;  ///< tasks of one block that can have an attempt at a time
   std::vector<wire::MachineType> machine_types_;
   std::uint64_t next_serial_ = 1;
   std::map<std::string, std::unique_ptr<Job>> jobs_;
   std::unordered_map<std::uint64_t, Job*> by_serial_;
-  std::unordered_map<std::string, std::uint32_t> image_numbers_;
+  std::unordered_map<std::string, std::uint32_t> image_numbers_;  ///< by the image's name
   JobSet open_;
   JobSet finalizable_;
   TaskSet planned_;
@@ -138,8 +206,8 @@
   std::optional<sched::Amount> least_gang_need_;
   std::array<std::size_t, 4> on_machines_{};  ///< by priority
   std::map<std::string, std::unique_ptr<Machine>> machines_;
-  std::map<std::string, sched::Amount> usage_;
-  std::set<std::string> terminated_;
+  std::map<std::string, sched::Amount> usage_;  ///< by team
+  std::set<std::string> terminated_;            ///< identifiers of removed machines
 };
 
 }  // namespace elmstall::state
--- a/src/state/record_table.hpp
+++ b/src/state/record_table.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The table of all commit records of a leader, and the queue of those that must be written.
 #pragma once
 
@@ -28,6 +28,7 @@
   void leave_queue(CommitRecord& record);
   /// Destroys the record.
   void erase(CommitRecord& record);
+  /// The records that must be written.
   [[nodiscard]] const DirtyQueue& dirty() const { return dirty_; }
 
  private:
--- a/src/state/task.cpp
+++ b/src/state/task.cpp
@@ -11,8 +11,8 @@
 bool may_follow(TaskPhase from, TaskPhase to) {
   switch (from) {
     case TaskPhase::pending:
-      // `dispatched`: an assignment that a former leader recorded. `done`: completed before, or
-      // with the other tasks of its gang.
+      // `dispatched` follows for an assignment that a former leader recorded. `done` follows for a
+      // task that the records show as completed, or that is completed with the rest of its gang.
       return to == TaskPhase::planned || to == TaskPhase::assigned || to == TaskPhase::dispatched ||
              to == TaskPhase::done;
     case TaskPhase::planned:
@@ -75,7 +75,7 @@
 
 void Task::mark_listed() {
   in_last_heartbeat_ = true;
-  mark_run_sent();  // if not by this leader, then by a former one
+  mark_run_sent();  // a former leader may have sent it
 }
 
 void Task::observe(wire::TaskState state, double now) {
--- a/src/state/task.hpp
+++ b/src/state/task.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// One task of a job, as the leader knows it: where it stands, on which machine and under which
-/// attempt. The phase changes by checked transitions only, and `Model` makes those that change the
-/// task's machine, so that usage, zones and records always agree with it.
+/// One task of a job, as the leader knows it: its phase, its machine and its attempt number. The
+/// phase changes by checked transitions only. Model makes all transitions that change the machine
+/// of the task, so that usage, zones and records always agree with it. Used on the controller's
+/// event loop only; times are seconds of its steady clock.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +14,15 @@
 
 namespace elmstall::state {
 
-/// Stands for a moment before all others: something has not happened yet. Steady clock, seconds.
+/// A time before all others, in seconds of the steady clock. It means that something has not
+/// happened yet.
 inline constexpr double kNever = -std::numeric_limits<double>::infinity();
 
 struct Block;
 struct Job;
 struct Machine;
 
-/// Where a task stands. From `assigned` to `stopping` it may be on its machine.
+/// The phase of a task. From `assigned` to `stopping` it may be on its machine.
 enum class TaskPhase : std::uint8_t {
   pending,     ///< on no machine
   planned,     ///< room is kept for it on a machine, nothing is recorded yet
@@ -30,85 +32,99 @@
   done,        ///< completed
 };
 
-/// Whether a task may go from the one phase to the other.
+/// Whether a task may change from the one phase to the other.
 [[nodiscard]] bool may_follow(TaskPhase from, TaskPhase to);
-/// Name of the phase, for the log.
+/// The name of the phase, for log lines.
 [[nodiscard]] const char* to_text(TaskPhase phase);
 
+/// A task of a block that is in memory. It is destroyed once all tasks of its block are completed.
 class Task {
  public:
+  /// Creates a pending task that was never started. `unique_id` must be unique in this leadership.
   Task(Job& owner, Block& part, std::uint32_t index_in_job, sched::TaskId unique_id)
       : job(&owner), block(&part), index(index_in_job), id(unique_id) {}
 
-  Job* const job;
-  Block* const block;
-  const std::uint32_t index;  ///< within the job
+  Job* const job;             ///< the job of the task
+  Block* const block;         ///< the block that contains the task
+  const std::uint32_t index;  ///< index of the task within the job
   const sched::TaskId id;     ///< unique in this leadership
 
+  /// The present phase.
   [[nodiscard]] TaskPhase phase() const { return phase_; }
+  /// Whether the task is on no machine and none is planned for it.
   [[nodiscard]] bool is_pending() const { return phase_ == TaskPhase::pending; }
+  /// Whether room is kept for the task and nothing is recorded yet.
   [[nodiscard]] bool is_planned() const { return phase_ == TaskPhase::planned; }
+  /// Whether the task is to be stopped on its machine.
   [[nodiscard]] bool is_stopping() const { return phase_ == TaskPhase::stopping; }
+  /// Whether the task is completed.
   [[nodiscard]] bool is_done() const { return phase_ == TaskPhase::done; }
-  /// Machine and attempt are recorded or about to be: it counts as being there.
+  /// Whether an assignment to a machine is recorded or about to be. The task then counts as being
+  /// on that machine (rule 7).
   [[nodiscard]] bool may_be_on_machine() const {
     return phase_ == TaskPhase::assigned || run_sent();
   }
-  /// `run` may have reached the machine.
+  /// Whether `run` may have reached the machine.
   [[nodiscard]] bool run_sent() const {
     return phase_ == TaskPhase::dispatched || phase_ == TaskPhase::stopping;
   }
-  /// The machine it is planned for or may be on; null otherwise.
+  /// The machine that the task is planned for or may be on, or null.
   [[nodiscard]] Machine* machine() const { return machine_; }
-  /// Distinguishes one start from another; 0 before the first. Never used twice.
+  /// Attempt number of the last start, 0 before the first. A number is never used twice (rule 1).
   [[nodiscard]] std::uint64_t attempt() const { return attempt_; }
-  /// Version of the block's record that must be written before `run` is sent (docs/design.md,
-  /// rule 1).
+  /// Version of the block's commit record that must be written before `run` is sent (rule 1).
   [[nodiscard]] std::uint64_t required_version() const { return required_version_; }
 
-  /// `run` is sent to the machine, perhaps again.
+  /// Notes that `run` is sent to the machine, for the first time or again.
   void mark_run_sent();
-  /// The task is to be stopped. `grace_period_s`: seconds to write a checkpoint; 0 ends it at once.
+  /// Notes that the task is to be stopped. `grace_period_s` is the time in seconds that it has to
+  /// save a checkpoint; 0 ends it at once.
   void begin_stop(double grace_period_s);
-  /// A checkpoint that may be written while it stops is of no use any more.
+  /// Ends the grace period, because a checkpoint is of no use any more.
   void withdraw_grace_period() { grace_period_s_ = 0; }
+  /// Seconds that the task has to save a checkpoint when it is stopped.
   [[nodiscard]] double grace_period_s() const { return grace_period_s_; }
-  /// When a stop with a grace period was last sent.
+  /// When a stop with a grace period was last sent; kNever if none was.
   [[nodiscard]] double stop_sent_at() const { return stop_sent_at_; }
-  /// A stop with a grace period is sent.
+  /// Notes that a stop with a grace period is sent.
   void mark_stop_sent(double now) { stop_sent_at_ = now; }
 
-  /// A new heartbeat of the machine is about to be read.
+  /// Must be called for each task of a machine before a new heartbeat of the machine is read.
   void begin_heartbeat() { in_last_heartbeat_ = false; }
-  /// The heartbeat lists the task under its present attempt.
+  /// Notes that the heartbeat lists the task under its present attempt.
   void mark_listed();
-  /// The heartbeat says this of the task, which has not ended.
+  /// Notes the state that the heartbeat gives for the task, which has not ended.
   void observe(wire::TaskState state, double now);
+  /// Whether the last heartbeat of the machine lists the task under its present attempt.
   [[nodiscard]] bool in_last_heartbeat() const { return in_last_heartbeat_; }
-  /// What the worker last said of it; `fetching` until then.
+  /// The state that the worker last reported for the task; `fetching` until it reports one.
   [[nodiscard]] wire::TaskState reported_state() const { return reported_state_; }
-  /// When it was first seen to run under this attempt.
+  /// When the task was first seen to run under this attempt; kNever if it was not.
   [[nodiscard]] double running_since() const { return running_since_; }
+  /// Whether the task was seen to run under this attempt.
   [[nodiscard]] bool has_run() const { return running_since_ != kNever; }
 
-  /// It is not started again before this moment, or one that was set earlier and is later.
+  /// Prevents a start of the task before this time. A later time that was set before remains in
+  /// force.
   void postpone(double until);
-  /// It failed on its machine and is not started again before this moment.
+  /// Notes that the task failed on its machine, and prevents a start before this time.
   void mark_failed(double retry_at);
+  /// The task must not be started before this time.
   [[nodiscard]] double not_before() const { return not_before_; }
-  /// How often it has failed.
+  /// How often the task has failed in this term.
   [[nodiscard]] int failures() const { return failures_; }
 
-  /// Whether it is in a queue of the groups.
+  /// Whether the task is in the queue of a sched::Group.
   [[nodiscard]] bool queued() const { return queued_; }
+  /// Notes whether the task is in such a queue. Only placement::JobQueues calls this.
   void set_queued(bool queued) { queued_ = queued; }
 
  private:
   friend class Model;
 
-  /// Changes the phase. A change that may not be is logged as an error.
+  /// Changes the phase. A change that may_follow() does not permit is made, but logged as an error.
   void enter(TaskPhase to);
-  /// Forgets what holds for one machine and attempt only.
+  /// Resets what is true only for one machine and attempt.
   void leave_machine();
 
   TaskPhase phase_ = TaskPhase::pending;
@@ -125,10 +141,13 @@
   bool queued_ = false;
 };
 
-/// Orders tasks by their numbers, never by address: two runs of one history must decide alike.
+/// Orders tasks by their identifiers. They are never ordered by address, because two runs of the
+/// same history must make the same decisions.
 struct TaskOrder {
+  /// Whether the first task's identifier is lower than the second's.
   bool operator()(const Task* a, const Task* b) const { return a->id < b->id; }
 };
+/// A set of tasks, ordered by their identifiers.
 using TaskSet = std::set<Task*, TaskOrder>;
 
 }  // namespace elmstall::state
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Builds one transaction of the leader's group commit.
 #pragma once
 
@@ -22,8 +22,8 @@
 /// The final state of a job. It is written in the transaction that also removes the record of
 /// the job (rule 8).
 struct Finalization {
-  std::string job;
-  store::FinalRecord record;
+  std::string job;                    ///< identifier of the job
+  store::FinalRecord record;          ///< the final state
   std::vector<CommitRecord*> blocks;  ///< of the job; dropped once the final state is written
 };
 /// The finalizations that are not written yet, by job.
@@ -34,13 +34,13 @@
   /// One version of a record, as the value holds it. The record may have changed again, or be
   /// gone, by the time the value is stored.
   struct Entry {
-    std::uint64_t serial = 0;
-    std::uint64_t version = 0;
-    std::size_t json_bytes = 0;
+    std::uint64_t serial = 0;    ///< CommitRecord::serial() of the record
+    std::uint64_t version = 0;   ///< CommitRecord::version at the time of packing
+    std::size_t json_bytes = 0;  ///< size of the entry as JSON
   };
-  std::uint32_t slot = 0;
-  std::uint64_t number = 0;  ///< unique, see LogSlots::take_value_number()
-  std::size_t json_bytes = 0;
+  std::uint32_t slot = 0;             ///< number of the slot that is overwritten
+  std::uint64_t number = 0;           ///< unique, see LogSlots::take_value_number()
+  std::size_t json_bytes = 0;         ///< size of all entries as JSON
   std::vector<std::string> blocks;    ///< packed entries
   std::vector<std::string> machines;  ///< packed entries
   std::vector<Entry> entries;         ///< what `blocks` and `machines` hold
@@ -48,11 +48,11 @@
 
 /// A transaction, with what must be noted once its outcome is known.
 struct PendingCommit {
-  wire::Transaction transaction;
-  std::vector<SlotValue> values;  ///< those that the transaction writes
-  std::vector<std::string> finalized_jobs;
-  std::size_t json_bytes = 0;  ///< estimated size of the transaction
-  double sent_at = 0;          ///< seconds, by the clock of the event loop
+  wire::Transaction transaction;            ///< preconditions and writes
+  std::vector<SlotValue> values;            ///< values of the log that the transaction writes
+  std::vector<std::string> finalized_jobs;  ///< jobs whose final state it writes
+  std::size_t json_bytes = 0;               ///< estimated size of the transaction
+  double sent_at = 0;                       ///< seconds, by the clock of the event loop
 };
 
 /// Packs finalizations and dirty records into a transaction that keeps to the limits.
@@ -65,6 +65,8 @@
 /// in this order and without waiting in between. Used on the event loop only.
 class TransactionBuilder {
  public:
+  /// Begins a transaction with the precondition that the term's key still has `term_revision`. All
+  /// references must outlive the builder.
   TransactionBuilder(const CommitLimits& limits, const store::Mirror& mirror,
                      const RecordTable& records, LogSlots& slots, Finalizations& finalizations,
                      std::uint64_t term_revision);
