--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -42,8 +42,8 @@
 // --- answers -----------------------------------------------------------------
 
 void UserApi::reply_status(const CallPtr& call, int http_status, const wire::JobStatus& status,
-                           TaskCounts counts) {
-  call->respond({http_status, wire::encode_status(status, counts == TaskCounts::included), 0});
+                           wire::TaskCounts counts) {
+  call->respond({http_status, wire::encode_status(status, counts), 0});
 }
 
 void UserApi::reply_error(const CallPtr& call, int http_status, std::string_view text) {
@@ -56,7 +56,7 @@
 
 void UserApi::reply_unavailable(const CallPtr& call) { call->respond({503, {}, k::kRetryAfter}); }
 
-void UserApi::reply_if_known(const CallPtr& call, TaskCounts counts,
+void UserApi::reply_if_known(const CallPtr& call, wire::TaskCounts counts,
                              std::function<void()> otherwise) {
   // A final state never changes, so no read index is needed to answer with it.
   if (mirror_.final_state(call->id))
@@ -70,7 +70,7 @@
                       });
 }
 
-void UserApi::reply_if_final(const CallPtr& call, TaskCounts counts,
+void UserApi::reply_if_final(const CallPtr& call, wire::TaskCounts counts,
                              std::function<void()> otherwise) {
   // The mirror remembers a limited number of final states, and none of those that were written
   // before this controller started. The state service has all of them.
@@ -91,7 +91,7 @@
   if (!call) return;
   call->id = id;
   if (!wire::valid_job_id(id)) return reply_no_such_job(call);
-  reply_if_known(call, TaskCounts::included, [call] { reply_no_such_job(call); });
+  reply_if_known(call, wire::TaskCounts::included, [call] { reply_no_such_job(call); });
 }
 
 // --- submissions -------------------------------------------------------------
@@ -101,7 +101,7 @@
   if (!call) return;
   if (const auto error = decode_submission(body, *call)) return reply_malformed(call, *error);
   if (in_mirror(call->id)) {
-    return reply_if_known(call, TaskCounts::omitted, [call] { reply_unavailable(call); });
+    return reply_if_known(call, wire::TaskCounts::omitted, [call] { reply_unavailable(call); });
   }
   if (!admission_.machine_types_known()) return reply_unavailable(call);
   if (const auto reason = admission_.check(call->spec, loop_.wall()))
@@ -125,18 +125,18 @@
 
 void UserApi::reply_malformed(const CallPtr& call, const wire::DecodeError& error) {
   if (call->id.empty()) return reply_error(call, 400, error.what());
-  reply_if_known(call, TaskCounts::omitted,
+  reply_if_known(call, wire::TaskCounts::omitted,
                  [call, error] { reply_error(call, 400, error.what()); });
 }
 
 void UserApi::reply_rejected(const CallPtr& call, RejectionReason reason) {
   // An id that was accepted before keeps its answer, whatever is submitted under it now.
-  reply_if_known(call, TaskCounts::omitted,
+  reply_if_known(call, wire::TaskCounts::omitted,
                  [call, reason] { reply_error(call, 422, to_text(reason)); });
 }
 
 void UserApi::reply_created(const CallPtr& call) {
-  reply_status(call, 201, {call->id, wire::JobState::queued, 0, 0}, TaskCounts::omitted);
+  reply_status(call, 201, {call->id, wire::JobState::queued, 0, 0}, wire::TaskCounts::omitted);
 }
 
 void UserApi::create_job(const CallPtr& call) {
@@ -157,7 +157,7 @@
     case Outcome::ok:
       return reply_created(call);
     case Outcome::conflict:
-      return reply_if_known(call, TaskCounts::omitted, [call] { reply_unavailable(call); });
+      return reply_if_known(call, wire::TaskCounts::omitted, [call] { reply_unavailable(call); });
     case Outcome::unavailable:
       return retry_before_deadline(call, [this, call] { create_job(call); });
     case Outcome::unknown:
@@ -190,7 +190,7 @@
   const auto* job = mirror_.job(call->id);
   if (job == nullptr) return cancel_after_read_index(call);
   if (job->record.cancelled)
-    return reply_status(call, 200, mirror_.status(call->id), TaskCounts::omitted);
+    return reply_status(call, 200, mirror_.status(call->id), wire::TaskCounts::omitted);
   record_cancellation(call, *job);
 }
 
@@ -199,7 +199,7 @@
   read_index_.request(call->deadline - loop_.now(), [this, call](bool current) {
     if (!current && !mirror_.final_state(call->id)) return reply_unavailable(call);
     if (mirror_.job(call->id) != nullptr) return cancel_live_job(call);
-    reply_if_known(call, TaskCounts::omitted, [call] { reply_no_such_job(call); });
+    reply_if_known(call, wire::TaskCounts::omitted, [call] { reply_no_such_job(call); });
   });
 }
 
@@ -219,7 +219,7 @@
   if (result.outcome == Outcome::ok) {
     cancelled_(call->id);
     return reply_status(call, 200, {call->id, wire::JobState::cancelled, 0, 0},
-                        TaskCounts::omitted);
+                        wire::TaskCounts::omitted);
   }
   if (result.outcome == Outcome::unavailable)
     return retry_before_deadline(call, [this, call] { cancel_live_job(call); });
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -67,8 +67,6 @@
     std::string id;       ///< of the job
   };
   using CallPtr = std::shared_ptr<Call>;
-  /// Whether an answer contains the job's numbers of tasks beside its state.
-  enum class TaskCounts : std::uint8_t { omitted, included };
 
   // Every request.
   /// Counts the request against the concurrency limit. Returns nullptr when the request is shed,
@@ -79,16 +77,18 @@
 
   // Answers.
   static void reply_status(const CallPtr& call, int http_status, const wire::JobStatus& status,
-                           TaskCounts counts);
+                           wire::TaskCounts counts);
   static void reply_error(const CallPtr& call, int http_status, std::string_view text);
   static void reply_no_such_job(const CallPtr& call);
   /// 503: the request could not be decided in time, the user should try again.
   static void reply_unavailable(const CallPtr& call);
   /// Answers with the job's state if there is such a job, else calls `otherwise`.
-  void reply_if_known(const CallPtr& call, TaskCounts counts, std::function<void()> otherwise);
+  void reply_if_known(const CallPtr& call, wire::TaskCounts counts,
+                      std::function<void()> otherwise);
   /// Does the same for a job that is not among the live ones: reads its final record from the state
   /// service, and answers with it if there is one, else calls `otherwise`.
-  void reply_if_final(const CallPtr& call, TaskCounts counts, std::function<void()> otherwise);
+  void reply_if_final(const CallPtr& call, wire::TaskCounts counts,
+                      std::function<void()> otherwise);
 
   // Submissions.
   /// Reads the submission into the call. Returns the error of a malformed one, whose id is set
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -9,7 +9,6 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "sched/resources.hpp"
@@ -25,6 +24,12 @@
   std::uint64_t attempt = 0;  ///< attempt number of the task
 };
 
+/// What unrecorded tasks on a machine take of one team's limit.
+struct TeamUse {
+  sched::Amount* total;  ///< the team's use, to which `amount` was added
+  sched::Amount amount;  ///< to be taken off it when the tasks are gone
+};
+
 /// A machine that the leader knows of. Created by Model::machine(), destroyed by
 /// Model::remove_machine().
 struct Machine {
@@ -102,7 +107,7 @@
   sched::Amount unrecorded_use;
   /// For each task that `unrecorded_use` counts: its team's usage in the model, and the amount that
   /// the task adds to it. Model::clear_unrecorded() subtracts these amounts again.
-  std::vector<std::pair<sched::Amount*, sched::Amount>> unrecorded_team_use;
+  std::vector<TeamUse> unrecorded_team_use;
   /// The newest heartbeat lists a task that has not ended, of a job that the leader does not know.
   /// Set by reconcile::HeartbeatReader.
   bool has_unknown_jobs = false;
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -323,11 +323,11 @@
   machine.unrecorded_use += job.need;
   auto& usage = usage_[job.spec.team];
   usage += job.need;
-  machine.unrecorded_team_use.emplace_back(&usage, job.need);
+  machine.unrecorded_team_use.push_back({&usage, job.need});
 }
 
 void Model::clear_unrecorded(Machine& machine) {
-  for (const auto& [usage, need] : machine.unrecorded_team_use) *usage -= need;
+  for (const auto& use : machine.unrecorded_team_use) *use.total -= use.amount;
   machine.unrecorded_team_use.clear();
   machine.unrecorded_use = {};
 }
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -117,7 +117,8 @@
 
 std::string_view to_text(JobState state) { return name_of(kJobStates, state); }
 
-std::string encode_status(const JobStatus& status, bool with_counts) {
+std::string encode_status(const JobStatus& status, TaskCounts counts) {
+  const bool with_counts = counts == TaskCounts::included;
   Packer packer;
   packer.map(with_counts ? 4 : 2);
   packer.key("uid").text(status.id);
--- a/src/wire/jobs.hpp
+++ b/src/wire/jobs.hpp
@@ -75,8 +75,13 @@
 };
 /// The protocol's word for the state.
 [[nodiscard]] std::string_view to_text(JobState state);
-/// Writes the answer to a user. `with_counts` adds the numbers of tasks.
-[[nodiscard]] std::string encode_status(const JobStatus& status, bool with_counts);
+/// Whether the answer to a user tells the numbers of tasks.
+enum class TaskCounts : std::uint8_t {
+  omitted,   ///< identifier and state only
+  included,  ///< with the numbers of completed and running tasks
+};
+/// Writes the answer to a user.
+[[nodiscard]] std::string encode_status(const JobStatus& status, TaskCounts counts);
 /// Reads such an answer. Numbers that it lacks become 0.
 [[nodiscard]] JobStatus decode_status(const Object& object);
 
