--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -153,9 +153,9 @@
   for (const auto& [number, block] : job.blocks) {
     // The model empties a block's list of tasks when the last of them completes, which ends the
     // loop. So the tasks are reached by their position and the size is read each time.
-    auto& tasks = block->tasks;
-    for (std::size_t i = 0; i < tasks.size(); ++i) {
-      auto& task = tasks[i];
+    std::size_t position = 0;
+    while (position < block->tasks.size()) {
+      auto& task = block->tasks[position++];
       if (task.is_planned()) model_.unplan(task);
       if (!task.is_done()) model_.complete(task);
     }
