--- a/src/api/concurrency_limit.hpp
+++ b/src/api/concurrency_limit.hpp
@@ -21,7 +21,7 @@
   static constexpr double kNotMeasured = -1;
 
   /// `maximum`: requests in progress that the limit never exceeds.
-  explicit ConcurrencyLimit(double maximum = constants::kLimitMax) : maximum_(maximum) {}
+  explicit ConcurrencyLimit(double maximum = constants::kMaxRequestLimit) : maximum_(maximum) {}
 
   /// Counts a request as in progress. False when the limit is reached: the request is shed.
   [[nodiscard]] bool try_enter() {
@@ -38,18 +38,19 @@
   void leave(double seconds) {
     --in_progress_;
     if (seconds < 0) return;
-    seconds = std::max(seconds, constants::kLimitFloor);
+    seconds = std::max(seconds, constants::kMinMeasuredRequestTime);
     // The best time grows a little with each measurement, so that it follows changes of the
     // requests' own cost over hours.
-    best_s_ = best_s_ <= 0 ? seconds : std::min(best_s_ * constants::kLimitForget, seconds);
-    recent_s_ =
-        recent_s_ <= 0 ? seconds : recent_s_ + constants::kLearnRate * (seconds - recent_s_);
+    best_s_ = best_s_ <= 0 ? seconds : std::min(best_s_ * constants::kShortestTimeGrowth, seconds);
+    recent_s_ = recent_s_ <= 0
+                    ? seconds
+                    : recent_s_ + constants::kMovingAverageWeight * (seconds - recent_s_);
     const double gradient =
-        std::clamp(constants::kLimitTolerance * best_s_ / recent_s_, kGradientMin, 1.0);
+        std::clamp(constants::kOverloadTimeRatio * best_s_ / recent_s_, kGradientMin, 1.0);
     // The square root lets the limit grow as long as the gradient does not push it down.
     const double wanted = limit_ * gradient + std::sqrt(limit_);
-    limit_ += constants::kLearnRate * (wanted - limit_);
-    limit_ = std::clamp(limit_, constants::kLimitMin, maximum_);
+    limit_ += constants::kMovingAverageWeight * (wanted - limit_);
+    limit_ = std::clamp(limit_, constants::kMinRequestLimit, maximum_);
   }
 
   /// Requests that may be in progress at once, at present. Fractions count as nothing.
@@ -65,7 +66,7 @@
   static constexpr double kGradientMin = 0.5;
 
   double maximum_;
-  double limit_ = constants::kLimitStart;
+  double limit_ = constants::kInitialRequestLimit;
   double best_s_ = 0;    ///< the best time of a request, seconds; 0: none measured yet
   double recent_s_ = 0;  ///< the moving average of recent times, seconds; 0: none measured yet
   int in_progress_ = 0;
--- a/src/api/status_responder.cpp
+++ b/src/api/status_responder.cpp
@@ -24,29 +24,30 @@
 net::Response StatusResponder::respond(int http_status, const ConfirmedStatus& confirmed,
                                        wire::TaskCounts counts, double asked_at) {
   const auto& status = confirmed.status();
-  const auto* told = told_.find(status.id);
-  if (told != nullptr && told->status.state != status.state) {
-    if (asked_at > told->at) return withhold(*told, confirmed);
+  const auto* reported = reported_states_.find(status.id);
+  if (reported != nullptr && reported->status.state != status.state) {
+    if (asked_at > reported->at) return withhold(*reported, confirmed);
     ++counts_.superseded;
     spdlog::debug("answer superseded: job={} told={} now={} path={} revision={}", status.id,
-                  wire::to_text(told->status.state), wire::to_text(status.state),
+                  wire::to_text(reported->status.state), wire::to_text(status.state),
                   to_text(confirmed.source()), confirmed.revision());
-    return {kOk, wire::encode_status(told->status, counts), 0};
+    return {kOk, wire::encode_status(reported->status, counts), 0};
   }
   ++counts_.by_source[static_cast<std::size_t>(confirmed.source())];
-  if (is_final(status.state)) told_.remember(status.id, {status, loop_.now()});
+  if (is_final(status.state)) reported_states_.insert(status.id, {status, loop_.now()});
   spdlog::debug("answer: job={} state={} path={} http={} revision={} mirror_revision={} term={}",
                 status.id, wire::to_text(status.state), to_text(confirmed.source()), http_status,
                 confirmed.revision(), mirror_.revision(), mirror_.term());
   return {http_status, wire::encode_status(status, counts), 0};
 }
 
-net::Response StatusResponder::withhold(const Told& told, const ConfirmedStatus& confirmed) {
+net::Response StatusResponder::withhold(const ReportedState& reported,
+                                        const ConfirmedStatus& confirmed) {
   ++counts_.withheld;
   const auto& status = confirmed.status();
   spdlog::error(
       "answer withheld: job={} told={} now={} path={} revision={} mirror_revision={} term={}",
-      status.id, wire::to_text(told.status.state), wire::to_text(status.state),
+      status.id, wire::to_text(reported.status.state), wire::to_text(status.state),
       to_text(confirmed.source()), confirmed.revision(), mirror_.revision(), mirror_.term());
   return {kServiceUnavailable, {}, constants::kRetryAfter};
 }
--- a/src/api/status_responder.hpp
+++ b/src/api/status_responder.hpp
@@ -48,22 +48,23 @@
   /// How many answers were made.
   [[nodiscard]] const AnswerCounts& counts() const { return counts_; }
   /// Number of jobs whose final state, as it was told, is remembered.
-  [[nodiscard]] std::size_t remembered() const { return told_.size(); }
+  [[nodiscard]] std::size_t reported_jobs() const { return reported_states_.size(); }
   /// Logs the counts if they have changed since the last call.
   void log_counts();
 
  private:
   /// A final state that was told.
-  struct Told {
+  struct ReportedState {
     wire::JobStatus status;
     double at = 0;  ///< seconds, by the event loop's steady clock
   };
 
-  [[nodiscard]] net::Response withhold(const Told& told, const ConfirmedStatus& confirmed);
+  [[nodiscard]] net::Response withhold(const ReportedState& reported,
+                                       const ConfirmedStatus& confirmed);
 
   const runtime::EventLoop& loop_;
   const store::Mirror& mirror_;
-  store::RecentJobs<Told> told_{constants::kToldStatesKept};
+  store::RecentJobs<ReportedState> reported_states_{constants::kReportedStatesKept};
   AnswerCounts counts_;
   std::uint64_t logged_ = 0;  ///< number of answers when the counts were last logged
 };
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -20,7 +20,7 @@
 
 // --- every request -----------------------------------------------------------
 
-UserApi::CallPtr UserApi::admit(net::Responder respond, double patience_s) {
+UserApi::CallPtr UserApi::admit(net::Responder respond, double timeout_s) {
   if (!limit_.try_enter()) {
     respond({503, {}, k::kRetryAfter});
     return nullptr;
@@ -28,7 +28,7 @@
   const double now = loop_.now();
   auto call = std::make_shared<Call>();
   call->asked_at = now;
-  call->deadline = now + patience_s;
+  call->deadline = now + timeout_s;
   call->respond = [this, now, respond = std::move(respond)](net::Response response) {
     // A 503 is caused by trouble of the state service, so its time does not show this controller's
     // load.
@@ -79,9 +79,9 @@
       });
 }
 
-bool UserApi::remember_final(const std::string& id, const std::string& packed) {
+bool UserApi::cache_final_record(const std::string& id, const std::string& packed) {
   try {
-    mirror_.remember_final(id, store::decode_final(packed));
+    mirror_.cache_final_state(id, store::decode_final(packed));
     return true;
   } catch (const wire::DecodeError& error) {
     spdlog::error("the final record of job {} can't be read: {}", id, error.what());
@@ -93,15 +93,16 @@
                              std::function<void()> otherwise) {
   // The mirror remembers a limited number of final states, and none of those that were written
   // before this controller started. The state service has all of them.
-  store_.get(store::final_key(call->id),
-             scope_.wrap([this, call, counts,
-                          otherwise = std::move(otherwise)](const store::GetResult& result) {
-               if (result.outcome == Outcome::missing) return otherwise();
-               if (result.outcome != Outcome::ok || !remember_final(call->id, result.entry.value))
-                 return reply_unavailable(call);
-               const auto status = ConfirmedStatus::of_final_record(mirror_, call->id);
-               reply_status(call, kOk, status.value(), counts);
-             }));
+  store_.get(
+      store::final_key(call->id),
+      scope_.wrap(
+          [this, call, counts, otherwise = std::move(otherwise)](const store::GetResult& result) {
+            if (result.outcome == Outcome::missing) return otherwise();
+            if (result.outcome != Outcome::ok || !cache_final_record(call->id, result.entry.value))
+              return reply_unavailable(call);
+            const auto status = ConfirmedStatus::of_final_record(mirror_, call->id);
+            reply_status(call, kOk, status.value(), counts);
+          }));
 }
 
 // --- polls -------------------------------------------------------------------
@@ -233,7 +234,7 @@
 
 void UserApi::on_cancel_result(const CallPtr& call, const store::CommitResult& result) {
   if (const auto commit = AppliedCommit::of(result)) {
-    cancelled_(call->id);
+    on_cancelled_(call->id);
     return reply_status(call, kOk, ConfirmedStatus::cancelled(*commit, call->id),
                         wire::TaskCounts::omitted);
   }
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -28,17 +28,17 @@
 /// Runs on the controller's event loop. Every request is answered exactly once.
 class UserApi {
  public:
-  /// `cancelled` is called for each cancellation that this controller has recorded, before the
+  /// `on_cancelled` is called for each cancellation that this controller has recorded, before the
   /// user is answered (rule 8).
   UserApi(const config::Settings& settings, runtime::EventLoop& event_loop,
           runtime::CommandQueue& queue, store::StateStore& store, store::Mirror& mirror,
-          election::ReadIndex& read_index, std::function<void(const std::string& job)> cancelled)
+          election::ReadIndex& read_index, std::function<void(const std::string& job)> on_cancelled)
       : settings_(settings),
         loop_(event_loop),
         store_(store),
         mirror_(mirror),
         read_index_(read_index),
-        cancelled_(std::move(cancelled)),
+        on_cancelled_(std::move(on_cancelled)),
         scope_(queue),
         admission_(settings),
         limit_(settings.tuning.requests_max),
@@ -78,7 +78,7 @@
   // Every request.
   /// Counts the request against the concurrency limit. Returns nullptr when the request is shed,
   /// which has then been answered.
-  CallPtr admit(net::Responder respond, double patience_s);
+  CallPtr admit(net::Responder respond, double timeout_s);
   /// Calls `again` after a pause, or answers with 503 if the deadline does not allow that.
   void retry_before_deadline(const CallPtr& call, std::function<void()> again);
 
@@ -99,7 +99,7 @@
 
   /// Adds a final record that was read from the state service to the mirror. False if it can't be
   /// decoded.
-  [[nodiscard]] bool remember_final(const std::string& id, const std::string& packed);
+  [[nodiscard]] bool cache_final_record(const std::string& id, const std::string& packed);
 
   // Submissions.
   /// Reads the submission into the call. Returns the error of a malformed one, whose id is set
@@ -128,7 +128,7 @@
   store::StateStore& store_;
   store::Mirror& mirror_;
   election::ReadIndex& read_index_;
-  std::function<void(const std::string& job)> cancelled_;
+  std::function<void(const std::string& job)> on_cancelled_;
   runtime::CommandScope scope_;
   Admission admission_;
   ConcurrencyLimit limit_;
--- a/src/app/controller_process.cpp
+++ b/src/app/controller_process.cpp
@@ -34,7 +34,7 @@
 net::ServerLimits server_limits(const config::Settings& settings) {
   const double inbound = settings.fd_limit * constants::kInboundSocketShare;
   return {static_cast<std::size_t>(inbound), constants::kMaxBodyBytes,
-          static_cast<std::size_t>(inbound * constants::kCrowdedShare)};
+          static_cast<std::size_t>(inbound * constants::kWorkerKeepAliveShare)};
 }
 
 }  // namespace
--- a/src/autoscaler/demand_estimator.cpp
+++ b/src/autoscaler/demand_estimator.cpp
@@ -15,7 +15,8 @@
     : settings_(settings), model_(model), estimates_(estimates), term_start_(term_start) {}
 
 sched::Demand DemandEstimator::estimate(const wire::MachineType& machine_type, double now) {
-  auto& arrivals = arrivals_.try_emplace(machine_type.name, k::kArrivalMemory, now).first->second;
+  auto& arrivals =
+      arrivals_.try_emplace(machine_type.name, k::kArrivalRateWindow, now).first->second;
   sched::Demand demand;
   TeamDemand team_demand;
   double machines_ending = 0;
@@ -37,7 +38,7 @@
   }
   newest_counted_serial_ = newest_serial;
   const double change = expected_change(machine_type, arrivals, machines_ending, now);
-  demand.flexible = std::max(0.0, demand.flexible + settings_.tuning.foresight * change);
+  demand.flexible = std::max(0.0, demand.flexible + settings_.tuning.forecast_share * change);
   demand.headroom =
       settings_.tuning.headroom_machines + settings_.tuning.headroom_share * demand.ordinary;
   return demand;
@@ -64,7 +65,7 @@
   // Jobs taken over from a former leader did not arrive just now, and right after a takeover users
   // catch up with submissions that were refused before. Neither shows the usual rate.
   return job.spec.spot && urgent(job, machine_type) && job.serial > newest_counted_serial_ &&
-         job.submitted > term_start_.at + k::kArrivalSettle;
+         job.submitted > term_start_.at + k::kArrivalIgnoredAfterTakeover;
 }
 
 bool DemandEstimator::urgent(const state::Job& job, const wire::MachineType& machine_type) const {
@@ -74,7 +75,7 @@
       machine_type.fetch_gb_per_s > 0 ? job.spec.image_gb / machine_type.fetch_gb_per_s : 0;
   const double run_s = estimates_.run_time(job.spec.job_class, job.spec.expect_s);
   const double slack_s = *objective_s - run_s - fetch_s;
-  return slack_s < k::kUrgentBoots * machine_type.ready_s;
+  return slack_s < k::kUrgentBootTimes * machine_type.ready_s;
 }
 
 double DemandEstimator::tasks_ending_soon(const state::Job& job, double within_s,
@@ -97,7 +98,8 @@
   // After a takeover the arrival rate is not known at first. Work that ends must then not be
   // subtracted either, because nothing would stand for the work that replaces it.
   const bool rate_known =
-      term_start_.first_term() || now > term_start_.at + k::kArrivalSettle + k::kArrivalLearn;
+      term_start_.first_term() ||
+      now > term_start_.at + k::kArrivalIgnoredAfterTakeover + k::kArrivalRateMinWindow;
   if (!rate_known) return 0;
   return arrivals.per_second(now) * machine_type.ready_s - machines_ending;
 }
--- a/src/autoscaler/health_review.cpp
+++ b/src/autoscaler/health_review.cpp
@@ -62,7 +62,7 @@
 }
 
 void HealthReview::review_heard(state::Machine& machine, Findings& findings, double now) {
-  const bool silent = machine.quiet(now) > settings_.silent_after_s();
+  const bool silent = machine.quiet(now) > settings_.heartbeat_timeout_s();
   if (machine.tasks.empty() && machine.quarantined) {
     terminations_.mark(machine);
   } else if (silent) {
@@ -79,11 +79,11 @@
 void HealthReview::review_booting(state::Machine& machine, double now) {
   const auto* machine_type = model_.machine_type(machine.type);
   if (machine_type == nullptr || !machine.tasks.empty()) return;
-  const double boot_timeout = k::kBootGiveUp * machine_type->ready_s;
+  const double boot_timeout = k::kBootTimeoutFactor * machine_type->ready_s;
   // A machine adopted from a former leader may have been up for long and may only not have found
   // this leader yet. It therefore also gets the length of a lease, counted from the takeover.
-  const double waiting_since =
-      std::max(machine.provisioned_at, takeover_at_ + settings_.lease_over_s() - boot_timeout);
+  const double waiting_since = std::max(
+      machine.provisioned_at, takeover_at_ + settings_.lease_expired_after_s() - boot_timeout);
   if (now - waiting_since <= boot_timeout) return;
   spdlog::info("machine {} did not come up, returning it", machine.id);
   terminations_.mark(machine);
@@ -91,14 +91,14 @@
 
 void HealthReview::terminate_unresponsive(const Findings& findings, double now) {
   if (likely_partition(findings.unresponsive.size(), findings.fleet.heard)) return;
-  const double patience = k::kUnresponsiveLeases * settings_.lease_over_s();
+  const double patience = k::kUnresponsiveLeases * settings_.lease_expired_after_s();
   for (auto* machine : findings.unresponsive) {
     if (now - machine->unacknowledged_since > patience) terminations_.mark(*machine);
   }
 }
 
 void HealthReview::terminate_silent(const Findings& findings, double now) {
-  const double lease = settings_.lease_over_s();
+  const double lease = settings_.lease_expired_after_s();
   const double unlisted_patience = kListLagFactor * settings_.list_lag_s + kListLagMargin;
   for (auto* machine : findings.silent) {
     const double silent_for = machine->quiet(now);
--- a/src/autoscaler/pool_survey.cpp
+++ b/src/autoscaler/pool_survey.cpp
@@ -53,7 +53,7 @@
   }
   for (const auto& [id, machine] : model.machines()) {
     if (machine->type == machine_type.name && takes_work(*machine))
-      count_machine(pools, *machine, settings.silent_after_s(), now);
+      count_machine(pools, *machine, settings.heartbeat_timeout_s(), now);
   }
   return pools;
 }
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -37,7 +37,8 @@
 double ScaleIn::idle_timeout_s(const wire::MachineType& machine_type) const {
   // In a large fleet random changes of demand even out, so idle machines are kept for less time.
   const double fleet_size = std::max<double>(1, static_cast<double>(model_.machines().size()));
-  const double scale = std::clamp(std::sqrt(k::kIdleFleet / fleet_size), k::kIdleScaleMin, 1.0);
+  const double scale =
+      std::clamp(std::sqrt(k::kIdleShareFleetSize / fleet_size), k::kIdleScaleMin, 1.0);
   return settings_.tuning.idle_share * scale * machine_type.ready_s;
 }
 
--- a/src/autoscaler/zone_planner.cpp
+++ b/src/autoscaler/zone_planner.cpp
@@ -60,7 +60,7 @@
   std::map<std::string, ZoneDemand> demand;
   for (const auto& [id, job] : model_.jobs()) {
     // A job that was submitted a moment ago may still find room on the machines that are there.
-    const bool just_submitted = now - job->submitted < k::kZonePatience;
+    const bool just_submitted = now - job->submitted < k::kZoneMaxWait;
     if (job->cancelled || job->failed_until > now || just_submitted) continue;
     const auto required = required_zones(*job, zones);
     if (required.empty()) continue;
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -46,7 +46,7 @@
 /// answer. There may be more workers than one controller has sockets, and a heartbeat occupies its
 /// socket for a few milliseconds only. The remaining sockets are for readiness checks, for users,
 /// and for many workers that connect at the same moment.
-inline constexpr double kCrowdedShare = 0.7;
+inline constexpr double kWorkerKeepAliveShare = 0.7;
 /// Share of the socket limit that connections to workers may use.
 inline constexpr double kWorkerSocketShare = 0.08;
 
@@ -66,22 +66,22 @@
 inline constexpr int kStatePage = 1000;
 /// Jobs. Number of final states that are remembered in memory; older ones are read from the state
 /// store when a user asks.
-inline constexpr std::size_t kFinalCache = 20'000;
+inline constexpr std::size_t kFinalStateCacheSize = 20'000;
 /// Jobs. Number of final states that a controller remembers having told, to withhold an answer that
 /// contradicts one. At some 150 bytes each they take less than 1 MB.
-inline constexpr std::size_t kToldStatesKept = 5'000;
+inline constexpr std::size_t kReportedStatesKept = 5'000;
 /// Seconds. How often the numbers of answers are logged.
-inline constexpr double kCountsInterval = 60;
+inline constexpr double kAnswerCountsLogInterval = 60;
 
 // --- store: sizes of records -------------------------------------------------------------------
 /// Share of a value that is filled with entries. The sizes of entries are estimated by upper
 /// bounds; the rest is for the frame around them.
-inline constexpr double kSlotFill = 0.95;
+inline constexpr double kValueFillFactor = 0.95;
 /// Bytes. Upper bound of what the numbers of a job's record take as JSON beyond their shortest
 /// form.
 inline constexpr std::size_t kJsonNumberSlack = 32;
 /// Bytes. Size of a block's record as JSON without its tasks.
-inline constexpr std::size_t kBlockFrameBytes = 80;
+inline constexpr std::size_t kBlockOverheadBytes = 80;
 /// Bytes. Size of one task in a block's record as JSON.
 inline constexpr std::size_t kTaskRecordBytes = 40;
 /// Tasks. Most tasks of one block. A change of one task writes its whole block.
@@ -113,13 +113,13 @@
 /// them too large.
 inline constexpr double kCommitScaleMin = 0.25;
 /// Transactions. Number of accepted ones after which a reduced share is doubled again.
-inline constexpr int kCommitScaleRegain = 200;
+inline constexpr int kCommitsBeforeScaleUp = 200;
 /// Share of a value of the ledger log that may still be valid when its slot is overwritten; valid
 /// entries are copied into the new value. With a third, copying is cheap, and the log has three
 /// times the size of the valid entries, which is what a takeover has to read.
-inline constexpr double kSlotCarry = 0.33;
+inline constexpr double kMaxLiveSlotShare = 0.33;
 /// Slots that the ledger log gets before the first one is overwritten.
-inline constexpr std::size_t kSlotsFirst = 8;
+inline constexpr std::size_t kInitialSlots = 8;
 
 // --- peer: connections between controllers -----------------------------------------------------
 /// Bytes. Largest message between controllers.
@@ -137,7 +137,7 @@
 /// late that arrives.
 inline constexpr double kLeaderLeaseMargin = 1.5;
 /// Ratio. Steady clocks run at rates that differ by at most 0.05%; doubled for safety.
-inline constexpr double kDrift = 0.001;
+inline constexpr double kMaxClockDrift = 0.001;
 /// Seconds. Added to every wait for the end of a lease, for timer steps.
 inline constexpr double kLeaseMargin = 0.5;
 /// Seconds. A worker ignores the answer to a heartbeat that arrives later than this.
@@ -165,7 +165,7 @@
 /// Seconds. Greatest age of the knowledge of cancellations with which the leader starts a task,
 /// unless no controller reaches the state store (rule 1). A read index is requested every second
 /// (`kProbeInterval`), and one or two of the answers may be slow.
-inline constexpr double kStartKnowledge = 4.0;
+inline constexpr double kTaskStartMaxRecordsAge = 4.0;
 /// Bits of a fencing token below the term. They count the fences of one machine.
 inline constexpr int kTokenFenceBits = 20;
 
@@ -177,13 +177,13 @@
 inline constexpr double kDelegationMargin = 0.5;
 /// Seconds. Greatest age of the knowledge of cancellations with which a zone delegate answers
 /// heartbeats.
-inline constexpr double kDelegationKnowledge = 5.0;
+inline constexpr double kDelegateMaxRecordsAge = 5.0;
 /// Seconds. A machine that returns within this time after it was turned away has found no other
 /// controller. Each of the few controllers that it tries costs it a time-out of 4 s and a pause of
 /// 1 s.
-inline constexpr double kTurnedAwayMemory = 40.0;
+inline constexpr double kRefusedHeartbeatRetention = 40.0;
 /// Seconds. A delegation ends once the leader has been heard again for this long.
-inline constexpr double kDelegationEnd = 1.5;
+inline constexpr double kDelegationEndDelay = 1.5;
 
 // --- controller: work of a node ----------------------------------------------------------------
 /// Seconds. Interval of a node's periodic work.
@@ -216,14 +216,14 @@
 /// Seconds. Interval of the heartbeats between controllers.
 inline constexpr double kPeerHeartbeatInterval = 0.8;
 /// Seconds. A controller that was not heard from for this long counts as unreachable.
-inline constexpr double kPeerSilence = 2.6;
+inline constexpr double kPeerTimeout = 2.6;
 /// Seconds. Interval at which forwarded heartbeats of workers and the answers to them are sent.
 /// Every packet costs a small machine more than the heartbeat in it, and a worker sends its
 /// heartbeats at least half a second apart.
 inline constexpr double kForwardInterval = 0.05;
 /// Seconds. A worker that returns within this time after it was redirected could not reach the
 /// leader. Its heartbeats are then forwarded to the leader.
-inline constexpr double kRedirectMemory = 12.0;
+inline constexpr double kRedirectRetention = 12.0;
 /// Seconds. Longest wait for the leader's answer to a forwarded heartbeat. The worker gives up
 /// after 4 s (`kHeartbeatReplyTimeout`).
 inline constexpr double kForwardTimeout = 3.4;
@@ -265,19 +265,19 @@
 /// Seconds. The time after which users are told to try again.
 inline constexpr int kRetryAfter = 1;
 /// Requests. Initial value of the self-adjusting limit of requests in progress.
-inline constexpr double kLimitStart = 64;
+inline constexpr double kInitialRequestLimit = 64;
 /// Requests. Smallest value of that limit.
-inline constexpr double kLimitMin = 8;
+inline constexpr double kMinRequestLimit = 8;
 /// Requests. Largest value of that limit.
-inline constexpr double kLimitMax = 400;
+inline constexpr double kMaxRequestLimit = 400;
 /// Seconds. Shorter times of requests are counted as this long, because differences below it do
 /// not indicate load.
-inline constexpr double kLimitFloor = 0.02;
+inline constexpr double kMinMeasuredRequestTime = 0.02;
 /// Ratio of a request's recent time to the shortest one. Up to this ratio there is no overload.
-inline constexpr double kLimitTolerance = 4.0;
+inline constexpr double kOverloadTimeRatio = 4.0;
 /// Ratio by which the remembered shortest time grows with every measurement, so that it is slowly
 /// forgotten.
-inline constexpr double kLimitForget = 1.002;
+inline constexpr double kShortestTimeGrowth = 1.002;
 
 // --- placement: queues of tasks ----------------------------------------------------------------
 /// Tasks. A list sends out its excess when its anticipated wait z exceeds the mean of its group by
@@ -286,20 +286,20 @@
 /// Seconds. Run time that is assumed for a job class while there is no estimate.
 inline constexpr double kDefaultTaskTime = 60.0;
 /// Weight of a new measurement in moving averages.
-inline constexpr double kLearnRate = 0.2;
+inline constexpr double kMovingAverageWeight = 0.2;
 /// Seconds. Interval at which the lists are sorted again, because deadlines come closer.
 inline constexpr double kReorderInterval = 1.0;
 /// Seconds. Completion objective that is assumed for work without one; such work is the last of
 /// its priority.
-inline constexpr double kNoAim = 1e6;
+inline constexpr double kDefaultCompletionObjective = 1e6;
 /// Weight with which a job's remaining work, in seconds of one task after the other, moves the job
 /// back in the lists. If there is not room for all jobs, then more of them meet their objective
 /// when the small ones go first.
-inline constexpr double kSmallFirst = 1.0;
+inline constexpr double kRemainingWorkWeight = 1.0;
 /// Seconds. A job that has waited this long without any start becomes the first of its priority,
 /// whatever its size. Users expect even the largest jobs to begin within four minutes, and
 /// machines may have to be rented and booted before.
-inline constexpr double kBeginWithin = 150.0;
+inline constexpr double kStarvationThreshold = 150.0;
 /// Seconds. Interval at which every machine is reviewed for what changes with time alone.
 inline constexpr double kReviewInterval = 1.0;
 /// Share of the objective. Work that can no longer meet its objective gets a later one, in steps of
@@ -333,7 +333,7 @@
 /// and the time after which it may keep places again.
 inline constexpr double kGangReserveMax = 60.0;
 /// Seconds. Machines for a gang are rented in one zone for this long before another zone is tried.
-inline constexpr double kGangZonePatience = 20.0;
+inline constexpr double kGangZoneTimeout = 20.0;
 /// Seconds. Pause of a gang's task that a machine refused.
 inline constexpr double kGangRefusedPause = 0.5;
 /// Seconds. A lost task of a gang is replaced only if the others will wait at least this much
@@ -361,7 +361,7 @@
 inline constexpr double kTerminationInterval = 1.0;
 /// Multiple of `ready_s`. A machine that has not come up after this time is given up. Boots
 /// usually take up to 1.5 times `ready_s`.
-inline constexpr double kBootGiveUp = 3.0;
+inline constexpr double kBootTimeoutFactor = 3.0;
 /// Leases. A machine that stays unresponsive for this long is terminated.
 inline constexpr double kUnresponsiveLeases = 3.0;
 /// Seconds. First pause after the cloud had no capacity; it doubles every time.
@@ -372,14 +372,14 @@
 // --- autoscaler: size of the fleet -------------------------------------------------------------
 /// Seconds. Work that is bound to a zone and has waited this long gets machines in that zone,
 /// however many are idle in other zones.
-inline constexpr double kZonePatience = 3.0;
+inline constexpr double kZoneMaxWait = 3.0;
 /// Seconds. Time over which the arrival rate of flexible work is measured.
-inline constexpr double kArrivalMemory = 90.0;
+inline constexpr double kArrivalRateWindow = 90.0;
 /// Seconds. Arrivals in this time after a takeover are not counted, because users then repeat what
 /// they could not submit before.
-inline constexpr double kArrivalSettle = 10.0;
+inline constexpr double kArrivalIgnoredAfterTakeover = 10.0;
 /// Seconds. The arrival rate is used only after arrivals were counted for this long.
-inline constexpr double kArrivalLearn = 15.0;
+inline constexpr double kArrivalRateMinWindow = 15.0;
 /// Machines. Fixed part of the room that is kept free for services, which must start sooner than a
 /// machine boots. `kHeadroomShare` adds to it.
 inline constexpr double kHeadroomMachines = 0.5;
@@ -388,9 +388,9 @@
 inline constexpr double kHeadroomShare = 0.1;
 /// Boot times. Machines are rented ahead of its arrival for work whose objective leaves less than
 /// this beyond its run time. Other work can wait for a machine.
-inline constexpr double kUrgentBoots = 1.5;
+inline constexpr double kUrgentBootTimes = 1.5;
 /// Share of the expected change of demand for which machines are rented in advance.
-inline constexpr double kForesight = 1.0;
+inline constexpr double kForecastShare = 1.0;
 /// Share of `ready_s` for which an idle machine is kept. A new machine would be paid for that long
 /// before it runs anything. According to measurements a shorter time delays starts and a longer
 /// one costs more money (docs/measurements.md).
@@ -398,7 +398,7 @@
 /// Machines. Size of the fleet up to which that share applies. Larger fleets keep idle machines
 /// for a shorter time, by the square root of their size, because random changes of demand weigh
 /// less in them.
-inline constexpr double kIdleFleet = 30;
+inline constexpr double kIdleShareFleetSize = 30;
 /// Smallest factor by which that time is shortened; a rental costs at least 60 s.
 inline constexpr double kIdleScaleMin = 0.45;
 
--- a/src/config/properties.cpp
+++ b/src/config/properties.cpp
@@ -74,7 +74,7 @@
   static const std::vector<Property> all{
       {"sched.threshold.tasks", "tasks", 0, 1000, &Tuning::threshold_tasks,
        "z above the group's mean before a list sends out its excess"},
-      {"sched.small.first", "share", 0, 100, &Tuning::small_first,
+      {"sched.small.first", "share", 0, 100, &Tuning::remaining_work_weight,
        "weight of a job's remaining work in the order of the lists"},
       {"fleet.idle.share", "share of ready_s", 0, 100, &Tuning::idle_share,
        "how long an idle machine is kept"},
@@ -82,9 +82,9 @@
        "ordinary room kept free"},
       {"fleet.headroom.share", "share", 0, 10, &Tuning::headroom_share,
        "more of it, by the ordinary work there is"},
-      {"fleet.foresight", "share", 0, 10, &Tuning::foresight,
+      {"fleet.foresight", "share", 0, 10, &Tuning::forecast_share,
        "how far the demand one boot ahead is acted upon"},
-      {"users.requests.max", "requests", constants::kLimitMin, 100000, &Tuning::requests_max,
+      {"users.requests.max", "requests", constants::kMinRequestLimit, 100000, &Tuning::requests_max,
        "upper bound of the self-adjusting limit"},
   };
   return all;
--- a/src/config/properties.hpp
+++ b/src/config/properties.hpp
@@ -18,9 +18,9 @@
   double idle_share = constants::kIdleShare;                ///< share of a machine's boot time
   double headroom_machines = constants::kHeadroomMachines;  ///< machines
   double headroom_share = constants::kHeadroomShare;        ///< share of the ordinary work
-  double foresight = constants::kForesight;                 ///< share of the expected change
-  double small_first = constants::kSmallFirst;              ///< weight
-  double requests_max = constants::kLimitMax;               ///< requests in progress
+  double forecast_share = constants::kForecastShare;        ///< share of the expected change
+  double remaining_work_weight = constants::kRemainingWorkWeight;  ///< weight
+  double requests_max = constants::kMaxRequestLimit;               ///< requests in progress
 };
 
 /// One key of the file: its name, the values it accepts, and the member it sets.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 // Bounds of the accepted values. They only exclude values with which the program could not work.
-constexpr double kMostAmount = 1e12;
-constexpr double kMostPerSecond = 1e9;
-constexpr double kMostValueKb = 1e6;
-constexpr double kMostTransactionWrites = 1e6;
+constexpr double kMaxAmount = 1e12;
+constexpr double kMaxPerSecond = 1e9;
+constexpr double kMaxValueKb = 1e6;
+constexpr double kMaxTransactionWrites = 1e6;
 /// The smallest limit that the program can work with. One transaction writes the final state of a
 /// job, removes the record of the job, and writes one value of the ledger log; one more is spare.
-constexpr double kLeastTransactionWrites = 4;
+constexpr double kMinTransactionWrites = 4;
 constexpr double kHourS = 3600;
 constexpr double kDayS = 86400;
 constexpr double kMillisecondsPerSecond = 1000;
@@ -79,7 +79,7 @@
 
   /// A number that is not negative, or 0 if the key is missing.
   [[nodiscard]] double optional_number(const std::string& key) const {
-    return number_or(key, 0, kMostAmount, 0);
+    return number_or(key, 0, kMaxAmount, 0);
   }
 
   /// A list of texts with at least one element.
@@ -125,11 +125,11 @@
 
 StateLimits read_state_limits(const Reader& reader) {
   StateLimits limits;
-  limits.rps = reader.number("deployment.state.rps", 1, kMostPerSecond);
-  limits.write_rps = reader.number("deployment.state.write_rps", 1, kMostPerSecond);
-  limits.value_kb = reader.number("deployment.state.value_kb", 1, kMostValueKb);
+  limits.rps = reader.number("deployment.state.rps", 1, kMaxPerSecond);
+  limits.write_rps = reader.number("deployment.state.write_rps", 1, kMaxPerSecond);
+  limits.value_kb = reader.number("deployment.state.value_kb", 1, kMaxValueKb);
   limits.transaction_writes_max = static_cast<int>(
-      reader.number("deployment.state.txn_ops", kLeastTransactionWrites, kMostTransactionWrites));
+      reader.number("deployment.state.txn_ops", kMinTransactionWrites, kMaxTransactionWrites));
   return limits;
 }
 
@@ -138,14 +138,14 @@
 std::optional<StateLimits> read_next_limits(const Reader& reader, const StateLimits& now) {
   if (!reader.has_table("deployment.state.next")) return std::nullopt;
   StateLimits limits;
-  limits.rps = reader.number_or("deployment.state.next.rps", 1, kMostPerSecond, now.rps);
+  limits.rps = reader.number_or("deployment.state.next.rps", 1, kMaxPerSecond, now.rps);
   limits.write_rps =
-      reader.number_or("deployment.state.next.write_rps", 1, kMostPerSecond, now.write_rps);
+      reader.number_or("deployment.state.next.write_rps", 1, kMaxPerSecond, now.write_rps);
   limits.value_kb =
-      reader.number_or("deployment.state.next.value_kb", 1, kMostValueKb, now.value_kb);
+      reader.number_or("deployment.state.next.value_kb", 1, kMaxValueKb, now.value_kb);
   limits.transaction_writes_max =
-      static_cast<int>(reader.number_or("deployment.state.next.txn_ops", kLeastTransactionWrites,
-                                        kMostTransactionWrites, now.transaction_writes_max));
+      static_cast<int>(reader.number_or("deployment.state.next.txn_ops", kMinTransactionWrites,
+                                        kMaxTransactionWrites, now.transaction_writes_max));
   return limits;
 }
 
@@ -228,16 +228,16 @@
 }
 
 double Settings::leader_lease_s() const {
-  constexpr double least_share = 0.1;  // of a worker's lease, if the settings leave no time
-  const double worker_lease_s = lease_s * (1 + constants::kDrift);
-  return std::max(lease_s * least_share, cancel_s - worker_lease_s - constants::kLeaderLeaseMargin);
+  constexpr double min_share = 0.1;  // of a worker's lease, if the settings leave no time
+  const double worker_lease_s = lease_s * (1 + constants::kMaxClockDrift);
+  return std::max(lease_s * min_share, cancel_s - worker_lease_s - constants::kLeaderLeaseMargin);
 }
 
-double Settings::lease_over_s() const {
-  return lease_s * (1 + constants::kDrift) + constants::kLeaseMargin;
+double Settings::lease_expired_after_s() const {
+  return lease_s * (1 + constants::kMaxClockDrift) + constants::kLeaseMargin;
 }
 
-double Settings::silent_after_s() const {
+double Settings::heartbeat_timeout_s() const {
   constexpr int missed_heartbeats = 3;
   return missed_heartbeats * heartbeat_interval_s + constants::kHeartbeatReplyTimeout;
 }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -93,9 +93,9 @@
   /// worker expires `lease_s` later.
   [[nodiscard]] double leader_lease_s() const;
   /// Seconds after which a worker's lease that was not renewed has certainly expired.
-  [[nodiscard]] double lease_over_s() const;
+  [[nodiscard]] double lease_expired_after_s() const;
   /// Seconds without a heartbeat after which a machine counts as silent.
-  [[nodiscard]] double silent_after_s() const;
+  [[nodiscard]] double heartbeat_timeout_s() const;
 };
 
 /// Reads the settings file; `tuning` keeps its defaults. Throws SettingsError if the file can't be
--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -30,7 +30,7 @@
   const double now = context_.event_loop.now();
   auto& last = redirects_[heartbeat.machine];
   // A worker that comes back so soon could not reach the node that it was sent to.
-  if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
+  if (!last.node.empty() && now - last.at < k::kRedirectRetention) return false;
   for (const auto& peer : context_.settings.peers) {
     if (peer.zone != heartbeat.zone || !context_.peers.heard(peer.name)) continue;
     last = {peer.name, now};
@@ -67,7 +67,7 @@
 void HeartbeatRouter::tick() {
   const double now = context_.event_loop.now();
   std::erase_if(redirects_,
-                [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
+                [&](const auto& entry) { return now - entry.second.at > k::kRedirectRetention; });
   // Heartbeats that waited for a delegation while no leader was heard.
   const bool leader_available =
       context_.leader() != nullptr || (leader_heard() && !context_.zone_delegate.active());
--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -171,9 +171,9 @@
   heartbeat.term = terms_.term();
   heartbeat.leader = terms_.leader();
   heartbeat.state_reachable = state_reachable(k::kUnreadyAfter);
-  heartbeat.leader_heard = leader_heard_told_;
+  heartbeat.leader_reachable = leader_heard_told_;
   heartbeat.revision = mirror_.loaded() ? mirror_.revision() : 0;
-  heartbeat.replied_ago_s = now - zone_delegate_.replied_at();
+  heartbeat.last_reply_age_s = now - zone_delegate_.replied_at();
   outbox_.broadcast(heartbeat);
 }
 
@@ -208,7 +208,7 @@
 election::Connectivity Node::connectivity() const {
   election::Connectivity connectivity;
   connectivity.leader_heard = leader_heard();
-  connectivity.state_reachable = state_reachable(k::kPeerSilence);
+  connectivity.state_reachable = state_reachable(k::kPeerTimeout);
   if (!connectivity.leader_heard && !connectivity.state_reachable)
     connectivity.cut_off_neighbour = peers_.neighbour_without_leader();
   return connectivity;
@@ -220,8 +220,8 @@
   if (const auto& lead = mirror_.lead()) learn_term(lead->term, lead->node);
   learn_term(mirror_.term(), terms_.leader());
   if (leader_) leader_->on_change(keys);
-  if (machine_types_.empty() && mirror_.types()) {
-    const auto document = wire::Document::parse(mirror_.types()->packed);
+  if (machine_types_.empty() && mirror_.machine_types()) {
+    const auto document = wire::Document::parse(mirror_.machine_types()->packed);
     use_machine_types(wire::decode_machine_types(document.root()));
   }
   read_index_.check();
@@ -286,7 +286,7 @@
   loop_.after(k::kTickInterval, scope_.wrap([this] { tick(); }));
   probe_state_store(now);
   if (now >= next_counts_) {
-    next_counts_ = now + k::kCountsInterval;
+    next_counts_ = now + k::kAnswerCountsLogInterval;
     user_api_.log_answer_counts();
   }
   heartbeat_router_.tick();
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -20,17 +20,17 @@
   auto& peer = peers_[heartbeat.node];
   peer.last_heartbeat = now;
   peer.state_reachable = heartbeat.state_reachable;
-  peer.leader_heard = heartbeat.leader_heard;
+  peer.leader_heard = heartbeat.leader_reachable;
   // The message may have been delayed. The peer's last reply was then earlier than the time
   // computed here by counting back from now, which is the safe direction (docs/design.md, rule 6).
   auto& read_state = peer.read_state;
-  const double replied_at = now - heartbeat.replied_ago_s * (1 - k::kDrift);
+  const double replied_at = now - heartbeat.last_reply_age_s * (1 - k::kMaxClockDrift);
   read_state.revision = std::max(read_state.revision, heartbeat.revision);
   read_state.replied_at = std::max(read_state.replied_at, replied_at);
 }
 
 bool PeerMonitor::is_recent(const Peer& peer) const {
-  return loop_.now() - peer.last_heartbeat < k::kPeerSilence;
+  return loop_.now() - peer.last_heartbeat < k::kPeerTimeout;
 }
 
 bool PeerMonitor::heard(const std::string& peer) const {
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -22,7 +22,7 @@
   /// Takes in a heartbeat of another controller.
   void on_heartbeat(const peer::Heartbeat& heartbeat);
 
-  /// Whether the peer was heard within the last `constants::kPeerSilence` seconds.
+  /// Whether the peer was heard within the last `constants::kPeerTimeout` seconds.
   [[nodiscard]] bool heard(const std::string& peer) const;
   /// Whether every peer is heard, and each says that it does not reach the state store.
   [[nodiscard]] bool all_without_state_store() const;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -40,7 +40,7 @@
     spdlog::error(
         "the state service holds records of an earlier layout below {}block/ or host/: not "
         "standing for leadership",
-        store::kLive);
+        store::kLivePrefix);
   }
   return true;
 }
--- a/src/election/leader_lease.cpp
+++ b/src/election/leader_lease.cpp
@@ -25,7 +25,7 @@
 bool LeaderLease::valid() const { return age() < settings_.leader_lease_s(); }
 
 bool LeaderLease::may_start_tasks() const {
-  return age() < constants::kStartKnowledge || common_outage_();
+  return age() < constants::kTaskStartMaxRecordsAge || common_outage_();
 }
 
 }  // namespace elmstall::election
--- a/src/election/leadership_renewal.cpp
+++ b/src/election/leadership_renewal.cpp
@@ -30,7 +30,7 @@
 void LeadershipRenewal::confirm_term(const std::vector<wire::MachineType>& machine_types) {
   wire::Transaction transaction;
   transaction.preconditions = {{std::string(store::kTermKey), context_.mirror.term_revision()}};
-  if (!machine_types_recorded_ && !machine_types.empty() && !context_.mirror.types()) {
+  if (!machine_types_recorded_ && !machine_types.empty() && !context_.mirror.machine_types()) {
     const std::string key(store::kTypesKey);
     transaction.preconditions.push_back({key, 0});
     transaction.writes.push_back({key, wire::encode_machine_types(machine_types), 0});
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -52,10 +52,10 @@
   if (state_ != State::active || !renewed_at_) return false;
   const double now = context_.event_loop.now();
   const double lease_ends =
-      *renewed_at_ + k::kDelegationLease * (1 - k::kDrift) - k::kDelegationMargin;
+      *renewed_at_ + k::kDelegationLease * (1 - k::kMaxClockDrift) - k::kDelegationMargin;
   const auto& mirror = context_.mirror;
   return now < lease_ends && mirror.loaded() && mirror.revision() >= recorded_at_revision_ &&
-         now - context_.read_index.current_as_of() < k::kDelegationKnowledge;
+         now - context_.read_index.current_as_of() < k::kDelegateMaxRecordsAge;
 }
 
 bool ZoneDelegate::may_reply_unrecorded(const std::string& machine,
@@ -244,11 +244,11 @@
   const double now = context_.event_loop.now();
   reply_to_waiting(connectivity);
   std::erase_if(sent_elsewhere_, [&](const auto& entry) {
-    return connectivity.leader_heard || now - entry.second > k::kTurnedAwayMemory;
+    return connectivity.leader_heard || now - entry.second > k::kRefusedHeartbeatRetention;
   });
   if (state_ != State::active) return;
   track_leader(connectivity.leader_heard, now);
-  if (leader_heard_since_ && now - *leader_heard_since_ >= k::kDelegationEnd)
+  if (leader_heard_since_ && now - *leader_heard_since_ >= k::kDelegationEndDelay)
     return end("its leader is heard again");
   if (now >= next_renewal_) renew();
 }
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -18,22 +18,22 @@
 /// The state of a controller, sent to all others every `constants::kPeerHeartbeatInterval` and
 /// whenever something in it changes.
 struct Heartbeat {
-  std::string node;              ///< name of the sender
-  std::uint64_t term = 0;        ///< highest term that the sender knows
-  std::string leader;            ///< name of that term's leader; empty if unknown
-  bool state_reachable = false;  ///< the state service answers the sender
-  bool leader_heard = false;     ///< the sender receives the leader's heartbeats
+  std::string node;               ///< name of the sender
+  std::uint64_t term = 0;         ///< highest term that the sender knows
+  std::string leader;             ///< name of that term's leader; empty if unknown
+  bool state_reachable = false;   ///< the state service answers the sender
+  bool leader_reachable = false;  ///< the sender receives the leader's heartbeats
   /// Revision up to which the sender's mirror of the records is complete; 0 while it has not been
   /// read in full. Once it is not 0, the sender takes no action that the records up to this
   /// revision forbid.
   std::uint64_t revision = 0;
   /// Seconds since the sender last answered a worker's heartbeat as a zone delegate, that is
   /// without the leader; if it never did, seconds since its process started.
-  double replied_ago_s = 0;
+  double last_reply_age_s = 0;
   /// Reads or writes the fields by a cereal archive, in the order that all versions share.
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(node, term, leader, state_reachable, leader_heard, revision, replied_ago_s);
+    archive(node, term, leader, state_reachable, leader_reachable, revision, last_reply_age_s);
   }
 };
 
--- a/src/placement/gang_sites.cpp
+++ b/src/placement/gang_sites.cpp
@@ -143,7 +143,7 @@
   if (!job.spec.together || job.spec.zone) return;
   auto& gang = job.gang;
   // A new choice after each look would provision some machines in every zone and enough in none.
-  if (!job.zone_choice.empty() && now < gang.zone_chosen_at + constants::kGangZonePatience) return;
+  if (!job.zone_choice.empty() && now < gang.zone_chosen_at + constants::kGangZoneTimeout) return;
   auto zone = sched::zone_with_most_room(sites.sites);
   if (zone.empty()) zone = settings.zones[job.serial % settings.zones.size()];
   job.zone_choice = std::move(zone);
--- a/src/placement/gang_sites.hpp
+++ b/src/placement/gang_sites.hpp
@@ -76,7 +76,7 @@
 [[nodiscard]] bool gang_within_quota(const state::Job& job, std::size_t task_count);
 
 /// Chooses the zone for which machines are provisioned, for a gang whose tasks must stay together:
-/// the one with the most room. The choice is kept for `constants::kGangZonePatience`.
+/// the one with the most room. The choice is kept for `constants::kGangZoneTimeout`.
 void choose_gang_zone(const config::Settings& settings, state::Job& job, const GangSites& sites,
                       double now);
 
--- a/src/placement/queue_position.cpp
+++ b/src/placement/queue_position.cpp
@@ -22,12 +22,12 @@
   position.precedence = precedence(job);
   position.work_s = estimates.run_time(job.spec.job_class, job.spec.expect_s);
   const auto objective_s = completion_objective_s(settings, job);
-  position.due = job.submitted + objective_s.value_or(constants::kNoAim);
+  position.due = job.submitted + objective_s.value_or(constants::kDefaultCompletionObjective);
   const double waited_s = now - job.submitted;
-  if (!job.begun && waited_s > constants::kBeginWithin) {
+  if (!job.begun && waited_s > constants::kStarvationThreshold) {
     // A job that has not begun for so long goes first within its precedence, however large it is.
     // Otherwise jobs that were submitted later could starve it.
-    position.due = job.submitted - constants::kNoAim;
+    position.due = job.submitted - constants::kDefaultCompletionObjective;
     return position;
   }
   if (!objective_s) return position;
@@ -37,8 +37,8 @@
     ++position.tier;
     position.due += *objective_s * constants::kTierStep;
   }
-  position.due +=
-      settings.tuning.small_first * position.work_s * (job.spec.tasks - job.finished_tasks);
+  position.due += settings.tuning.remaining_work_weight * position.work_s *
+                  (job.spec.tasks - job.finished_tasks);
   return position;
 }
 
--- a/src/placement/run_time_estimates.hpp
+++ b/src/placement/run_time_estimates.hpp
@@ -21,7 +21,7 @@
     if (expected_s <= 0 || actual_s <= 0) return;
     const double ratio = std::clamp(actual_s / expected_s, kMinRatio, kMaxRatio);
     auto& average = average_ratios_.try_emplace(job_class, kInitialRatio).first->second;
-    average += constants::kLearnRate * (ratio - average);
+    average += constants::kMovingAverageWeight * (ratio - average);
   }
 
   /// Seconds that a task of this class with this expected run time is likely to take.
--- a/src/placement/task_stop.cpp
+++ b/src/placement/task_stop.cpp
@@ -27,7 +27,7 @@
 bool can_checkpoint_gang(const state::Model& model, const state::Job& job,
                          const std::vector<state::Task*>& tasks, double now) {
   if (job.gang.state != GangState::running || job.spec.checkpoint_every_s <= 0) return false;
-  const double silent_after_s = model.settings().silent_after_s();
+  const double silent_after_s = model.settings().heartbeat_timeout_s();
   return std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
     return task->may_be_on_machine() && can_write_checkpoint(*task, silent_after_s, now);
   });
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -16,7 +16,7 @@
 double LeaseExpiry::inherited_until() const {
   // The former leader may have replied to heartbeats until its leader lease ran out. Its last
   // reply may have renewed a worker lease, which then lasts for its full length.
-  return started_ + settings_.leader_lease_s() + settings_.lease_over_s();
+  return started_ + settings_.leader_lease_s() + settings_.lease_expired_after_s();
 }
 
 void LeaseExpiry::update_delegations(double now) {
@@ -59,7 +59,7 @@
 }
 
 bool LeaseExpiry::excluded(const state::Machine& machine, double now) const {
-  const double lease = settings_.lease_over_s();
+  const double lease = settings_.lease_expired_after_s();
   // A controller that proved its records current just before the retirement was written may have
   // replied as an unrecorded delegate until its leader lease ran out. After that and one worker
   // lease more, no controller can have kept the machine's lease alive.
@@ -74,7 +74,7 @@
 }
 
 void LeaseExpiry::expire(double now) {
-  const double lease = settings_.lease_over_s();
+  const double lease = settings_.lease_expired_after_s();
   for (auto& [id, machine] : model_.machines()) {
     if (machine->tasks.empty()) continue;
     // An epoch may have begun just before its heartbeat was received, and command RPCs start
@@ -88,7 +88,8 @@
       // The machine is retired before its lease ends, so that all controllers that might reply to
       // it know of the retirement by then.
       const double silent_since = std::max(last_touched, started_);
-      if (now >= std::min(alive_until, silent_since + settings_.silent_after_s())) retire(*machine);
+      if (now >= std::min(alive_until, silent_since + settings_.heartbeat_timeout_s()))
+        retire(*machine);
       continue;
     }
     // Go on only when the retirement is committed and the mirror has reached its revision.
--- a/src/reconcile/responsiveness.cpp
+++ b/src/reconcile/responsiveness.cpp
@@ -36,7 +36,7 @@
                                         const wire::WorkerHeartbeat& heartbeat, double now) const {
   // If this leader's last reply had arrived, the lease could not have run out by now.
   return machine.epoch_known && heartbeat.epoch > machine.epoch &&
-         now - machine.last_reply < settings_.lease_s * (1 - k::kDrift);
+         now - machine.last_reply < settings_.lease_s * (1 - k::kMaxClockDrift);
 }
 
 bool Responsiveness::unacknowledged_too_long(const state::Machine& machine, double now) const {
--- a/src/state/commit_limits.cpp
+++ b/src/state/commit_limits.cpp
@@ -26,7 +26,7 @@
 
 std::size_t CommitLimits::carried_bytes() const {
   const double value_kb = settings_.state_limits().value_kb;
-  return static_cast<std::size_t>(value_kb * kBytesPerKib * k::kSlotCarry * scale_);
+  return static_cast<std::size_t>(value_kb * kBytesPerKib * k::kMaxLiveSlotShare * scale_);
 }
 
 std::size_t CommitLimits::max_writes() const {
@@ -46,7 +46,7 @@
 }
 
 void CommitLimits::on_accepted() {
-  if (scale_ >= 1 || ++accepted_ < k::kCommitScaleRegain) return;
+  if (scale_ >= 1 || ++accepted_ < k::kCommitsBeforeScaleUp) return;
   accepted_ = 0;
   scale_ = std::min(1.0, scale_ * 2);
 }
--- a/src/state/commit_record.hpp
+++ b/src/state/commit_record.hpp
@@ -30,7 +30,7 @@
     machine  ///< a machine
   };
   /// Packs the present state of the block or machine.
-  using PackFunction = std::function<store::Packed()>;
+  using PackFunction = std::function<store::PackedEntry()>;
 
   /// Creates a record that is clean and not in the log. RecordTable gives it its serial number.
   CommitRecord(Kind record_kind, std::string job_id, PackFunction pack_function,
--- a/src/state/group_commit.cpp
+++ b/src/state/group_commit.cpp
@@ -51,13 +51,13 @@
                                           Record::PackFunction pack, std::uint32_t slot) {
   auto* record = add(kind, std::move(job), std::move(pack));
   record->revision = slots_.mod_revision(slot);
-  slots_.place(*record, slot, record->pack().json);
+  slots_.place(*record, slot, record->pack().json_bytes);
   return record;
 }
 
 void GroupCommit::mark_dirty(Record& record) { records_.mark_dirty(record); }
 
-void GroupCommit::discard(Record& record, store::Packed last) {
+void GroupCommit::discard(Record& record, store::PackedEntry last) {
   record.remove = true;
   record.job.clear();
   record.absent.clear();
--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -72,7 +72,7 @@
   void mark_dirty(Record& record);
   /// The block or machine is gone. `last` is the packed entry that says so; once it is written
   /// the record is dropped. The caller must not use the record again.
-  void discard(Record& record, store::Packed last);
+  void discard(Record& record, store::PackedEntry last);
   /// The job is over: its final state must be written. Has no effect if the job is finishing
   /// already.
   void finish(Finalization finalization);
--- a/src/state/log_slots.cpp
+++ b/src/state/log_slots.cpp
@@ -17,7 +17,7 @@
                                std::size_t max_live_json_bytes) const {
   std::uint32_t new_slot = taken.empty() ? 0 : *taken.rbegin() + 1;
   if (!slots_.empty()) new_slot = std::max(new_slot, slots_.rbegin()->first + 1);
-  if (slots_.size() < constants::kSlotsFirst) return new_slot;
+  if (slots_.size() < constants::kInitialSlots) return new_slot;
 
   const Slot* best = nullptr;
   std::uint32_t best_number = new_slot;
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kImagesRemembered = 8;
 
 /// Packs the machine's record as it is at the moment of a commit.
-std::function<store::Packed()> packed_form(const Machine& machine) {
+std::function<store::PackedEntry()> packed_form(const Machine& machine) {
   return [&machine] {
     return store::pack(store::MachineEntry{
         machine.id,
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -22,9 +22,9 @@
 /// least one value.
 constexpr std::size_t kWritesKeptForLog = 1;
 
-void add_entry(SlotValue& value, const CommitRecord& record, store::Packed packed) {
-  value.json_bytes += packed.json;
-  value.entries.push_back({record.serial(), record.version, packed.json});
+void add_entry(SlotValue& value, const CommitRecord& record, store::PackedEntry packed) {
+  value.json_bytes += packed.json_bytes;
+  value.entries.push_back({record.serial(), record.version, packed.json_bytes});
   auto& entries = record.kind == CommitRecord::Kind::machine ? value.machines : value.blocks;
   entries.push_back(std::move(packed.bytes));
 }
@@ -136,8 +136,8 @@
     if (carried || !must_be_kept(record) || finalizations_.contains(record.job)) continue;
     auto packed = record.pack();
     // A record that is larger than any value may be must not hold up the others.
-    if (packed.json > limit) continue;
-    if (value.json_bytes + packed.json > limit) return next;
+    if (packed.json_bytes > limit) continue;
+    if (value.json_bytes + packed.json_bytes > limit) return next;
     require_absent_keys(record);
     add_entry(value, record, std::move(packed));
   }
--- a/src/store/keys.hpp
+++ b/src/store/keys.hpp
@@ -25,9 +25,9 @@
 namespace elmstall::store {
 
 /// Prefix of all keys of the project.
-inline constexpr std::string_view kRoot = "elm/";
+inline constexpr std::string_view kRootPrefix = "elm/";
 /// Prefix of the live records: all but the final states of jobs.
-inline constexpr std::string_view kLive = "elm/l/";
+inline constexpr std::string_view kLivePrefix = "elm/l/";
 /// Key of the TermRecord.
 inline constexpr std::string_view kTermKey = "elm/l/term";
 /// Key of the LeadRecord.
--- a/src/store/ledger_codec.cpp
+++ b/src/store/ledger_codec.cpp
@@ -16,9 +16,9 @@
 constexpr std::uint64_t kRetiredFlag = 2;
 
 // Upper bounds of the sizes of values as JSON, in bytes, each with the comma that follows it.
-constexpr std::size_t kJsonCount = 11;
-constexpr std::size_t kJsonList = 3;
-std::size_t json_text(const std::string& text) { return text.size() + 3; }
+constexpr std::size_t kJsonNumberBytes = 11;
+constexpr std::size_t kJsonListBytes = 3;
+std::size_t json_text_bytes(const std::string& text) { return text.size() + 3; }
 
 constexpr std::size_t kBitsPerDigit = 4;
 
@@ -93,32 +93,34 @@
 
 }  // namespace
 
-Packed pack(const BlockEntry& entry) {
+PackedEntry pack(const BlockEntry& entry) {
   wire::Packer packer;
   const auto bits = to_hex(entry.record.done);
   packer.list(kBlockParts).text(entry.job).integer(entry.number);
   packer.integer(entry.record.done.size()).text(bits);
   packer.list(entry.record.tasks.size());
-  std::size_t json = 2 * kJsonList + json_text(entry.job) + 2 * kJsonCount + json_text(bits);
+  std::size_t json_bytes = 2 * kJsonListBytes + json_text_bytes(entry.job) + 2 * kJsonNumberBytes +
+                           json_text_bytes(bits);
   for (const auto& task : entry.record.tasks) {
     packer.list(kTaskParts).integer(task.index).integer(task.attempt).text(task.machine);
-    json += kJsonList + 2 * kJsonCount + json_text(task.machine);
+    json_bytes += kJsonListBytes + 2 * kJsonNumberBytes + json_text_bytes(task.machine);
   }
-  return {packer.take(), json};
+  return {packer.take(), json_bytes};
 }
 
-Packed pack(const MachineEntry& entry) {
+PackedEntry pack(const MachineEntry& entry) {
   wire::Packer packer;
   if (entry.removed) {
     packer.list(kRemovedParts).text(entry.id);
-    return {packer.take(), kJsonList + json_text(entry.id)};
+    return {packer.take(), kJsonListBytes + json_text_bytes(entry.id)};
   }
   const auto& machine = entry.record;
   packer.list(kMachineParts).text(entry.id);
   packer.text(machine.addr).text(machine.type).text(machine.zone);
   packer.integer((machine.spot ? kSpotFlag : 0) | (machine.retired ? kRetiredFlag : 0));
-  return {packer.take(), kJsonList + json_text(entry.id) + json_text(machine.addr) +
-                             json_text(machine.type) + json_text(machine.zone) + kJsonCount};
+  return {packer.take(), kJsonListBytes + json_text_bytes(entry.id) +
+                             json_text_bytes(machine.addr) + json_text_bytes(machine.type) +
+                             json_text_bytes(machine.zone) + kJsonNumberBytes};
 }
 
 std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
--- a/src/store/ledger_codec.hpp
+++ b/src/store/ledger_codec.hpp
@@ -17,15 +17,15 @@
 namespace elmstall::store {
 
 /// One packed entry of a value of the ledger log.
-struct Packed {
-  std::string bytes;     ///< MessagePack
-  std::size_t json = 0;  ///< upper bound of its size as JSON, in bytes, with its separator
+struct PackedEntry {
+  std::string bytes;           ///< MessagePack
+  std::size_t json_bytes = 0;  ///< upper bound of its size as JSON, in bytes, with its separator
 };
 
 /// Packs the state of a block.
-[[nodiscard]] Packed pack(const BlockEntry& entry);
+[[nodiscard]] PackedEntry pack(const BlockEntry& entry);
 /// Packs the state of a machine, or the note that it was removed.
-[[nodiscard]] Packed pack(const MachineEntry& entry);
+[[nodiscard]] PackedEntry pack(const MachineEntry& entry);
 /// Composes the value with this number from the bytes of packed entries.
 [[nodiscard]] std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
                                       const std::vector<std::string>& machines);
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -24,7 +24,7 @@
   term_ = 0;
   term_revision_ = 0;
   lead_.reset();
-  types_.reset();
+  machine_types_.reset();
   jobs_.clear();
   cancelled_.clear();
   unreadable_jobs_.clear();
@@ -78,7 +78,7 @@
     case Key::Kind::lead:
       return lead_revision();
     case Key::Kind::types:
-      return types_ ? types_->mod_revision : 0;
+      return machine_types_ ? machine_types_->mod_revision : 0;
     case Key::Kind::job:
       return mod_revision_in(jobs_, key.id);
     case Key::Kind::slot:
@@ -143,7 +143,7 @@
       lead_revision_ = mod_revision;
       break;
     case Key::Kind::types:
-      types_ = Value{packed, mod_revision};
+      machine_types_ = Value{packed, mod_revision};
       break;
     case Key::Kind::job:
       put_job(key.id, decode_job(packed), mod_revision);
@@ -158,7 +158,7 @@
       delegations_[key.id] = {decode_delegation(packed).zone, mod_revision};
       break;
     case Key::Kind::final:
-      remember_final(key.id, decode_final(packed));
+      cache_final_state(key.id, decode_final(packed));
       break;
     case Key::Kind::other:
       break;
@@ -195,13 +195,13 @@
 }
 
 std::optional<FinalRecord> Mirror::final_state(const std::string& id) const {
-  const auto* found = finals_.find(id);
+  const auto* found = final_states_.find(id);
   if (found == nullptr) return std::nullopt;
   return *found;
 }
 
-void Mirror::remember_final(const std::string& id, const FinalRecord& record) {
-  finals_.remember(id, record);
+void Mirror::cache_final_state(const std::string& id, const FinalRecord& record) {
+  final_states_.insert(id, record);
 }
 
 wire::JobStatus Mirror::status(const std::string& id) const {
--- a/src/store/mirror.hpp
+++ b/src/store/mirror.hpp
@@ -2,8 +2,8 @@
 /// A node's local replica of the records in the state store, kept current by a watch.
 ///
 /// The mirror does no I/O. Its owner (controller::Node) lists the live records, feeds every page to
-/// load(), opens a watch at follow_from() and feeds every answer to apply(). All calls are made on
-/// the event loop.
+/// load(), opens a watch at watch_start_revision() and feeds every answer to apply(). All calls are
+/// made on the event loop.
 #pragma once
 
 #include <cstdint>
@@ -62,7 +62,7 @@
   /// Takes one page of the listing of live records. Pages must come in order.
   void load(const wire::Listing& page);
   /// The revision at which the watch must start after the last page.
-  [[nodiscard]] std::uint64_t follow_from() const { return revision_; }
+  [[nodiscard]] std::uint64_t watch_start_revision() const { return revision_; }
   /// Takes the changes that the watch delivered. Returns the keys whose records changed.
   std::vector<Key> apply(const wire::Changes& changes);
 
@@ -99,8 +99,8 @@
   /// The final state of a job if it is among those remembered in memory. Others must be read from
   /// the state store.
   [[nodiscard]] std::optional<FinalRecord> final_state(const std::string& id) const;
-  /// Remembers a final state. The oldest is forgotten above constants::kFinalCache.
-  void remember_final(const std::string& id, const FinalRecord& record);
+  /// Remembers a final state. The oldest is forgotten above constants::kFinalStateCacheSize.
+  void cache_final_state(const std::string& id, const FinalRecord& record);
   /// Number of the present leadership; 0 if there never was one.
   [[nodiscard]] std::uint64_t term() const { return term_; }
   /// Modification revision of the term's record.
@@ -110,7 +110,7 @@
   /// Modification revision of the leader's record; 0 if there is none.
   [[nodiscard]] std::uint64_t lead_revision() const { return lead_ ? lead_revision_ : 0; }
   /// The recorded machine types, as packed by wire::encode_machine_types().
-  [[nodiscard]] const std::optional<Value>& types() const { return types_; }
+  [[nodiscard]] const std::optional<Value>& machine_types() const { return machine_types_; }
   /// What a user is told of a job, as far as the mirror knows it. The caller checks before that
   /// the job exists.
   [[nodiscard]] wire::JobStatus status(const std::string& id) const;
@@ -134,7 +134,7 @@
   std::uint64_t term_revision_ = 0;
   std::optional<LeadRecord> lead_;
   std::uint64_t lead_revision_ = 0;
-  std::optional<Value> types_;
+  std::optional<Value> machine_types_;
   std::map<std::string, Job> jobs_;
   std::set<std::string> cancelled_;
   std::unordered_map<std::string, std::map<std::uint32_t, Block>> blocks_;  ///< by job id
@@ -143,7 +143,7 @@
   bool earlier_layout_ = false;
   std::map<std::string, Delegation> delegations_;
   std::set<std::string> unreadable_jobs_;
-  RecentJobs<FinalRecord> finals_{constants::kFinalCache};
+  RecentJobs<FinalRecord> final_states_{constants::kFinalStateCacheSize};
 };
 
 }  // namespace elmstall::store
--- a/src/store/mirror_follower.cpp
+++ b/src/store/mirror_follower.cpp
@@ -21,9 +21,9 @@
 }
 
 void MirrorFollower::list_after(const std::string& key) {
-  context_.store.list(std::string(kLive), key, scope_.wrap([this, key](const ListResult& result) {
-    on_listed(result, key);
-  }));
+  context_.store.list(
+      std::string(kLivePrefix), key,
+      scope_.wrap([this, key](const ListResult& result) { on_listed(result, key); }));
 }
 
 void MirrorFollower::on_listed(const ListResult& result, const std::string& after) {
@@ -39,7 +39,7 @@
   if (result.listing.truncated && !entries.empty()) return list_after(entries.back().key);
   std::vector<Key> jobs;
   for (const auto& [id, job] : mirror.jobs()) jobs.push_back({Key::Kind::job, id, 0});
-  context_.changed(jobs);
+  context_.on_changed(jobs);
   watch();
 }
 
@@ -47,14 +47,14 @@
   // Until the mirror is complete, the state store must reply at once. It would otherwise wait for
   // a change, and there may be none for a long time.
   const double hold = context_.mirror.loaded() ? k::kWatchHold : 0;
-  context_.store.watch(std::string(kRoot), context_.mirror.follow_from(), hold,
+  context_.store.watch(std::string(kRootPrefix), context_.mirror.watch_start_revision(), hold,
                        scope_.wrap([this](const WatchResult& result) { on_watched(result); }));
 }
 
 void MirrorFollower::on_watched(const WatchResult& result) {
   switch (result.outcome) {
     case Outcome::ok:
-      context_.changed(context_.mirror.apply(result.changes));
+      context_.on_changed(context_.mirror.apply(result.changes));
       context_.event_loop.after(context_.watch_pause(), scope_.wrap([this] { watch(); }));
       return;
     case Outcome::compacted:
--- a/src/store/mirror_follower.hpp
+++ b/src/store/mirror_follower.hpp
@@ -25,7 +25,7 @@
     StateStore& store;               ///< source of the records
     Mirror& mirror;                  ///< the replica that is kept current
     /// Called after these records have changed in the mirror.
-    std::function<void(const std::vector<Key>&)> changed;
+    std::function<void(const std::vector<Key>&)> on_changed;
     /// Seconds to wait between the reply to a watch and the next watch.
     std::function<double()> watch_pause;
   };
--- a/src/store/recent_jobs.hpp
+++ b/src/store/recent_jobs.hpp
@@ -22,7 +22,7 @@
     return found == values_.end() ? nullptr : &found->second;
   }
   /// Remembers the value. A job that is remembered already keeps its value.
-  void remember(const std::string& job, Value value) {
+  void insert(const std::string& job, Value value) {
     if (values_.emplace(job, std::move(value)).second) order_.push_back(job);
     if (order_.size() <= limit_) return;
     values_.erase(order_.front());
--- a/src/store/record_sizes.cpp
+++ b/src/store/record_sizes.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 std::size_t value_bytes(double value_kb) {
-  return static_cast<std::size_t>(value_kb * kBytesPerKb * constants::kSlotFill);
+  return static_cast<std::size_t>(value_kb * kBytesPerKb * constants::kValueFillFactor);
 }
 
 std::size_t json_size(const JobRecord& record) {
@@ -23,9 +23,9 @@
   return wire::json_size(document.root()) + constants::kJsonNumberSlack;
 }
 
-JobRecord cancelled_record(JobRecord record, std::size_t most) {
+JobRecord cancelled_record(JobRecord record, std::size_t max_bytes) {
   record.cancelled = true;
-  if (json_size(record) <= most) return record;
+  if (json_size(record) <= max_bytes) return record;
   record.spec.types.clear();
   record.spec.zone.reset();
   record.spec.image.clear();
@@ -33,7 +33,7 @@
 }
 
 std::uint32_t max_started_tasks(double value_kb) {
-  const auto room = value_bytes(value_kb) - constants::kBlockFrameBytes;
+  const auto room = value_bytes(value_kb) - constants::kBlockOverheadBytes;
   return std::max(1U, static_cast<std::uint32_t>(room / constants::kTaskRecordBytes));
 }
 
--- a/src/store/record_sizes.hpp
+++ b/src/store/record_sizes.hpp
@@ -13,16 +13,16 @@
 namespace elmstall::store {
 
 /// Bytes that may be filled of a value whose limit is `value_kb`. A small share is left free for
-/// the frame around the entries (constants::kSlotFill).
+/// the frame around the entries (constants::kValueFillFactor).
 [[nodiscard]] std::size_t value_bytes(double value_kb);
 
 /// Upper bound of the size of a job's record as JSON, in bytes.
 [[nodiscard]] std::size_t json_size(const JobRecord& record);
 
-/// The record of a job, marked as cancelled. If the marked record took more than `most` bytes, it
-/// is written without the fields that only the start of a task needs: the job may have been
+/// The record of a job, marked as cancelled. If the marked record took more than `max_bytes` bytes,
+/// it is written without the fields that only the start of a task needs: the job may have been
 /// accepted under a larger limit, and no task of a cancelled job starts any more.
-[[nodiscard]] JobRecord cancelled_record(JobRecord record, std::size_t most);
+[[nodiscard]] JobRecord cancelled_record(JobRecord record, std::size_t max_bytes);
 
 /// Number of tasks of one block that may be unfinished and started at the same time, so that the
 /// block's record fits into one value. This is the whole block unless the limit is below some
--- a/src/store/state_store_client.cpp
+++ b/src/store/state_store_client.cpp
@@ -169,7 +169,7 @@
 void StateStoreClient::send_queued() {
   const auto now = Clock::now();
   refill(now);
-  send_affordable(now);
+  send_within_rate_limits(now);
   schedule_next();
 }
 
@@ -180,7 +180,7 @@
   writes_.refill(elapsed_s);
 }
 
-void StateStoreClient::send_affordable(Clock::time_point now) {
+void StateStoreClient::send_within_rate_limits(Clock::time_point now) {
   // Requests are sent in their order, except that reads do not wait behind a write that the write
   // rate holds back. Every request is taken out once; one that must wait is put at the end again,
   // so after the loop those that wait are in their former order.
@@ -191,7 +191,7 @@
     const bool is_write = request.writes > 0;
     if (request.deadline <= now) {
       request.give_up();
-    } else if (!affordable(request) || (writes_wait && is_write)) {
+    } else if (!within_rate_limits(request) || (writes_wait && is_write)) {
       writes_wait = writes_wait || is_write;
       queue_.push_back(std::move(request));
     } else {
@@ -202,7 +202,7 @@
   }
 }
 
-bool StateStoreClient::affordable(const QueuedRequest& request) const {
+bool StateStoreClient::within_rate_limits(const QueuedRequest& request) const {
   // The bucket never holds more than one second's worth of writes, so a transaction with more
   // writes than that is sent when the bucket is full.
   return requests_.level >= 1 && writes_.level >= std::min(request.writes, writes_.rate);
--- a/src/store/state_store_client.hpp
+++ b/src/store/state_store_client.hpp
@@ -72,11 +72,11 @@
   /// Adds the tokens for the time since the last call.
   void refill(Clock::time_point now);
   /// Sends every queued request that the rate limits allow and drops those past their deadline.
-  void send_affordable(Clock::time_point now);
+  void send_within_rate_limits(Clock::time_point now);
   /// Calls send_queued() again after a short time, unless nothing waits.
   void schedule_next();
   void send_queued();
-  [[nodiscard]] bool affordable(const QueuedRequest& request) const;
+  [[nodiscard]] bool within_rate_limits(const QueuedRequest& request) const;
 
   net::HttpClient client_;
   /// Watches have connections of their own, because each holds one for many seconds.
--- a/tests/group_commit_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -42,7 +42,7 @@
 
   void refresh() {
     mirror_.restart();
-    mirror_.load(state_.list(std::string(store::kLive), "", 1'000'000).listing);
+    mirror_.load(state_.list(std::string(store::kLivePrefix), "", 1'000'000).listing);
   }
   Block& add_block(int job) {
     const std::string id = "job-" + std::to_string(job);
@@ -118,7 +118,7 @@
   }
   // 40 entries of about 70 bytes are three values' worth.
   EXPECT_LE(slots, 16U);
-  EXPECT_GE(slots, constants::kSlotsFirst);
+  EXPECT_GE(slots, constants::kInitialSlots);
 }
 
 /// Answers lost, transactions applied seconds later, one version overtaking
@@ -190,7 +190,7 @@
   std::mt19937 random(4);
   for (int round = 0; round < 150; ++round) {
     mirror_.restart();
-    const auto page = state_.list(std::string(store::kLive), "", 20).listing;
+    const auto page = state_.list(std::string(store::kLivePrefix), "", 20).listing;
     ASSERT_TRUE(page.truncated);
     mirror_.load(page);
     for (int i = 0; i < 5; ++i) {
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -32,7 +32,7 @@
       load("# a comment\n! another\nsched.threshold.tasks = 4\nfleet.idle.share: 1.5\n");
   EXPECT_DOUBLE_EQ(tuning.threshold_tasks, 4);
   EXPECT_DOUBLE_EQ(tuning.idle_share, 1.5);
-  EXPECT_DOUBLE_EQ(tuning.foresight, constants::kForesight);
+  EXPECT_DOUBLE_EQ(tuning.forecast_share, constants::kForecastShare);
 }
 
 TEST_F(PropertiesFile, NamesFileAndKeyOfWhatIsWrong) {
--- a/tests/status_responder_test.cpp
+++ b/tests/status_responder_test.cpp
@@ -18,7 +18,7 @@
   /// A mirror that holds the final state of `job-1`.
   static store::Mirror mirror_with_final(JobState state) {
     store::Mirror mirror;
-    mirror.remember_final("job-1", {state, 2});
+    mirror.cache_final_state("job-1", {state, 2});
     return mirror;
   }
   /// A mirror that holds `job-1` unfinished, at revision 7.
@@ -69,12 +69,12 @@
 }
 
 TEST_F(StatusResponderTest, ItsMemoryIsBounded) {
-  for (std::size_t i = 0; i < constants::kToldStatesKept + 10; ++i) {
+  for (std::size_t i = 0; i < constants::kReportedStatesKept + 10; ++i) {
     const auto job = "job-" + std::to_string(i);
-    mirror_.remember_final(job, {JobState::done, 1});
+    mirror_.cache_final_state(job, {JobState::done, 1});
     EXPECT_EQ(tell(ConfirmedStatus::of_final_record(mirror_, job).value(), 1).status, 200);
   }
-  EXPECT_EQ(responder_.remembered(), constants::kToldStatesKept);
+  EXPECT_EQ(responder_.reported_jobs(), constants::kReportedStatesKept);
 }
 
 TEST_F(StatusResponderTest, OnlyAnAppliedCommitIsAProof) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -71,8 +71,10 @@
     for (std::uint32_t i = 0; i < size; ++i)
       entry.record.tasks.push_back({99'999 - i, 4'000'000'000, "host-000231"});
     const auto packed = pack(entry);
-    EXPECT_LE(wire::json_size(wire::Document::parse(packed.bytes).root()), packed.json) << kb;
-    EXPECT_LE(packed.json, static_cast<std::size_t>(kb * 1024 * constants::kSlotFill / 2)) << kb;
+    EXPECT_LE(wire::json_size(wire::Document::parse(packed.bytes).root()), packed.json_bytes) << kb;
+    EXPECT_LE(packed.json_bytes,
+              static_cast<std::size_t>(kb * 1024 * constants::kValueFillFactor / 2))
+        << kb;
   }
 }
 
@@ -154,7 +156,7 @@
   // The second page was read later and is newer: job-2 is cancelled in it.
   mirror.load({{{job_key("job-2"), job_value("job-2", true), 12}}, false, 12});
   EXPECT_FALSE(mirror.loaded());
-  EXPECT_EQ(mirror.follow_from(), 10U);
+  EXPECT_EQ(mirror.watch_start_revision(), 10U);
   // What lies between is replayed, and an older value never wins.
   mirror.apply({12,
                 {{job_key("job-2"), job_value("job-2", false), 11},
@@ -186,8 +188,8 @@
 
 TEST(Mirror, OldFinalStatesAreLetGo) {
   Mirror mirror;
-  for (std::size_t i = 0; i < constants::kFinalCache + 10; ++i)
-    mirror.remember_final("job-" + std::to_string(i), {});
+  for (std::size_t i = 0; i < constants::kFinalStateCacheSize + 10; ++i)
+    mirror.cache_final_state("job-" + std::to_string(i), {});
   EXPECT_FALSE(mirror.final_state("job-0"));
   EXPECT_TRUE(mirror.final_state("job-20000"));
 }
@@ -221,7 +223,7 @@
   api::ConcurrencyLimit limit;
   int entered = 0;
   while (limit.try_enter()) ++entered;
-  EXPECT_EQ(entered, static_cast<int>(constants::kLimitStart));
+  EXPECT_EQ(entered, static_cast<int>(constants::kInitialRequestLimit));
   limit.leave(-1);
   EXPECT_TRUE(limit.try_enter());
   EXPECT_EQ(limit.shed(), 1U);
