--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -21,14 +21,14 @@
   no_fitting_machine_type,  ///< no allowed machine type is large enough for one task
   above_team_limit,         ///< what must run at once exceeds the team's hard limit
   gang_not_recordable,      ///< the gang's tasks can't all be recorded as started at once
-  record_too_large,         ///< the job's record exceeds the state service's limit for a value
+  record_too_large,         ///< the job's record exceeds the state store's limit for a value
 };
 
 /// The text that explains the reason to the user.
 [[nodiscard]] std::string_view to_text(RejectionReason reason);
 
-/// Checks submissions. All controllers must decide alike, so the decision rests on nothing but
-/// the settings, the machine types and the job itself. Does no I/O.
+/// Checks submissions. All controllers must reach the same decision, so it depends only on the
+/// settings, the machine types and the job itself. Does no I/O.
 class Admission {
  public:
   /// `settings` has to outlive this object. No submission can be checked yet.
@@ -41,9 +41,9 @@
   /// Before the machine types are known no submission can be checked.
   [[nodiscard]] bool machine_types_known() const { return !machine_types_.empty(); }
 
-  /// Checks the job and takes out of it the allowed machine types that the cloud does not have.
-  /// Returns the first reason against it, std::nullopt if the job is admitted.
-  /// `submitted_at`: time of day that will be recorded with the job, seconds since 1970.
+  /// Checks the job and removes from it the allowed machine types that the cloud does not have.
+  /// Returns the first reason to reject it, std::nullopt if the job is admitted.
+  /// `submitted_at`: wall-clock time that will be recorded with the job, seconds since 1970.
   [[nodiscard]] std::optional<RejectionReason> check(wire::JobSpec& spec,
                                                      double submitted_at) const;
 
--- a/src/api/status_responder.hpp
+++ b/src/api/status_responder.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The one place that makes answers which tell a user the state of a job. It logs and counts them,
-/// and sees to it that none contradicts an earlier one of this controller.
+/// Builds all responses that report the state of a job to a user. Logs and counts them, and
+/// ensures that none contradicts an earlier response of this controller.
 #pragma once
 
 #include <array>
@@ -14,49 +14,51 @@
 
 namespace elmstall::api {
 
-/// Numbers of answers since the start of the controller.
+/// Numbers of answers since the controller started.
 struct AnswerCounts {
   std::array<std::uint64_t, kStatusSources> by_source{};  ///< answers, by StatusSource
-  /// Answers that were replaced by the final state that was told while they were under way.
+  /// Answers that were replaced by a final state that was reported while the request was in
+  /// progress.
   std::uint64_t superseded = 0;
   /// Answers that contradicted an earlier one and were replaced by 503. Each is a defect.
   std::uint64_t withheld = 0;
-  /// The number of answers that rest on this source.
+  /// Number of answers that are based on this source.
   [[nodiscard]] std::uint64_t of(StatusSource source) const {
     return by_source[static_cast<std::size_t>(source)];
   }
-  /// The number of all answers.
+  /// Number of all answers.
   [[nodiscard]] std::uint64_t total() const;
 };
 
-/// Makes the answers of one controller. Runs on its event loop.
+/// Builds the responses of one controller. Runs on its event loop.
 class StatusResponder {
  public:
-  /// `mirror` names revision and term in the log. Both have to outlive this object.
+  /// `mirror` supplies the revision and the term for the log. Both arguments must outlive this
+  /// object.
   StatusResponder(const runtime::EventLoop& event_loop, const store::Mirror& mirror)
       : loop_(event_loop), mirror_(mirror) {}
 
-  /// The answer to a question that this controller received at `asked_at`, in seconds of the event
+  /// The response to a request that this controller received at `asked_at`, in seconds of the event
   /// loop's steady clock.
   ///
-  /// Once this controller has told that a job is done or cancelled, it tells nothing else of it. If
-  /// that happened while the question was under way, the answer is the final state. If it happened
-  /// before, then a check has failed that should have excluded this answer: the answer is 503, and
-  /// an error is logged ("Reads never go back" in docs/design.md).
+  /// Once this controller has reported a job as done or cancelled, it reports no other state of it.
+  /// If that happened while the request was in progress, the response contains the final state. If
+  /// it happened before the request, an earlier check failed to exclude this answer: the response
+  /// is 503, and an error is logged ("Reads never go back" in docs/design.md).
   [[nodiscard]] net::Response respond(int http_status, const ConfirmedStatus& confirmed,
                                       wire::TaskCounts counts, double asked_at);
-  /// How many answers were made.
+  /// Numbers of answers by source.
   [[nodiscard]] const AnswerCounts& counts() const { return counts_; }
-  /// Number of jobs whose final state, as it was told, is remembered.
+  /// Number of jobs whose reported final state is kept.
   [[nodiscard]] std::size_t reported_jobs() const { return reported_states_.size(); }
   /// Logs the counts if they have changed since the last call.
   void log_counts();
 
  private:
-  /// A final state that was told.
+  /// A final state that was reported to a user.
   struct ReportedState {
     wire::JobStatus status;
-    double at = 0;  ///< seconds, by the event loop's steady clock
+    double at = 0;  ///< seconds on the event loop's steady clock
   };
 
   [[nodiscard]] net::Response withhold(const ReportedState& reported,
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -30,8 +30,8 @@
   call->asked_at = now;
   call->deadline = now + timeout_s;
   call->respond = [this, now, respond = std::move(respond)](net::Response response) {
-    // A 503 is caused by trouble of the state service, so its time does not show this controller's
-    // load.
+    // A 503 is caused by a failure of the state store, so its duration does not reflect this
+    // controller's load.
     limit_.leave(response.status == 503 ? ConcurrencyLimit::kNotMeasured : loop_.now() - now);
     respond(std::move(response));
   };
@@ -91,8 +91,8 @@
 
 void UserApi::reply_if_final(const CallPtr& call, wire::TaskCounts counts,
                              std::function<void()> otherwise) {
-  // The mirror remembers a limited number of final states, and none of those that were written
-  // before this controller started. The state service has all of them.
+  // The mirror caches a limited number of final states, and none of those that were written
+  // before this controller started. The state store has all of them.
   store_.get(
       store::final_key(call->id),
       scope_.wrap(
@@ -159,7 +159,7 @@
 void UserApi::create_job(const CallPtr& call) {
   wire::Transaction transaction;
   // The absence of a final record is a precondition too (rule 8): a copy of this request that
-  // arrives after the job is over must not create the job again.
+  // arrives after the job has finished must not create the job again.
   transaction.preconditions = {{store::job_key(call->id), 0}, {store::final_key(call->id), 0}};
   transaction.writes = {{store::job_key(call->id),
                          store::encode(store::JobRecord{call->spec, false, loop_.wall()}), 0}};
@@ -181,9 +181,9 @@
     case Outcome::unavailable:
       return retry_before_deadline(call, [this, call] { create_job(call); });
     case Outcome::unknown:
-      // This request may have created the job. Or the answer that got lost was a conflict: another
-      // controller accepted the job before, and it may be cancelled or done by now. The bare record
-      // does not tell which, so the answer is that to any question about the job.
+      // This request may have created the job. Or the lost reply was a conflict: another controller
+      // accepted the job before, and it may be cancelled or done by now. The job's record alone
+      // does not show which, so the current state is looked up as for a poll.
       return reply_if_known(call, wire::TaskCounts::omitted, [this, call] {
         retry_before_deadline(call, [this, call] { create_job(call); });
       });
@@ -211,7 +211,7 @@
 }
 
 void UserApi::cancel_after_read_index(const CallPtr& call) {
-  // The job is over, or unknown, or was submitted too recently for this mirror.
+  // The job is finished, or unknown, or was submitted too recently to be in this mirror.
   read_index_.request(
       call->deadline - loop_.now(), [this, call](const election::LinearizableRead* read) {
         if (read == nullptr && !mirror_.final_state(call->id)) return reply_unavailable(call);
@@ -240,8 +240,8 @@
   }
   if (result.outcome == Outcome::unavailable)
     return retry_before_deadline(call, [this, call] { cancel_live_job(call); });
-  // The record was changed by another controller, or perhaps by this very request if its outcome
-  // is unknown. A mirror that is current shows which of the two happened.
+  // The record was changed by another controller, or by this request itself if its outcome is
+  // unknown. A mirror that is current shows which of the two happened.
   read_index_.request(call->deadline - loop_.now(),
                       [this, call](const election::LinearizableRead* read) {
                         if (read == nullptr) return reply_unavailable(call);
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -1,10 +1,11 @@
 /// @file
 /// The requests of users: submissions, polls and cancellations.
 ///
-/// Every controller serves them straight against the state service, so users never wait for an
+/// Every controller serves them directly from the state store, so users never wait for an
 /// election. An answer about a job's state is given only when it can't be out of date ("Reads never
-/// go back" in docs/design.md): ConfirmedStatus says on what knowledge it may rest, and
-/// StatusResponder makes it. A request that can't be decided in time gets 503 with `Retry-After`.
+/// go back" in docs/design.md): ConfirmedStatus holds the state with the evidence for it, and
+/// StatusResponder builds the response. A request that can't be decided in time gets 503 with
+/// `Retry-After`.
 #pragma once
 
 #include <functional>
@@ -50,16 +51,16 @@
   }
 
   /// Submits a job. 201: recorded now; 200 with its state: its id was accepted before; 400:
-  /// malformed; 422: it can never run here; 503: try again.
+  /// malformed; 422: the job can never run in this deployment; 503: try again.
   void submit(const std::string& body, net::Responder respond);
-  /// Asks for a job's state. 200, 404, or 503: try again.
+  /// Reports a job's state. 200, 404, or 503: try again.
   void poll(const std::string& id, net::Responder respond);
-  /// Cancels a job. 200: cancelled, or over already; 404; 503: try again.
+  /// Cancels a job. 200: cancelled, or already finished; 404; 503: try again.
   void cancel(const std::string& id, net::Responder respond);
 
   /// The limit on user requests in progress, with its present value and its counts.
   [[nodiscard]] const ConcurrencyLimit& limit() const { return limit_; }
-  /// How many answers were made, and by what knowledge.
+  /// Numbers of answers by their source.
   [[nodiscard]] const AnswerCounts& answer_counts() const { return responder_.counts(); }
   /// Logs the counts if they have changed since the last call.
   void log_answer_counts() { responder_.log_counts(); }
@@ -89,33 +90,33 @@
   static void reply_no_such_job(const CallPtr& call);
   /// 503: the request could not be decided in time, the user should try again.
   static void reply_unavailable(const CallPtr& call);
-  /// Answers with the job's state if there is such a job, else calls `otherwise`.
+  /// Responds with the job's state if the job exists, else calls `otherwise`.
   void reply_if_known(const CallPtr& call, wire::TaskCounts counts,
                       std::function<void()> otherwise);
   /// Does the same for a job that is not among the live ones: reads its final record from the state
-  /// service, and answers with it if there is one, else calls `otherwise`.
+  /// store and responds with it if there is one, else calls `otherwise`.
   void reply_if_final(const CallPtr& call, wire::TaskCounts counts,
                       std::function<void()> otherwise);
 
-  /// Adds a final record that was read from the state service to the mirror. False if it can't be
-  /// decoded.
+  /// Adds a final record that was read from the state store to the mirror's cache. False if the
+  /// record can't be decoded.
   [[nodiscard]] bool cache_final_record(const std::string& id, const std::string& packed);
 
   // Submissions.
-  /// Reads the submission into the call. Returns the error of a malformed one, whose id is set
-  /// all the same if that much could be read.
+  /// Decodes the submission into the call. Returns the error of a malformed one; the call's id is
+  /// set nevertheless if it could be decoded.
   [[nodiscard]] static std::optional<wire::DecodeError> decode_submission(const std::string& body,
                                                                           Call& call);
   void reply_malformed(const CallPtr& call, const wire::DecodeError& error);
   void reply_rejected(const CallPtr& call, RejectionReason reason);
-  /// Records the job, provided that there is no record of its id.
+  /// Records the job, on condition that its id has no record yet.
   void create_job(const CallPtr& call);
   void on_create_result(const CallPtr& call, const store::CommitResult& result);
 
   // Cancellations.
   /// Records the cancel mark if the mirror holds the job unfinished and without one.
   void cancel_live_job(const CallPtr& call);
-  /// For a job that the mirror does not hold: looks again once the mirror is current.
+  /// For a job that the mirror does not hold: checks again once the mirror is current.
   void cancel_after_read_index(const CallPtr& call);
   void record_cancellation(const CallPtr& call, const store::Mirror::Job& job);
   void on_cancel_result(const CallPtr& call, const store::CommitResult& result);
--- a/src/config/properties.cpp
+++ b/src/config/properties.cpp
@@ -60,7 +60,7 @@
   double value = 0;
   if (!Poco::NumberParser::tryParseFloat(text, value))
     throw SettingsError(where + ": must be a number");
-  // Written this way so that a value that is not a number is refused as well.
+  // Written this way so that NaN is rejected as well.
   if (!(value >= property.low && value <= property.high)) {
     throw SettingsError(where + ": must lie between " + format_number(property.low) + " and " +
                         format_number(property.high));
@@ -73,19 +73,19 @@
 const std::vector<Property>& properties() {
   static const std::vector<Property> all{
       {"sched.threshold.tasks", "tasks", 0, 1000, &Tuning::threshold_tasks,
-       "z above the group's mean before a list sends out its excess"},
+       "excess of a list's anticipated wait over its group's mean above which it moves tasks"},
       {"sched.small.first", "share", 0, 100, &Tuning::remaining_work_weight,
        "weight of a job's remaining work in the order of the lists"},
       {"fleet.idle.share", "share of ready_s", 0, 100, &Tuning::idle_share,
        "how long an idle machine is kept"},
       {"fleet.headroom.machines", "machines", 0, 1000, &Tuning::headroom_machines,
-       "ordinary room kept free"},
+       "capacity kept free for services, fixed part"},
       {"fleet.headroom.share", "share", 0, 10, &Tuning::headroom_share,
-       "more of it, by the ordinary work there is"},
+       "capacity kept free for services, part that grows with the ordinary work"},
       {"fleet.foresight", "share", 0, 10, &Tuning::forecast_share,
-       "how far the demand one boot ahead is acted upon"},
+       "share of the forecast change of demand for which machines are rented in advance"},
       {"users.requests.max", "requests", constants::kMinRequestLimit, 100000, &Tuning::requests_max,
-       "upper bound of the self-adjusting limit"},
+       "upper bound of the adaptive limit of requests in progress"},
   };
   return all;
 }
--- a/src/config/properties.hpp
+++ b/src/config/properties.hpp
@@ -11,8 +11,8 @@
 
 namespace elmstall::config {
 
-/// What operators may tune. The constants of which these are the defaults tell the units and what
-/// each value does.
+/// The values that operators may tune. The constants that hold the defaults document the units and
+/// the effects.
 struct Tuning {
   double threshold_tasks = constants::kThresholdTasks;      ///< tasks
   double idle_share = constants::kIdleShare;                ///< share of a machine's boot time
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -64,7 +64,7 @@
     const auto node = root_.at_path(key);
     const auto value = node.value<double>();
     if (!value) fail(key, node ? "must be a number" : "is missing");
-    // Written this way so that a value that is not a number is refused as well.
+    // Written this way so that NaN is rejected as well.
     if (!(*value >= low && *value <= high)) {
       fail(key, "must lie between " + std::to_string(low) + " and " + std::to_string(high));
     }
@@ -134,7 +134,7 @@
 }
 
 /// The limits that come into force later, if the file announces some. Those that it does not name
-/// stay as they are now.
+/// keep their present values.
 std::optional<StateLimits> read_next_limits(const Reader& reader, const StateLimits& now) {
   if (!reader.has_table("deployment.state.next")) return std::nullopt;
   StateLimits limits;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -71,10 +71,10 @@
   /// Seconds from the acceptance of a cancellation until all tasks of the job must have stopped.
   double cancel_s = 0;
   double gang_wait_s = 0;  ///< how long a gang's task waits on its machine for the others, seconds
-  double gang_peer_s = 0;  ///< how soon a gang's task notices that another one is gone, seconds
+  double gang_peer_s = 0;  ///< how soon a gang's task detects the loss of another one, seconds
   /// The limits now. They determine how jobs are divided into blocks.
   StateLimits state;
-  /// Limits that come into force at some later moment without notice.
+  /// Announced limits that replace `state` at an unknown later moment.
   std::optional<StateLimits> state_next;
   double cloud_rps = 0;   ///< requests per second that the cloud accepts
   double list_lag_s = 0;  ///< how far the cloud's machine list may be behind, seconds
@@ -85,16 +85,16 @@
 
   /// The team with this name, or null.
   [[nodiscard]] const Team* team(const std::string& name) const;
-  /// The limits that every request keeps to: the smaller ones of those now and those to come.
+  /// The limits that every request must respect: the minimum of the present and the announced ones.
   [[nodiscard]] StateLimits state_limits() const;
   /// The leader lease W, in seconds (rule 5): how long a leader may answer heartbeats after it sent
-  /// the last request to the state store that was confirmed. A cancellation that the leader can't
-  /// learn of is thereby honoured in time: no lease is renewed after W, and the last lease of a
-  /// worker expires `lease_s` later.
+  /// the last request to the state store that was confirmed. A cancellation that does not reach the
+  /// leader thereby still takes effect in time: no lease is renewed after W, and the last lease of
+  /// a worker expires `lease_s` later.
   [[nodiscard]] double leader_lease_s() const;
   /// Seconds after which a worker's lease that was not renewed has certainly expired.
   [[nodiscard]] double lease_expired_after_s() const;
-  /// Seconds without a heartbeat after which a machine counts as silent.
+  /// Seconds without a heartbeat after which a machine is considered unreachable.
   [[nodiscard]] double heartbeat_timeout_s() const;
 };
 
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -34,7 +34,7 @@
 void FrameReader::append(std::string_view bytes) {
   buffer_.erase(0, consumed_);
   consumed_ = 0;
-  // One large message must not occupy memory for as long as the connection lasts.
+  // The memory for one large message must not be kept for the life of the connection.
   if (buffer_.empty() && buffer_.capacity() > constants::kPeerWriteBytes) buffer_.shrink_to_fit();
   buffer_.append(bytes);
 }
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -11,8 +11,8 @@
 
 namespace elmstall::peer {
 
-/// A frame announces a message larger than `constants::kMaxPeerMessageBytes`, which is more than
-/// controllers send. The stream can't be read any further.
+/// A frame's length exceeds `constants::kMaxPeerMessageBytes`, which no message between controllers
+/// does. The rest of the stream can't be read.
 class FrameTooLarge : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -21,7 +21,7 @@
 /// Returns the frame for a message.
 [[nodiscard]] std::string frame(std::string_view message);
 
-/// Cuts a byte stream into messages, in however many pieces the bytes arrive.
+/// Splits a byte stream into messages, however the bytes are fragmented on arrival.
 class FrameReader {
  public:
   /// Adds bytes to the end of the stream. Views that `next` returned become invalid.
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -21,11 +21,11 @@
   std::string node;               ///< name of the sender
   std::uint64_t term = 0;         ///< highest term that the sender knows
   std::string leader;             ///< name of that term's leader; empty if unknown
-  bool state_reachable = false;   ///< the state service answers the sender
+  bool state_reachable = false;   ///< the state store answers the sender
   bool leader_reachable = false;  ///< the sender receives the leader's heartbeats
   /// Revision up to which the sender's mirror of the records is complete; 0 while it has not been
   /// read in full. Once it is not 0, the sender takes no action that the records up to this
-  /// revision forbid.
+  /// revision rule out.
   std::uint64_t revision = 0;
   /// Seconds since the sender last answered a worker's heartbeat as a zone delegate, that is
   /// without the leader; if it never did, seconds since its process started.
@@ -41,7 +41,7 @@
 /// leader itself. The leader answers with a `ForwardedReply`.
 struct ForwardedHeartbeat {
   std::string node;      ///< name of the follower that forwards, and to which the reply goes
-  std::uint64_t id = 0;  ///< number that the follower gave it, to recognize the reply
+  std::uint64_t id = 0;  ///< number assigned by the follower, which the reply repeats
   std::string body;      ///< body of the worker's HTTP request
   /// Reads or writes the fields by a cereal archive, in the order that all versions share.
   template <class Archive>
@@ -62,8 +62,8 @@
   }
 };
 
-/// Tells that the sender has recorded the cancellation of a job. The records tell the same; this
-/// message arrives sooner, and also reaches controllers that the state service does not answer.
+/// Announces that the sender has recorded the cancellation of a job. The records show it too; this
+/// message arrives sooner, and also reaches controllers that have no access to the state store.
 struct Cancelled {
   std::string job;  ///< id of the job
   /// Reads or writes the fields by a cereal archive, in the order that all versions share.
--- a/src/peer/tcp_transport.cpp
+++ b/src/peer/tcp_transport.cpp
@@ -17,7 +17,7 @@
 /// Longest time that connecting, or writing one batch of frames, may take.
 constexpr auto kSendTimeout = std::chrono::seconds(3);
 /// Incoming connections that are served for each peer, and beyond those. A peer that lost its
-/// connection opens another one, while this side may not have noticed the loss yet.
+/// connection opens another one, while this side may not have detected the loss yet.
 constexpr std::size_t kIncomingPerPeer = 4;
 constexpr std::size_t kIncomingSpare = 4;
 
@@ -34,7 +34,7 @@
   void send(std::string text) {
     queue_.push_back(std::move(text));
     queued_bytes_ += queue_.back().size();
-    // A peer that does not read must not fill the memory of this process. The oldest messages
+    // A peer that does not read must not exhaust the memory of this process. The oldest messages
     // are dropped first, since newer ones supersede most of them.
     while (queued_bytes_ > constants::kMaxPeerMessageBytes && queue_.size() > 1) {
       queued_bytes_ -= queue_.front().size();
@@ -42,7 +42,7 @@
     }
   }
 
-  /// Writes what is queued. What the socket does not take at once is written later.
+  /// Writes the queued frames. The part that the socket does not accept at once is written later.
   void flush() {
     while (!busy_ && !closed_ && !queue_.empty()) {
       if (socket_.is_open()) {
@@ -127,7 +127,7 @@
     socket_.close(ignored);
   }
 
-  /// Gives up the connection and the batch on it. After a pause the queue is flushed again.
+  /// Closes the connection and drops its batch. After a pause the queue is flushed again.
   void reconnect_later() {
     close_socket();
     if (closed_) return;
--- a/src/peer/tcp_transport.hpp
+++ b/src/peer/tcp_transport.hpp
@@ -18,9 +18,9 @@
 
 /// Runs on the thread of the io_context, which must outlive this object.
 ///
-/// A message is lost when its connection fails, or when the receiver takes messages so slowly that
-/// the queue for it outgrows `constants::kMaxPeerMessageBytes`. A connection on which an unreadable
-/// message arrives is closed, and the fault is logged.
+/// A message is lost when its connection fails, or when the receiver reads so slowly that the queue
+/// for it exceeds `constants::kMaxPeerMessageBytes`. A connection on which a malformed message
+/// arrives is closed, and the error is logged.
 class TcpTransport : public Transport {
  public:
   /// Begins to listen at once; connects to a peer once there is something to send to it. Throws
@@ -41,7 +41,7 @@
  private:
   class Outgoing;
   class Incoming;
-  /// What the transport shares with its incoming connections, which may outlive it briefly.
+  /// State that the transport shares with its incoming connections, which may outlive it briefly.
   struct Shared {
     Receiver receiver;
     std::unordered_set<Incoming*> incoming;
--- a/src/store/keys.hpp
+++ b/src/store/keys.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The names of the records in the state store: how keys are built and taken apart.
+/// The keys of the records in the state store: functions that build and parse them.
 ///
 /// All keys share one prefix, so that a single watch delivers every change in order. Live records
 /// have a prefix of their own below it: a node that starts lists only these, so the time that a
@@ -34,8 +34,8 @@
 inline constexpr std::string_view kLeadKey = "elm/l/lead";
 /// Key of the machine types, stored as wire::encode_machine_types() packs them.
 inline constexpr std::string_view kTypesKey = "elm/l/types";
-/// A key that is never written. Reading it is the cheapest way to learn the store's present
-/// revision, which the answer for a missing key contains.
+/// A key that is never written. Reading it is the cheapest way to get the store's present
+/// revision, which the reply for a missing key contains.
 inline constexpr std::string_view kProbeKey = "elm/none";
 
 /// Key of the JobRecord of the job `id`.
@@ -47,7 +47,7 @@
 /// Key of the FinalRecord of the job `id`.
 [[nodiscard]] std::string final_key(std::string_view id);
 
-/// A key taken apart into the kind of its record and the name of the record.
+/// A parsed key: the kind of its record, and the id or number in it.
 struct Key {
   /// Kind of the record that a key names.
   enum class Kind : std::uint8_t {
@@ -61,12 +61,12 @@
     final,       ///< a FinalRecord
     earlier      ///< a record of the layout before the ledger log, which this program can't read
   };
-  Kind kind = Kind::other;   ///< decides whether `id` or `number` is set
+  Kind kind = Kind::other;   ///< determines whether `id` or `number` is set
   std::string id;            ///< job id (job, final) or node name (delegation); empty otherwise
   std::uint32_t number = 0;  ///< slot number (slot); 0 otherwise
 };
 
-/// Takes a key apart. Any text is accepted; unknown and malformed keys give Kind::other.
+/// Parses a key. Any text is accepted; unknown and malformed keys give Kind::other.
 [[nodiscard]] Key parse_key(std::string_view key);
 
 }  // namespace elmstall::store
--- a/src/store/ledger_codec.hpp
+++ b/src/store/ledger_codec.hpp
@@ -19,12 +19,12 @@
 /// One packed entry of a value of the ledger log.
 struct PackedEntry {
   std::string bytes;           ///< MessagePack
-  std::size_t json_bytes = 0;  ///< upper bound of its size as JSON, in bytes, with its separator
+  std::size_t json_bytes = 0;  ///< upper bound of its size as JSON with its separator
 };
 
 /// Packs the state of a block.
 [[nodiscard]] PackedEntry pack(const BlockEntry& entry);
-/// Packs the state of a machine, or the note that it was removed.
+/// Packs the state of a machine, or its removal.
 [[nodiscard]] PackedEntry pack(const MachineEntry& entry);
 /// Composes the value with this number from the bytes of packed entries.
 [[nodiscard]] std::string encode_slot(std::uint64_t number, const std::vector<std::string>& blocks,
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -36,7 +36,7 @@
 }
 
 void Mirror::load(const wire::Listing& page) {
-  // The store reads every page at its own moment, so a later page may show a later revision. The
+  // The store reads each page at a different time, so a later page may have a later revision. The
   // watch starts at the revision of the first page and replays the changes in between; the mirror
   // is complete only when the watch has passed the highest revision of all pages.
   if (first_page_) revision_ = page.revision;
@@ -94,8 +94,8 @@
   try {
     decode_and_put(key, packed, mod_revision);
   } catch (const wire::DecodeError& error) {
-    // A record that can't be decoded must not end the process: it would meet the same record
-    // again after its restart.
+    // A record that can't be decoded must not end the process, which would read the same record
+    // again after a restart.
     spdlog::error("a record of the state service is skipped: {}", error.what());
     if (key.kind == Key::Kind::job) unreadable_jobs_.insert(key.id);
   }
@@ -123,7 +123,7 @@
 void Mirror::put_machine(std::uint32_t slot, std::uint64_t number, const MachineEntry& entry) {
   if (entry.removed) {
     // A newer value may have recorded the machine again. And an older value that arrives after
-    // this one may bring the machine back; the leader then finds out anew that it is gone.
+    // this one may add the machine again; the leader then detects again that it no longer exists.
     const auto found = machines_.find(entry.id);
     if (found != machines_.end() && found->second.number <= number) machines_.erase(found);
     return;
--- a/src/store/mirror.hpp
+++ b/src/store/mirror.hpp
@@ -23,7 +23,7 @@
 /// The replica. A revision is the state store's version number: 0 stands for "none".
 class Mirror {
  public:
-  /// A value that is kept as it was stored.
+  /// A value in its stored encoding.
   struct Value {
     std::string packed;              ///< the value, as MessagePack
     std::uint64_t mod_revision = 0;  ///< revision of its last change
@@ -56,14 +56,14 @@
     std::uint64_t mod_revision = 0;  ///< revision at which it was written
   };
 
-  /// Forgets the live records, before they are listed anew. Final states are kept because they
-  /// never change.
+  /// Clears the live records before they are listed again. Final states are kept because they never
+  /// change.
   void restart();
-  /// Takes one page of the listing of live records. Pages must come in order.
+  /// Loads one page of the listing of live records. Pages must be passed in order.
   void load(const wire::Listing& page);
   /// The revision at which the watch must start after the last page.
   [[nodiscard]] std::uint64_t watch_start_revision() const { return revision_; }
-  /// Takes the changes that the watch delivered. Returns the keys whose records changed.
+  /// Applies the changes that the watch delivered. Returns the keys whose records changed.
   std::vector<Key> apply(const wire::Changes& changes);
 
   /// True if the mirror is complete: all pages are loaded, and the watch has passed the revision
@@ -72,8 +72,8 @@
   /// The revision up to which the mirror has seen all changes.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  /// Whether the present record of the job can't be decoded. The mirror then knows at most an older
-  /// state of the job, so nothing may be told of it.
+  /// Whether the present record of the job can't be decoded. The mirror then holds at most an
+  /// outdated state of the job, which must not be reported.
   [[nodiscard]] bool unreadable_job(const std::string& id) const {
     return unreadable_jobs_.contains(id);
   }
@@ -89,30 +89,28 @@
   [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_; }
   /// All slots of the ledger log, by number.
   [[nodiscard]] const std::map<std::uint32_t, Slot>& slots() const { return slots_; }
-  /// True if there are records of a layout that this program can't read. A node that sees some
-  /// must not start an election.
+  /// True if there are records of a layout that this program can't read. The node must not start an
+  /// election then.
   [[nodiscard]] bool earlier_layout() const { return earlier_layout_; }
   /// The zone delegates, by the name of the node.
   [[nodiscard]] const std::map<std::string, Delegation>& delegations() const {
     return delegations_;
   }
-  /// The final state of a job if it is among those remembered in memory. Others must be read from
-  /// the state store.
+  /// The final state of a job if it is cached. Others must be read from the state store.
   [[nodiscard]] std::optional<FinalRecord> final_state(const std::string& id) const;
-  /// Remembers a final state. The oldest is forgotten above constants::kFinalStateCacheSize.
+  /// Caches a final state. Beyond constants::kFinalStateCacheSize the oldest one is evicted.
   void cache_final_state(const std::string& id, const FinalRecord& record);
-  /// Number of the present leadership; 0 if there never was one.
+  /// The current term; 0 if there has been no leader yet.
   [[nodiscard]] std::uint64_t term() const { return term_; }
   /// Modification revision of the term's record.
   [[nodiscard]] std::uint64_t term_revision() const { return term_revision_; }
-  /// The record of the leader; nothing while its lease has expired.
+  /// The record of the leader; std::nullopt if it has expired with its lease.
   [[nodiscard]] const std::optional<LeadRecord>& lead() const { return lead_; }
   /// Modification revision of the leader's record; 0 if there is none.
   [[nodiscard]] std::uint64_t lead_revision() const { return lead_ ? lead_revision_ : 0; }
   /// The recorded machine types, as packed by wire::encode_machine_types().
   [[nodiscard]] const std::optional<Value>& machine_types() const { return machine_types_; }
-  /// What a user is told of a job, as far as the mirror knows it. The caller checks before that
-  /// the job exists.
+  /// The status of a job as it is in the mirror. The caller must have checked that the job exists.
   [[nodiscard]] wire::JobStatus status(const std::string& id) const;
 
  private:
--- a/src/store/mirror_follower.hpp
+++ b/src/store/mirror_follower.hpp
@@ -14,8 +14,8 @@
 
 namespace elmstall::store {
 
-/// Feeds a mirror from the state store, from the call of `start` for as long as this object exists.
-/// Requests that fail are repeated, so errors are not reported.
+/// Updates a mirror from the state store, from the call of `start` until this object is destroyed.
+/// Failed requests are retried, so errors are not reported.
 class MirrorFollower {
  public:
   /// The objects and callbacks that the follower uses. The objects must outlive it.
@@ -33,7 +33,7 @@
   /// Sends no request before `start`.
   explicit MirrorFollower(Context context);
 
-  /// Begins to follow; to be called once.
+  /// Starts to list and watch; must be called once.
   void start() { list_from_start(); }
 
  private:
--- a/src/store/recent_jobs.hpp
+++ b/src/store/recent_jobs.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A memory for something about each of many jobs, of limited size.
+/// A map from job ids to values, of limited size.
 #pragma once
 
 #include <deque>
@@ -9,26 +9,26 @@
 
 namespace elmstall::store {
 
-/// Remembers a value that never changes for each of the jobs that were added last.
+/// Keeps one immutable value for each of the jobs that were inserted last.
 template <typename Value>
 class RecentJobs {
  public:
-  /// `limit`: number of jobs that are remembered; beyond it the oldest is forgotten.
+  /// `limit`: largest number of jobs; beyond it the oldest is evicted.
   explicit RecentJobs(std::size_t limit) : limit_(limit) {}
 
-  /// What is remembered of the job, or null.
+  /// The value of the job, or null.
   [[nodiscard]] const Value* find(const std::string& job) const {
     const auto found = values_.find(job);
     return found == values_.end() ? nullptr : &found->second;
   }
-  /// Remembers the value. A job that is remembered already keeps its value.
+  /// Inserts the value. A job that has a value already keeps it.
   void insert(const std::string& job, Value value) {
     if (values_.emplace(job, std::move(value)).second) order_.push_back(job);
     if (order_.size() <= limit_) return;
     values_.erase(order_.front());
     order_.pop_front();
   }
-  /// Number of jobs that are remembered.
+  /// Number of jobs in the map.
   [[nodiscard]] std::size_t size() const { return order_.size(); }
 
  private:
--- a/src/store/record_sizes.hpp
+++ b/src/store/record_sizes.hpp
@@ -12,8 +12,8 @@
 
 namespace elmstall::store {
 
-/// Bytes that may be filled of a value whose limit is `value_kb`. A small share is left free for
-/// the frame around the entries (constants::kValueFillFactor).
+/// Bytes that may be filled of a value whose limit is `value_kb`. A small share is reserved for
+/// the structure around the entries (constants::kValueFillFactor).
 [[nodiscard]] std::size_t value_bytes(double value_kb);
 
 /// Upper bound of the size of a job's record as JSON, in bytes.
@@ -21,11 +21,11 @@
 
 /// The record of a job, marked as cancelled. If the marked record took more than `max_bytes` bytes,
 /// it is written without the fields that only the start of a task needs: the job may have been
-/// accepted under a larger limit, and no task of a cancelled job starts any more.
+/// accepted under a larger limit, and no task of a cancelled job is started.
 [[nodiscard]] JobRecord cancelled_record(JobRecord record, std::size_t max_bytes);
 
 /// Number of tasks of one block that may be unfinished and started at the same time, so that the
-/// block's record fits into one value. This is the whole block unless the limit is below some
+/// block's record fits into one value. This is the whole block unless the limit is below about
 /// 1.5 KiB. At least 1.
 [[nodiscard]] std::uint32_t max_started_tasks(double value_kb);
 
--- a/src/store/record_types.hpp
+++ b/src/store/record_types.hpp
@@ -1,9 +1,9 @@
 /// @file
 /// The records that the controllers keep in the state store, as plain value types.
 ///
-/// What the leader records of tasks and machines has no keys of its own, because the store takes
-/// few changes a second: such records are entries of the ledger log (SlotRecord), of which one
-/// write carries many. See "The ledger log" in docs/design.md.
+/// The records of tasks and machines have no keys of their own, because the store accepts few
+/// changes per second: they are entries of the ledger log (SlotRecord), and one write contains
+/// many of them. See "The ledger log" in docs/design.md.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 namespace elmstall::store {
 
-/// Number of the present leadership; every election raises it.
+/// The current term; every election increments it.
 struct TermRecord {
-  std::uint64_t term = 0;  ///< 0 stands for no leadership
+  std::uint64_t term = 0;  ///< 0: there has been no leader yet
 };
 
-/// Which process leads. The record is bound to a lease and disappears with it.
+/// The process that is the leader. The record is bound to a lease and deleted with it.
 struct LeadRecord {
-  std::string node;         ///< name of the node that leads
-  std::string incarnation;  ///< name of the process, which differs after a restart of the node
-  std::uint64_t term = 0;   ///< the term that this leadership began
+  std::string node;         ///< name of the leader's node
+  std::string incarnation;  ///< id of the process, which differs after a restart of the node
+  std::uint64_t term = 0;   ///< the term in which it is the leader
 };
 
 /// An accepted job that has no final state yet.
@@ -64,21 +64,21 @@
 
 /// Declares a node to be a zone delegate of its zone. The node's name is in the key.
 struct DelegationRecord {
-  std::string zone;  ///< zone whose workers the node may answer
+  std::string zone;  ///< zone whose workers' heartbeats the node may answer
 };
 
 /// The whole state of one block at the moment when a value of the ledger log was written.
 struct BlockEntry {
   std::string job;           ///< id of the job
   std::uint32_t number = 0;  ///< position of the block within the job
-  BlockRecord record;        ///< replaces what earlier values say of the block
+  BlockRecord record;        ///< replaces the state of the block in earlier values
 };
 
 /// The whole state of one machine at the moment when a value of the ledger log was written.
 struct MachineEntry {
   std::string id;        ///< id of the machine
   bool removed = false;  ///< the machine is no longer recorded; `record` is then unused
-  MachineRecord record;  ///< replaces what earlier values say of the machine
+  MachineRecord record;  ///< replaces the state of the machine in earlier values
 };
 
 /// One value of the ledger log, as it is stored in one slot. If several values contain an entry
--- a/src/store/state_store.hpp
+++ b/src/store/state_store.hpp
@@ -16,45 +16,45 @@
 
 /// How a request to the state store ended.
 enum class Outcome : std::uint8_t {
-  ok,           ///< the request was executed
-  conflict,     ///< a precondition failed; nothing was executed
-  missing,      ///< there is no such key or lease (404)
-  no_lease,     ///< the lease of a write has expired; nothing was executed
-  compacted,    ///< the watched revisions are no longer kept: the watch must start anew (410)
+  ok,         ///< the request was executed
+  conflict,   ///< a precondition failed; nothing was executed
+  missing,    ///< there is no such key or lease (404)
+  no_lease,   ///< the lease of a write has expired; nothing was executed
+  compacted,  ///< the watched revisions are no longer kept: the records must be listed again (410)
   unavailable,  ///< certainly not executed: refused (503, 429) or never sent
   unknown,      ///< may have been executed, or may still be executed later
-  rejected,     ///< the store calls the request malformed, which is a defect of this program
+  rejected,     ///< the store rejected the request as malformed, a defect of this program
 };
 
 /// Result of StateStore::commit().
 struct CommitResult {
-  Outcome outcome = Outcome::unknown;  ///< tells which of the other members are set
+  Outcome outcome = Outcome::unknown;  ///< determines which of the other members are set
   std::uint64_t revision = 0;          ///< revision of the transaction's changes, with `ok`
   std::vector<std::string> failed;     ///< keys whose precondition failed, with `conflict`
 };
 
 /// Result of StateStore::get().
 struct GetResult {
-  Outcome outcome = Outcome::unknown;  ///< tells which of the other members are set
+  Outcome outcome = Outcome::unknown;  ///< determines which of the other members are set
   wire::Entry entry;                   ///< with `ok`
   std::uint64_t revision = 0;          ///< the store's present revision, with `missing`
 };
 
 /// Result of StateStore::list().
 struct ListResult {
-  Outcome outcome = Outcome::unknown;  ///< tells whether `listing` is set
+  Outcome outcome = Outcome::unknown;  ///< determines whether `listing` is set
   wire::Listing listing;               ///< with `ok`
 };
 
 /// Result of StateStore::watch().
 struct WatchResult {
-  Outcome outcome = Outcome::unknown;  ///< tells whether `changes` is set
+  Outcome outcome = Outcome::unknown;  ///< determines whether `changes` is set
   wire::Changes changes;               ///< with `ok`
 };
 
 /// Result of StateStore::grant().
 struct GrantResult {
-  Outcome outcome = Outcome::unknown;  ///< tells whether `lease` is set
+  Outcome outcome = Outcome::unknown;  ///< determines whether `lease` is set
   std::uint64_t lease = 0;             ///< id of the new lease, with `ok`
 };
 
--- a/src/store/state_store_client.cpp
+++ b/src/store/state_store_client.cpp
@@ -11,7 +11,7 @@
   return std::chrono::milliseconds(static_cast<long>(seconds * 1000));
 }
 
-/// The reply that stands for a request that was given up before it was sent.
+/// The reply that is reported for a request that was dropped before it was sent.
 net::Reply never_sent_reply() { return {0, {}, true}; }
 
 Outcome outcome_of(const net::Reply& reply) {
@@ -36,8 +36,8 @@
   }
 }
 
-/// Makes a result of the outcome and, if the outcome comes with a message, lets `fill` read the
-/// message into the result. A message that can't be decoded counts as no answer.
+/// Builds a result from the outcome and, if the outcome comes with a message, calls `fill` to
+/// decode the message into the result. A message that can't be decoded counts as no reply.
 template <typename Result, typename Fill>
 Result decode(const net::Reply& reply, Outcome outcome, Fill&& fill) {
   Result result;
@@ -181,9 +181,9 @@
 }
 
 void StateStoreClient::send_within_rate_limits(Clock::time_point now) {
-  // Requests are sent in their order, except that reads do not wait behind a write that the write
-  // rate holds back. Every request is taken out once; one that must wait is put at the end again,
-  // so after the loop those that wait are in their former order.
+  // Requests are sent in their order, except that reads do not wait behind a write that
+  // exceeds the write rate. Every request is removed once, and appended again if it must wait, so
+  // after the loop the waiting requests are in their original order.
   bool writes_wait = false;
   for (std::size_t left = queue_.size(); left > 0; --left) {
     auto request = std::move(queue_.front());
--- a/src/store/state_store_client.hpp
+++ b/src/store/state_store_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP client of the state store that keeps within this node's share of the store's rate limits.
+/// HTTP client of the state store that stays within this node's share of the store's rate limits.
 ///
 /// Runs on one Asio loop; it has no locks.
 #pragma once
@@ -64,8 +64,8 @@
     std::function<void()> give_up;  ///< reports that it was never sent
   };
 
-  /// Queues a request. `interpret` turns the HTTP reply into the result for `done`; if the request
-  /// is not sent in time it is given a reply that says so.
+  /// Queues a request. `interpret` turns the HTTP reply into the result for `done`; if the
+  /// request is not sent in time, it gets a reply marked as `never_sent`.
   template <typename Result>
   void enqueue(net::HttpClient& client, Request request, Result (*interpret)(const net::Reply&),
                std::function<void(Result)> done);
@@ -73,7 +73,7 @@
   void refill(Clock::time_point now);
   /// Sends every queued request that the rate limits allow and drops those past their deadline.
   void send_within_rate_limits(Clock::time_point now);
-  /// Calls send_queued() again after a short time, unless nothing waits.
+  /// Schedules the next call of send_queued(), unless the queue is empty.
   void schedule_next();
   void send_queued();
   [[nodiscard]] bool within_rate_limits(const QueuedRequest& request) const;
