--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -20,7 +20,7 @@
 
 // --- every request -----------------------------------------------------------
 
-UserApi::CallPtr UserApi::admit(net::Responder respond, double patience_s) {
+UserApi::CallPtr UserApi::admit(net::Responder respond, double timeout_s) {
   if (!limit_.try_enter()) {
     respond({503, {}, k::kRetryAfter});
     return nullptr;
@@ -28,10 +28,10 @@
   const double now = loop_.now();
   auto call = std::make_shared<Call>();
   call->asked_at = now;
-  call->deadline = now + patience_s;
+  call->deadline = now + timeout_s;
   call->respond = [this, now, respond = std::move(respond)](net::Response response) {
-    // A 503 is caused by trouble of the state service, so its time does not show this controller's
-    // load.
+    // A 503 is caused by a failure of the state store, so its duration does not reflect this
+    // controller's load.
     limit_.leave(response.status == 503 ? ConcurrencyLimit::kNotMeasured : loop_.now() - now);
     respond(std::move(response));
   };
@@ -79,9 +79,9 @@
       });
 }
 
-bool UserApi::remember_final(const std::string& id, const std::string& packed) {
+bool UserApi::cache_final_record(const std::string& id, const std::string& packed) {
   try {
-    mirror_.remember_final(id, store::decode_final(packed));
+    mirror_.cache_final_state(id, store::decode_final(packed));
     return true;
   } catch (const wire::DecodeError& error) {
     spdlog::error("the final record of job {} can't be read: {}", id, error.what());
@@ -91,17 +91,18 @@
 
 void UserApi::reply_if_final(const CallPtr& call, wire::TaskCounts counts,
                              std::function<void()> otherwise) {
-  // The mirror remembers a limited number of final states, and none of those that were written
-  // before this controller started. The state service has all of them.
-  store_.get(store::final_key(call->id),
-             scope_.wrap([this, call, counts,
-                          otherwise = std::move(otherwise)](const store::GetResult& result) {
-               if (result.outcome == Outcome::missing) return otherwise();
-               if (result.outcome != Outcome::ok || !remember_final(call->id, result.entry.value))
-                 return reply_unavailable(call);
-               const auto status = ConfirmedStatus::of_final_record(mirror_, call->id);
-               reply_status(call, kOk, status.value(), counts);
-             }));
+  // The mirror caches a limited number of final states, and none of those that were written
+  // before this controller started. The state store has all of them.
+  store_.get(
+      store::final_key(call->id),
+      scope_.wrap(
+          [this, call, counts, otherwise = std::move(otherwise)](const store::GetResult& result) {
+            if (result.outcome == Outcome::missing) return otherwise();
+            if (result.outcome != Outcome::ok || !cache_final_record(call->id, result.entry.value))
+              return reply_unavailable(call);
+            const auto status = ConfirmedStatus::of_final_record(mirror_, call->id);
+            reply_status(call, kOk, status.value(), counts);
+          }));
 }
 
 // --- polls -------------------------------------------------------------------
@@ -158,7 +159,7 @@
 void UserApi::create_job(const CallPtr& call) {
   wire::Transaction transaction;
   // The absence of a final record is a precondition too (rule 8): a copy of this request that
-  // arrives after the job is over must not create the job again.
+  // arrives after the job has finished must not create the job again.
   transaction.preconditions = {{store::job_key(call->id), 0}, {store::final_key(call->id), 0}};
   transaction.writes = {{store::job_key(call->id),
                          store::encode(store::JobRecord{call->spec, false, loop_.wall()}), 0}};
@@ -180,9 +181,9 @@
     case Outcome::unavailable:
       return retry_before_deadline(call, [this, call] { create_job(call); });
     case Outcome::unknown:
-      // This request may have created the job. Or the answer that got lost was a conflict: another
-      // controller accepted the job before, and it may be cancelled or done by now. The bare record
-      // does not tell which, so the answer is that to any question about the job.
+      // This request may have created the job. Or the lost reply was a conflict: another controller
+      // accepted the job before, and it may be cancelled or done by now. The job's record alone
+      // does not show which, so the current state is looked up as for a poll.
       return reply_if_known(call, wire::TaskCounts::omitted, [this, call] {
         retry_before_deadline(call, [this, call] { create_job(call); });
       });
@@ -210,7 +211,7 @@
 }
 
 void UserApi::cancel_after_read_index(const CallPtr& call) {
-  // The job is over, or unknown, or was submitted too recently for this mirror.
+  // The job is finished, or unknown, or was submitted too recently to be in this mirror.
   read_index_.request(
       call->deadline - loop_.now(), [this, call](const election::LinearizableRead* read) {
         if (read == nullptr && !mirror_.final_state(call->id)) return reply_unavailable(call);
@@ -233,14 +234,14 @@
 
 void UserApi::on_cancel_result(const CallPtr& call, const store::CommitResult& result) {
   if (const auto commit = AppliedCommit::of(result)) {
-    cancelled_(call->id);
+    on_cancelled_(call->id);
     return reply_status(call, kOk, ConfirmedStatus::cancelled(*commit, call->id),
                         wire::TaskCounts::omitted);
   }
   if (result.outcome == Outcome::unavailable)
     return retry_before_deadline(call, [this, call] { cancel_live_job(call); });
-  // The record was changed by another controller, or perhaps by this very request if its outcome
-  // is unknown. A mirror that is current shows which of the two happened.
+  // The record was changed by another controller, or by this request itself if its outcome is
+  // unknown. A mirror that is current shows which of the two happened.
   read_index_.request(call->deadline - loop_.now(),
                       [this, call](const election::LinearizableRead* read) {
                         if (read == nullptr) return reply_unavailable(call);
--- a/src/config/properties.hpp
+++ b/src/config/properties.hpp
@@ -11,16 +11,16 @@
 
 namespace elmstall::config {
 
-/// What operators may tune. The constants of which these are the defaults tell the units and what
-/// each value does.
+/// The values that operators may tune. The constants that hold the defaults document the units and
+/// the effects.
 struct Tuning {
   double threshold_tasks = constants::kThresholdTasks;      ///< tasks
   double idle_share = constants::kIdleShare;                ///< share of a machine's boot time
   double headroom_machines = constants::kHeadroomMachines;  ///< machines
   double headroom_share = constants::kHeadroomShare;        ///< share of the ordinary work
-  double foresight = constants::kForesight;                 ///< share of the expected change
-  double small_first = constants::kSmallFirst;              ///< weight
-  double requests_max = constants::kLimitMax;               ///< requests in progress
+  double forecast_share = constants::kForecastShare;        ///< share of the expected change
+  double remaining_work_weight = constants::kRemainingWorkWeight;  ///< weight
+  double requests_max = constants::kMaxRequestLimit;               ///< requests in progress
 };
 
 /// One key of the file: its name, the values it accepts, and the member it sets.
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -24,7 +24,7 @@
   term_ = 0;
   term_revision_ = 0;
   lead_.reset();
-  types_.reset();
+  machine_types_.reset();
   jobs_.clear();
   cancelled_.clear();
   unreadable_jobs_.clear();
@@ -36,7 +36,7 @@
 }
 
 void Mirror::load(const wire::Listing& page) {
-  // The store reads every page at its own moment, so a later page may show a later revision. The
+  // The store reads each page at a different time, so a later page may have a later revision. The
   // watch starts at the revision of the first page and replays the changes in between; the mirror
   // is complete only when the watch has passed the highest revision of all pages.
   if (first_page_) revision_ = page.revision;
@@ -78,7 +78,7 @@
     case Key::Kind::lead:
       return lead_revision();
     case Key::Kind::types:
-      return types_ ? types_->mod_revision : 0;
+      return machine_types_ ? machine_types_->mod_revision : 0;
     case Key::Kind::job:
       return mod_revision_in(jobs_, key.id);
     case Key::Kind::slot:
@@ -94,8 +94,8 @@
   try {
     decode_and_put(key, packed, mod_revision);
   } catch (const wire::DecodeError& error) {
-    // A record that can't be decoded must not end the process: it would meet the same record
-    // again after its restart.
+    // A record that can't be decoded must not end the process, which would read the same record
+    // again after a restart.
     spdlog::error("a record of the state service is skipped: {}", error.what());
     if (key.kind == Key::Kind::job) unreadable_jobs_.insert(key.id);
   }
@@ -123,7 +123,7 @@
 void Mirror::put_machine(std::uint32_t slot, std::uint64_t number, const MachineEntry& entry) {
   if (entry.removed) {
     // A newer value may have recorded the machine again. And an older value that arrives after
-    // this one may bring the machine back; the leader then finds out anew that it is gone.
+    // this one may add the machine again; the leader then detects again that it no longer exists.
     const auto found = machines_.find(entry.id);
     if (found != machines_.end() && found->second.number <= number) machines_.erase(found);
     return;
@@ -143,7 +143,7 @@
       lead_revision_ = mod_revision;
       break;
     case Key::Kind::types:
-      types_ = Value{packed, mod_revision};
+      machine_types_ = Value{packed, mod_revision};
       break;
     case Key::Kind::job:
       put_job(key.id, decode_job(packed), mod_revision);
@@ -158,7 +158,7 @@
       delegations_[key.id] = {decode_delegation(packed).zone, mod_revision};
       break;
     case Key::Kind::final:
-      remember_final(key.id, decode_final(packed));
+      cache_final_state(key.id, decode_final(packed));
       break;
     case Key::Kind::other:
       break;
@@ -195,13 +195,13 @@
 }
 
 std::optional<FinalRecord> Mirror::final_state(const std::string& id) const {
-  const auto* found = finals_.find(id);
+  const auto* found = final_states_.find(id);
   if (found == nullptr) return std::nullopt;
   return *found;
 }
 
-void Mirror::remember_final(const std::string& id, const FinalRecord& record) {
-  finals_.remember(id, record);
+void Mirror::cache_final_state(const std::string& id, const FinalRecord& record) {
+  final_states_.insert(id, record);
 }
 
 wire::JobStatus Mirror::status(const std::string& id) const {
