--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -207,10 +207,10 @@
 
 election::Connectivity Node::connectivity() const {
   election::Connectivity connectivity;
-  connectivity.leader_heard = leader_heard();
+  connectivity.leader_reachable = leader_heard();
   connectivity.state_reachable = state_reachable(k::kPeerSilence);
-  if (!connectivity.leader_heard && !connectivity.state_reachable)
-    connectivity.cut_off_neighbour = peers_.neighbour_without_leader();
+  if (!connectivity.leader_reachable && !connectivity.state_reachable)
+    connectivity.cut_off_zone_peer = peers_.neighbour_without_leader();
   return connectivity;
 }
 
@@ -225,7 +225,7 @@
     use_machine_types(wire::decode_machine_types(document.root()));
   }
   read_index_.check();
-  election_.consider();
+  election_.evaluate();
 }
 
 void Node::use_machine_types(std::vector<wire::MachineType> machine_types) {
@@ -290,7 +290,7 @@
     user_api_.log_answer_counts();
   }
   heartbeat_router_.tick();
-  election_.consider();
+  election_.evaluate();
   zone_delegate_.tick(connectivity());
   if (renewal_) renewal_->tick(machine_types_);
   if (leader_) leader_->tick();
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -45,16 +45,17 @@
   return true;
 }
 
-void Election::consider() {
+void Election::evaluate() {
   if (role_ == Role::leader || !context_.mirror.loaded() || layout_unreadable()) return;
   if (const auto candidacy = won_candidacy()) return become_leader(*candidacy);
   if (!leadership_open() || role_ == Role::candidate) {
-    start_at_.reset();
+    candidacy_due_at_.reset();
     return;
   }
   const double now = context_.event_loop.now();
-  if (!start_at_) start_at_ = now + context_.event_loop.random() * k::kElectionJitter;
-  if (now >= *start_at_) start_candidacy();
+  if (!candidacy_due_at_)
+    candidacy_due_at_ = now + context_.event_loop.random() * k::kElectionJitter;
+  if (now >= *candidacy_due_at_) start_candidacy();
 }
 
 void Election::become_leader(const Candidacy& candidacy) {
@@ -67,7 +68,7 @@
 
 void Election::start_candidacy() {
   role_ = Role::candidate;
-  start_at_.reset();
+  candidacy_due_at_.reset();
   context_.store.grant(k::kLeadLease, scope_.wrap([this](const store::GrantResult& granted) {
     // Another node may have won while the lease was being granted.
     const bool still_open = role_ != Role::leader && leadership_open();
@@ -102,7 +103,7 @@
 void Election::back_off(double delay_s) {
   context_.event_loop.after(delay_s, scope_.wrap([this] {
     if (role_ != Role::leader) role_ = Role::follower;
-    consider();
+    evaluate();
   }));
 }
 
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -51,7 +51,7 @@
 
   /// Takes up the leadership if the mirror shows a won candidacy, or starts a candidacy if there
   /// is no leader. To be called after every change of the records, and at regular intervals.
-  void consider();
+  void evaluate();
   /// This node no longer leads and may stand for election again.
   void resign() { role_ = Role::follower; }
 
@@ -76,7 +76,7 @@
   Role role_ = Role::follower;
   std::vector<Candidacy> candidacies_;  ///< that may still win, latest last
   std::uint64_t next_candidacy_ = 1;
-  std::optional<double> start_at_;  ///< end of the random wait before a candidacy
+  std::optional<double> candidacy_due_at_;  ///< end of the random wait before a candidacy
   bool unreadable_layout_logged_ = false;
 };
 
--- a/src/election/read_index.cpp
+++ b/src/election/read_index.cpp
@@ -17,9 +17,9 @@
 
 double ReadIndex::last_success() const { return last_success_.value_or(kFarPast); }
 
-void ReadIndex::request(double patience_s, Callback callback) {
+void ReadIndex::request(double timeout_s, Callback callback) {
   const double now = loop_.now();
-  unsent_.push_back({now, now + patience_s, std::move(callback)});
+  unsent_.push_back({now, now + timeout_s, std::move(callback)});
   send_probe();
 }
 
@@ -29,7 +29,7 @@
   // the state store accepts, which the leader's commits need.
   const double now = loop_.now();
   if (next_probe_at_ && now < *next_probe_at_)
-    return wake_.after(*next_probe_at_ - now, [this] { send_probe(); });
+    return probe_timer_.after(*next_probe_at_ - now, [this] { send_probe(); });
   next_probe_at_ = now + min_interval_s_;
   probe_in_flight_ = true;
   store_.get(std::string(store::kProbeKey),
@@ -62,12 +62,12 @@
 void ReadIndex::check() {
   const double now = loop_.now();
   std::vector<PendingRead> ready;
-  std::vector<PendingRead> left;
+  std::vector<PendingRead> still_waiting;
   for (auto& read : awaiting_mirror_) {
     const bool is_ready = mirror_has_reached(read.required_revision) || read.deadline <= now;
-    (is_ready ? ready : left).push_back(std::move(read));
+    (is_ready ? ready : still_waiting).push_back(std::move(read));
   }
-  awaiting_mirror_ = std::move(left);
+  awaiting_mirror_ = std::move(still_waiting);
   for (auto& read : ready) {
     const bool current = mirror_has_reached(read.required_revision);
     if (current) current_as_of_ = std::max(current_as_of_.value_or(kFarPast), read.requested_at);
--- a/src/election/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -58,13 +58,13 @@
         store_(store),
         mirror_(mirror),
         scope_(queue),
-        wake_(event_loop, queue),
+        probe_timer_(event_loop, queue),
         min_interval_s_(min_interval_s) {}
 
-  /// Requests a read index for one read, whose deadline is `patience_s` from now. The deadline
+  /// Requests a read index for one read, whose deadline is `timeout_s` from now. The deadline
   /// is looked at only once the state store has answered; a request that fails calls back with
   /// null. The callback is never called from within this function.
-  void request(double patience_s, Callback callback);
+  void request(double timeout_s, Callback callback);
   /// Calls back the reads that the mirror is current for by now, and those whose deadline has
   /// passed. To be called after every change of the mirror, and at regular intervals.
   void check();
@@ -95,7 +95,7 @@
   runtime::CommandScope scope_;
   std::vector<PendingRead> unsent_;           ///< wait for the next request to be sent
   std::vector<PendingRead> awaiting_mirror_;  ///< wait for the mirror to reach their revision
-  runtime::CoalescingTimer wake_;
+  runtime::CoalescingTimer probe_timer_;
   double min_interval_s_;
   std::optional<double> next_probe_at_;  ///< no request is sent before this time
   bool probe_in_flight_ = false;
--- a/src/election/term_tracker.hpp
+++ b/src/election/term_tracker.hpp
@@ -15,8 +15,8 @@
   /// the source does not name the leader of that term. Lower terms than the known one are ignored.
   void learn(std::uint64_t term, const std::string& leader) {
     if (term > term_) leader_.clear();
-    const bool tells_leader = term >= term_ && !leader.empty();
-    if (tells_leader && leader_.empty()) leader_ = leader;
+    const bool names_leader = term >= term_ && !leader.empty();
+    if (names_leader && leader_.empty()) leader_ = leader;
     term_ = std::max(term_, term);
   }
   /// Enters a term that this node has been elected in; `leader` is its own name.
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -17,7 +17,7 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kMisdirected = 421;
 
-bool shows_attempt(const wire::WorkerHeartbeat& heartbeat, const std::string& job,
+bool lists_attempt(const wire::WorkerHeartbeat& heartbeat, const std::string& job,
                    const store::TaskRecord& task) {
   return std::any_of(
       heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const wire::TaskStatus& status) {
@@ -60,29 +60,29 @@
 
 bool ZoneDelegate::may_reply_unrecorded(const std::string& machine,
                                         const Connectivity& connectivity) const {
-  if (connectivity.leader_heard || connectivity.state_reachable) return false;
+  if (connectivity.leader_reachable || connectivity.state_reachable) return false;
   if (!context_.mirror.loaded()) return false;
   // As with a leader, the knowledge of the term and of cancellations must be recent enough at the
   // moment of the reply (docs/design.md, rule 5).
   const double now = context_.event_loop.now();
   const double records_age = now - context_.read_index.current_as_of();
   if (records_age >= context_.settings.leader_lease_s()) return false;
-  if (!connectivity.cut_off_neighbour.empty()) return true;
+  if (!connectivity.cut_off_zone_peer.empty()) return true;
   // Perhaps only this node is cut off, and other controllers can serve its workers. A worker that
   // was sent to another controller and has come back was not served there.
-  const auto sent = sent_elsewhere_.find(machine);
-  return sent != sent_elsewhere_.end() && now > sent->second;
+  const auto refused = last_refused_at_.find(machine);
+  return refused != last_refused_at_.end() && now > refused->second;
 }
 
-void ZoneDelegate::send_elsewhere(const PendingHeartbeat& heartbeat,
-                                  const Connectivity& connectivity) {
-  sent_elsewhere_[heartbeat.heartbeat.machine] = context_.event_loop.now();
-  const auto& neighbour = connectivity.cut_off_neighbour;
-  if (neighbour.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
+void ZoneDelegate::refuse_or_redirect(const PendingHeartbeat& heartbeat,
+                                      const Connectivity& connectivity) {
+  last_refused_at_[heartbeat.heartbeat.machine] = context_.event_loop.now();
+  const auto& zone_peer = connectivity.cut_off_zone_peer;
+  if (zone_peer.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
   // In a zone that is cut off, controllers of other zones can't be reached, and
-  // trying each of them takes a worker 5 s. If the worker stays with this node or its neighbour,
+  // trying each of them takes a worker 5 s. If the worker stays with this node or its peer,
   // the leader hears of it as soon as the cut ends.
-  heartbeat.respond({kMisdirected, wire::encode_redirect(neighbour), 0});
+  heartbeat.respond({kMisdirected, wire::encode_redirect(zone_peer), 0});
 }
 
 void ZoneDelegate::reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond) {
@@ -92,7 +92,7 @@
   // must not be kept alive (rule 6).
   if (found == machines.end() || found->second.record.retired)
     return respond({kServiceUnavailable, {}, 0});
-  if (may_start_cancelled(heartbeat)) return respond({kServiceUnavailable, {}, 0});
+  if (cancelled_run_may_be_in_flight(heartbeat)) return respond({kServiceUnavailable, {}, 0});
   replied_at_ = context_.event_loop.now();
   // The leader may have raised this machine's fence. The worker would drop a reply with a lower
   // token than it has seen, and its lease would run out.
@@ -113,7 +113,7 @@
   return commands;
 }
 
-bool ZoneDelegate::may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const {
+bool ZoneDelegate::cancelled_run_may_be_in_flight(const wire::WorkerHeartbeat& heartbeat) const {
   // A worker carries out a `run` that was delayed in the network whenever it arrives, as long as
   // it has seen no higher token and its epoch has not ended. A zone delegate has no higher token
   // to give, so it lets the epoch end instead ("Held commands" in docs/design.md).
@@ -123,11 +123,11 @@
     if (blocks == nullptr) continue;
     for (const auto& [number, block] : *blocks) {
       const auto& tasks = block.record.tasks;
-      const bool may_be_held_up =
+      const bool may_be_in_flight =
           std::any_of(tasks.begin(), tasks.end(), [&](const store::TaskRecord& task) {
-            return task.machine == heartbeat.machine && !shows_attempt(heartbeat, id, task);
+            return task.machine == heartbeat.machine && !lists_attempt(heartbeat, id, task);
           });
-      if (may_be_held_up) return true;
+      if (may_be_in_flight) return true;
     }
   }
   return false;
@@ -140,7 +140,7 @@
     if (may_reply(pending.heartbeat.machine, connectivity)) {
       reply(pending.heartbeat, pending.respond);
     } else if (now >= pending.deadline) {
-      send_elsewhere(pending, connectivity);
+      refuse_or_redirect(pending, connectivity);
     } else {
       still_waiting.push_back(std::move(pending));
     }
@@ -210,7 +210,7 @@
 void ZoneDelegate::end(const char* reason) {
   const bool was_active = std::exchange(state_, State::idle) == State::active;
   ++attempt_;
-  leader_heard_since_.reset();
+  leader_reachable_since_.reset();
   if (!was_active) return;
   spdlog::info("no longer zone delegate of {}: {}", context_.settings.zone, reason);
   // This node replies to no heartbeat from here on, so the record may be removed. If the removal
@@ -232,23 +232,23 @@
 
 // --- periodic work -------------------------------------------------------------------
 
-void ZoneDelegate::track_leader(bool leader_heard, double now) {
-  if (!leader_heard) {
-    leader_heard_since_.reset();
-  } else if (!leader_heard_since_) {
-    leader_heard_since_ = now;
+void ZoneDelegate::track_leader(bool leader_reachable, double now) {
+  if (!leader_reachable) {
+    leader_reachable_since_.reset();
+  } else if (!leader_reachable_since_) {
+    leader_reachable_since_ = now;
   }
 }
 
 void ZoneDelegate::tick(const Connectivity& connectivity) {
   const double now = context_.event_loop.now();
   reply_to_waiting(connectivity);
-  std::erase_if(sent_elsewhere_, [&](const auto& entry) {
-    return connectivity.leader_heard || now - entry.second > k::kTurnedAwayMemory;
+  std::erase_if(last_refused_at_, [&](const auto& entry) {
+    return connectivity.leader_reachable || now - entry.second > k::kTurnedAwayMemory;
   });
   if (state_ != State::active) return;
-  track_leader(connectivity.leader_heard, now);
-  if (leader_heard_since_ && now - *leader_heard_since_ >= k::kDelegationEnd)
+  track_leader(connectivity.leader_reachable, now);
+  if (leader_reachable_since_ && now - *leader_reachable_since_ >= k::kDelegationEnd)
     return end("its leader is heard again");
   if (now >= next_renewal_) renew();
 }
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -71,9 +71,9 @@
   void renew();
   void remove_record();
   void reply_to_waiting(const Connectivity& connectivity);
-  void send_elsewhere(const PendingHeartbeat& heartbeat, const Connectivity& connectivity);
+  void refuse_or_redirect(const PendingHeartbeat& heartbeat, const Connectivity& connectivity);
   void reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
-  void track_leader(bool leader_heard, double now);
+  void track_leader(bool leader_reachable, double now);
   /// Whether the lease of the recorded delegation has certainly not ended, and the copy of the
   /// records is recent enough.
   [[nodiscard]] bool delegation_valid() const;
@@ -82,7 +82,7 @@
   [[nodiscard]] bool may_reply(const std::string& machine, const Connectivity& connectivity) const;
   /// Whether the records place a task of a cancelled job on this machine that its
   /// heartbeat does not show, so that a `run` for it may still be on its way.
-  [[nodiscard]] bool may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool cancelled_run_may_be_in_flight(const wire::WorkerHeartbeat& heartbeat) const;
   [[nodiscard]] std::vector<wire::WorkerCommand> stops_of_cancelled(
       const wire::WorkerHeartbeat& heartbeat) const;
 
@@ -94,10 +94,10 @@
   std::uint64_t recorded_at_revision_ = 0;  ///< the mirror must have reached it
   std::optional<double> renewed_at_;        ///< when the last successful renewal was sent
   double next_renewal_ = 0;
-  std::optional<double> leader_heard_since_;
+  std::optional<double> leader_reachable_since_;
   double replied_at_;
   std::vector<PendingHeartbeat> waiting_;
-  std::map<std::string, double> sent_elsewhere_;  ///< by machine: when it was sent
+  std::map<std::string, double> last_refused_at_;  ///< by machine; seconds of the steady clock
 };
 
 }  // namespace elmstall::election
