--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -32,7 +32,7 @@
   // A worker that comes back so soon could not reach the node that it was sent to.
   if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
   for (const auto& peer : context_.settings.peers) {
-    if (peer.zone != heartbeat.zone || !context_.peers.heard(peer.name)) continue;
+    if (peer.zone != heartbeat.zone || !context_.peers.reachable(peer.name)) continue;
     last = {peer.name, now};
     respond({kMisdirected, wire::encode_redirect(peer.name), 0});
     return true;
@@ -42,7 +42,7 @@
 
 void HeartbeatRouter::forward(election::PendingHeartbeat heartbeat) {
   const auto& leader = context_.terms.leader();
-  if (context_.zone_delegate.active() || !leader_heard()) {
+  if (context_.zone_delegate.active() || !leader_reachable()) {
     if (leader.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
     return context_.zone_delegate.on_heartbeat(std::move(heartbeat), context_.connectivity());
   }
@@ -70,14 +70,14 @@
                 [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
   // Heartbeats that waited for a delegation while no leader was heard.
   const bool leader_available =
-      context_.leader() != nullptr || (leader_heard() && !context_.zone_delegate.active());
+      context_.leader() != nullptr || (leader_reachable() && !context_.zone_delegate.active());
   if (leader_available) {
     for (auto& pending : context_.zone_delegate.take_waiting()) route_again(std::move(pending));
   }
   auto forwarded = std::exchange(forwarded_, {});
   for (auto& [id, entry] : forwarded) {
-    const bool leader_changed =
-        context_.leader() != nullptr || entry.leader != context_.terms.leader() || !leader_heard();
+    const bool leader_changed = context_.leader() != nullptr ||
+                                entry.leader != context_.terms.leader() || !leader_reachable();
     if (now >= entry.heartbeat.deadline) {
       entry.heartbeat.respond({kServiceUnavailable, {}, 0});
     } else if (leader_changed) {
--- a/src/controller/heartbeat_router.hpp
+++ b/src/controller/heartbeat_router.hpp
@@ -63,7 +63,7 @@
     double at = 0;
   };
 
-  [[nodiscard]] bool leader_heard() const { return context_.connectivity().leader_reachable; }
+  [[nodiscard]] bool leader_reachable() const { return context_.connectivity().leader_reachable; }
   /// Sends the worker to a node of its zone; false if it is to be served here.
   bool redirect_to_zone(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
   void forward(election::PendingHeartbeat heartbeat);
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -73,8 +73,8 @@
 
 // --- heartbeats of workers ---------------------------------------------------------
 
-bool Leader::crossed_command_rpc(const state::Machine& machine,
-                                 const wire::WorkerHeartbeat& heartbeat) const {
+bool Leader::overtaken_by_rpc_reply(const state::Machine& machine,
+                                    const wire::WorkerHeartbeat& heartbeat) const {
   const double since_rpc = context_.event_loop.now() - machine.rpc_completed_at;
   return heartbeat.epoch == machine.epoch && since_rpc < k::kHeartbeatReplyTimeout;
 }
@@ -86,7 +86,7 @@
   if (model_.terminated(heartbeat.machine)) return respond({unavailable, {}, 0});
   auto& machine = model_.machine(heartbeat.machine);
   if (!HeartbeatReader::is_newer(machine, heartbeat)) {
-    if (crossed_command_rpc(machine, heartbeat))
+    if (overtaken_by_rpc_reply(machine, heartbeat))
       return dispatcher_.reply_to_crossed(machine, respond);
     return respond({unavailable, {}, 0});  // a late copy; no worker waits for its reply
   }
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -80,8 +80,8 @@
   [[nodiscard]] state::GroupCommit::Events commit_events();
   /// Whether the heartbeat was overtaken by the newer reply to a command RPC, so that the worker
   /// still waits for the reply to the heartbeat.
-  [[nodiscard]] bool crossed_command_rpc(const state::Machine& machine,
-                                         const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool overtaken_by_rpc_reply(const state::Machine& machine,
+                                            const wire::WorkerHeartbeat& heartbeat) const;
   void remove_all_tasks(state::Machine& machine, std::string_view reason);
   void decide_if_due();
   void log_whether_tasks_may_start();
--- a/src/controller/machine_type_source.hpp
+++ b/src/controller/machine_type_source.hpp
@@ -17,18 +17,18 @@
 class MachineTypeSource {
  public:
   /// Receives the machine types.
-  using Found = std::function<void(std::vector<wire::MachineType>)>;
+  using Callback = std::function<void(std::vector<wire::MachineType>)>;
 
-  /// `found` is called once, with at least one type.
+  /// `callback` is called once, with at least one type.
   MachineTypeSource(runtime::EventLoop& event_loop, runtime::CommandQueue& queue,
-                    clients::Cloud& cloud, Found found)
-      : loop_(event_loop), cloud_(cloud), found_(std::move(found)), scope_(queue) {}
+                    clients::Cloud& cloud, Callback callback)
+      : loop_(event_loop), cloud_(cloud), callback_(std::move(callback)), scope_(queue) {}
 
   /// Sends a request, and others every `constants::kTypesRetry` seconds until one succeeds.
   void fetch() {
     cloud_.machine_types(
         scope_.wrap([this](std::optional<std::vector<wire::MachineType>> machine_types) {
-          if (machine_types && !machine_types->empty()) return found_(std::move(*machine_types));
+          if (machine_types && !machine_types->empty()) return callback_(std::move(*machine_types));
           loop_.after(constants::kTypesRetry, scope_.wrap([this] { fetch(); }));
         }));
   }
@@ -36,7 +36,7 @@
  private:
   runtime::EventLoop& loop_;
   clients::Cloud& cloud_;
-  Found found_;
+  Callback callback_;
   runtime::CommandScope scope_;
 };
 
--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -28,7 +28,7 @@
 
 /// A worker connects again after its connection was closed. When connections run out, users and
 /// the load balancer therefore take precedence over workers.
-net::Responder yielding(net::Responder respond) {
+net::Responder low_priority(net::Responder respond) {
   return [respond = std::move(respond)](net::Response response) {
     response.yields = true;
     respond(std::move(response));
@@ -88,7 +88,7 @@
     case Endpoint::ready:
       return respond({ready() ? kOk : kServiceUnavailable, {}, 0});
     case Endpoint::heartbeat:
-      return on_heartbeat(request.body, yielding(std::move(respond)));
+      return on_heartbeat(request.body, low_priority(std::move(respond)));
     case Endpoint::submit_job:
       return user_api_.submit(request.body, std::move(respond));
     case Endpoint::poll_job:
@@ -107,7 +107,7 @@
   if (state_reachable(k::kUnreadyAfter)) return true;
   // When every controller sees the same outage, removing all of them from the load balancer is of
   // no use. At least one other controller must confirm the outage; silent ones are not counted.
-  return peers_.heard_ones_without_state_store();
+  return peers_.reachable_peers_without_state_store();
 }
 
 // --- heartbeats of workers -------------------------------------------------------------
@@ -165,13 +165,13 @@
 void Node::send_peer_heartbeat() {
   const double now = loop_.now();
   next_peer_heartbeat_ = now + k::kPeerHeartbeatInterval;
-  leader_heard_told_ = leader_heard();
+  reported_leader_reachable_ = leader_reachable();
   peer::Heartbeat heartbeat;
   heartbeat.node = settings_.node;
   heartbeat.term = terms_.term();
   heartbeat.leader = terms_.leader();
   heartbeat.state_reachable = state_reachable(k::kUnreadyAfter);
-  heartbeat.leader_heard = leader_heard_told_;
+  heartbeat.leader_heard = reported_leader_reachable_;
   heartbeat.revision = mirror_.loaded() ? mirror_.revision() : 0;
   heartbeat.replied_ago_s = now - zone_delegate_.replied_at();
   outbox_.broadcast(heartbeat);
@@ -193,7 +193,7 @@
 
 // --- connectivity ----------------------------------------------------------------------
 
-bool Node::leader_heard() const { return leader_ || peers_.heard(terms_.leader()); }
+bool Node::leader_reachable() const { return leader_ || peers_.reachable(terms_.leader()); }
 
 bool Node::state_reachable(double within_s) const {
   return loop_.now() - read_index_.last_success() < within_s;
@@ -207,10 +207,10 @@
 
 election::Connectivity Node::connectivity() const {
   election::Connectivity connectivity;
-  connectivity.leader_reachable = leader_heard();
+  connectivity.leader_reachable = leader_reachable();
   connectivity.state_reachable = state_reachable(k::kPeerSilence);
   if (!connectivity.leader_reachable && !connectivity.state_reachable)
-    connectivity.cut_off_zone_peer = peers_.neighbour_without_leader();
+    connectivity.cut_off_zone_peer = peers_.zone_peer_without_leader();
   return connectivity;
 }
 
@@ -285,8 +285,8 @@
   const double now = loop_.now();
   loop_.after(k::kTickInterval, scope_.wrap([this] { tick(); }));
   probe_state_store(now);
-  if (now >= next_counts_) {
-    next_counts_ = now + k::kCountsInterval;
+  if (now >= next_answer_counts_log_) {
+    next_answer_counts_log_ = now + k::kCountsInterval;
     user_api_.log_answer_counts();
   }
   heartbeat_router_.tick();
@@ -294,8 +294,8 @@
   zone_delegate_.tick(connectivity());
   if (renewal_) renewal_->tick(machine_types_);
   if (leader_) leader_->tick();
-  const bool leader_heard_changed = leader_heard_told_ != leader_heard();
-  if (now >= next_peer_heartbeat_ || leader_heard_changed) send_peer_heartbeat();
+  const bool leader_reachable_changed = reported_leader_reachable_ != leader_reachable();
+  if (now >= next_peer_heartbeat_ || leader_reachable_changed) send_peer_heartbeat();
 }
 
 void Node::probe_state_store(double now) {
--- a/src/controller/node.hpp
+++ b/src/controller/node.hpp
@@ -80,7 +80,7 @@
   void on_cancellation(const std::string& job);
 
   // connectivity
-  [[nodiscard]] bool leader_heard() const;
+  [[nodiscard]] bool leader_reachable() const;
   /// Whether the state store has replied within the last `within_s` seconds.
   [[nodiscard]] bool state_reachable(double within_s) const;
   /// Seconds since the mirror was known to be current, for the log.
@@ -127,8 +127,8 @@
   std::optional<election::LeadershipRenewal> renewal_;  ///< while this node leads
   double next_peer_heartbeat_ = 0;
   double next_probe_ = 0;
-  double next_counts_ = 0;         ///< when the numbers of answers are logged next
-  bool leader_heard_told_ = true;  ///< what the last heartbeat to peers said
+  double next_answer_counts_log_ = 0;      ///< when the numbers of answers are logged next
+  bool reported_leader_reachable_ = true;  ///< what the last heartbeat to peers said
 };
 
 }  // namespace elmstall::controller
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -20,7 +20,7 @@
   auto& peer = peers_[heartbeat.node];
   peer.last_heartbeat = now;
   peer.state_reachable = heartbeat.state_reachable;
-  peer.leader_heard = heartbeat.leader_heard;
+  peer.leader_reachable = heartbeat.leader_heard;
   // The message may have been delayed. The peer's last reply was then earlier than the time
   // computed here by counting back from now, which is the safe direction (docs/design.md, rule 6).
   auto& read_state = peer.read_state;
@@ -33,34 +33,35 @@
   return loop_.now() - peer.last_heartbeat < k::kPeerSilence;
 }
 
-bool PeerMonitor::heard(const std::string& peer) const {
+bool PeerMonitor::reachable(const std::string& peer) const {
   const auto found = peers_.find(peer);
   return found != peers_.end() && is_recent(found->second);
 }
 
 bool PeerMonitor::all_without_state_store() const {
   return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const config::Peer& peer) {
-    return heard(peer.name) && !peers_.at(peer.name).state_reachable;
+    return reachable(peer.name) && !peers_.at(peer.name).state_reachable;
   });
 }
 
-bool PeerMonitor::heard_ones_without_state_store() const {
-  bool any_heard = false;
+bool PeerMonitor::reachable_peers_without_state_store() const {
+  bool any_reachable = false;
   for (const auto& [name, peer] : peers_) {
     if (!is_recent(peer)) continue;
     if (peer.state_reachable) return false;
-    any_heard = true;
+    any_reachable = true;
   }
-  return any_heard;
+  return any_reachable;
 }
 
-std::string PeerMonitor::neighbour_without_leader() const {
-  std::string neighbour;
+std::string PeerMonitor::zone_peer_without_leader() const {
+  std::string zone_peer;
   for (const auto& peer : settings_.peers) {
-    if (peer.zone == settings_.zone && heard(peer.name) && !peers_.at(peer.name).leader_heard)
-      neighbour = peer.name;
+    if (peer.zone == settings_.zone && reachable(peer.name) &&
+        !peers_.at(peer.name).leader_reachable)
+      zone_peer = peer.name;
   }
-  return neighbour;
+  return zone_peer;
 }
 
 reconcile::PeerReadState PeerMonitor::read_state(const std::string& peer) const {
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -23,14 +23,14 @@
   void on_heartbeat(const peer::Heartbeat& heartbeat);
 
   /// Whether the peer was heard within the last `constants::kPeerSilence` seconds.
-  [[nodiscard]] bool heard(const std::string& peer) const;
+  [[nodiscard]] bool reachable(const std::string& peer) const;
   /// Whether every peer is heard, and each says that it does not reach the state store.
   [[nodiscard]] bool all_without_state_store() const;
   /// Whether some peer is heard, and none that is heard reaches the state store.
-  [[nodiscard]] bool heard_ones_without_state_store() const;
+  [[nodiscard]] bool reachable_peers_without_state_store() const;
   /// Name of a peer of this node's zone that is heard and does not hear the leader; empty if
   /// there is none.
-  [[nodiscard]] std::string neighbour_without_leader() const;
+  [[nodiscard]] std::string zone_peer_without_leader() const;
   /// What the peer has said of its copy of the records.
   [[nodiscard]] reconcile::PeerReadState read_state(const std::string& peer) const;
 
@@ -38,7 +38,7 @@
   struct Peer {
     double last_heartbeat = 0;
     bool state_reachable = true;
-    bool leader_heard = true;
+    bool leader_reachable = true;
     reconcile::PeerReadState read_state;
   };
   [[nodiscard]] bool is_recent(const Peer& peer) const;
