--- a/src/autoscaler/health_review.cpp
+++ b/src/autoscaler/health_review.cpp
@@ -51,7 +51,7 @@
     auto& machine = *slot;
     if (machine.terminating || machine.reported_failed) {
       terminations_.mark(machine);
-    } else if (machine.heard) {
+    } else if (machine.heartbeat_received) {
       review_heard(machine, findings, now);
     } else {
       review_booting(machine, now);
@@ -62,7 +62,7 @@
 }
 
 void HealthReview::review_heard(state::Machine& machine, Findings& findings, double now) {
-  const bool silent = machine.quiet(now) > settings_.silent_after_s();
+  const bool silent = machine.silent_for(now) > settings_.silent_after_s();
   if (machine.tasks.empty() && machine.quarantined) {
     terminations_.mark(machine);
   } else if (silent) {
@@ -101,7 +101,7 @@
   const double lease = settings_.lease_over_s();
   const double unlisted_patience = kListLagFactor * settings_.list_lag_s + kListLagMargin;
   for (auto* machine : findings.silent) {
-    const double silent_for = machine->quiet(now);
+    const double silent_for = machine->silent_for(now);
     const bool gone_from_list =
         machine_list_.read_once() && !machine->listed && silent_for > unlisted_patience;
     const bool partition =
--- a/src/autoscaler/machine_list.cpp
+++ b/src/autoscaler/machine_list.cpp
@@ -55,7 +55,7 @@
   const bool known = model_.find_machine(entry.id) != nullptr;
   auto& machine = model_.machine(entry.id);
   if (machine.type.empty())
-    model_.describe(machine, entry.type, entry.zone, entry.spot, entry.addr);
+    model_.update_attributes(machine, entry.type, entry.zone, entry.spot, entry.addr);
   if (!known) machine.provisioned_at = now - entry.age_s;
   machine.listed = true;
   if (entry.state == wire::CloudMachine::State::failed && !machine.reported_failed) {
--- a/src/autoscaler/pool_survey.cpp
+++ b/src/autoscaler/pool_survey.cpp
@@ -32,9 +32,9 @@
     return other.spot == machine.spot && other.zone == machine.zone;
   });
   if (pool == pools.end()) return;
-  if (!machine.heard) {
+  if (!machine.heartbeat_received) {
     ++pool->booting;
-  } else if (machine.quiet(now) < silent_after_s) {
+  } else if (machine.silent_for(now) < silent_after_s) {
     ++pool->alive;
   }
 }
--- a/src/autoscaler/provisioning.cpp
+++ b/src/autoscaler/provisioning.cpp
@@ -93,7 +93,8 @@
                                 double now) {
   for (const auto& id : machine_ids) {
     auto& machine = model_.machine(id);
-    if (machine.type.empty()) model_.describe(machine, pool.machine_type, pool.zone, pool.spot, "");
+    if (machine.type.empty())
+      model_.update_attributes(machine, pool.machine_type, pool.zone, pool.spot, "");
     if (machine.provisioned_at == state::kNever) machine.provisioned_at = now;
   }
 }
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -55,7 +55,7 @@
   events.finished = [this](const std::string& job) { model_.remove_job(job); };
   // The call is posted to the queue, because it destroys the leader and with it the group commit
   // that makes the call.
-  events.deposed = [this] { context_.queue.post(context_.deposed); };
+  events.term_ended = [this] { context_.queue.post(context_.term_ended); };
   events.confirmed = [this](double sent_at) {
     confirm(sent_at);
     dispatcher_.mark_due();
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -41,7 +41,7 @@
     /// Returns whether every controller is heard and none reaches the state store.
     election::LeaderLease::CommonOutage common_outage;
     /// Called when a commit shows that the term is over.
-    std::function<void()> deposed;
+    std::function<void()> term_ended;
   };
 
   /// Rebuilds the model from the mirror. `term_revision`: modification revision of the record
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -92,7 +92,7 @@
   if (!std::exchange(due_, false) || !context_.lease.valid()) return;
   const double now = context_.event_loop.now();
   const bool may_start = context_.lease.may_start_tasks();
-  auto& attention = context_.model.attention();
+  auto& attention = context_.model.machines_to_command();
   for (auto it = attention.begin(); it != attention.end();) {
     auto& machine = **it;
     const bool waits = machine.synchronized && awaits_commands(machine);
@@ -135,7 +135,7 @@
   const double now = context_.event_loop.now();
   machine->rpc_in_flight = false;
   machine->rpc_completed_at = now;
-  context_.model.attention().insert(machine);
+  context_.model.machines_to_command().insert(machine);
   const bool replied = result.outcome == Outcome::done || result.outcome == Outcome::refused;
   if (!replied) {
     machine->rpc_backoff_until = now + k::kCommandRpcBackoff;
@@ -157,7 +157,8 @@
   if (!machine.recorded() || machine.epoch_known || machine.terminating) return false;
   if (machine.addr.empty() || machine.rpc_in_flight || now < machine.rpc_backoff_until)
     return false;
-  const bool reply_on_its_way = machine.heard && now - machine.last_reply < kSynchronizationPause;
+  const bool reply_on_its_way =
+      machine.heartbeat_received && now - machine.last_reply < kSynchronizationPause;
   return !reply_on_its_way;
 }
 
--- a/src/placement/direct_placement.cpp
+++ b/src/placement/direct_placement.cpp
@@ -12,7 +12,7 @@
 
 std::vector<state::Job*> DirectPlacement::open_jobs_by_precedence(double now) {
   std::vector<state::Job*> jobs;
-  for (auto* job : model_.open()) {
+  for (auto* job : model_.jobs_with_unqueued_tasks()) {
     if (is_placed_directly(*job) && !job->cancelled && job->failed_until <= now && !job->all_done())
       jobs.push_back(job);
   }
@@ -27,7 +27,7 @@
 
 void DirectPlacement::place_open_jobs(double now) {
   for (auto* job : open_jobs_by_precedence(now)) {
-    if (place(*job, now) == Progress::settled) model_.open().erase(job);
+    if (place(*job, now) == Progress::settled) model_.jobs_with_unqueued_tasks().erase(job);
   }
 }
 
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -35,7 +35,7 @@
   for (const auto* task : tasks) last_attempt = std::max(last_attempt, task->attempt());
   gang.attempt = last_attempt + 1;
   gang.committed = false;
-  gang.broken = false;
+  gang.replacement_disabled = false;
   gang.gathering_since = std::numeric_limits<double>::infinity();
   put_tasks_in_places(job, tasks, places, [&](state::Task& task, state::Machine& machine) {
     model_.assign(task, machine, gang.attempt);
@@ -64,7 +64,7 @@
   if (job.on_machines == 0) return end(job, "all its tasks are gone", now);
   // A gang whose tasks have begun to run, or were told to end, can't take a replacement any more.
   // Its remaining tasks are ended to make room for the next attempt.
-  if (job.gang.broken) return end(job, "a task is gone", now);
+  if (job.gang.replacement_disabled) return end(job, "a task is gone", now);
   if (others_still_wait(job)) return replace_lost_tasks(job, with_room, now);
   if (!time_for_replacement(job, kNoFetch, now)) end(job, "it can't be completed", now);
 }
@@ -101,7 +101,7 @@
   state::Machine* best = nullptr;
   for (auto* machine : with_room) {
     const bool suitable = job.need.fits(machine->room()) && state::Model::allowed(job, *machine) &&
-                          !job.gang.avoided.contains(machine->id) &&
+                          !job.gang.avoided_machines.contains(machine->id) &&
                           state::Model::within_quota(job) &&
                           time_for_replacement(job, fetch_time_s(job, *machine), now);
     if (!suitable) continue;
@@ -113,8 +113,8 @@
 void GangAttempts::replace_lost_tasks(state::Job& job, const state::MachineSet& with_room,
                                       double now) {
   auto& gang = job.gang;
-  if (now < gang.tried_at + constants::kGangRetryInterval) return;
-  gang.tried_at = now;
+  if (now < gang.placement_tried_at + constants::kGangRetryInterval) return;
+  gang.placement_tried_at = now;
   const auto lost_tasks = load_pending_gang_tasks(model_, job);
   if (!time_for_replacement(job, kNoFetch, now)) return end(job, "time is short", now);
   for (auto* task : lost_tasks) {
@@ -139,8 +139,8 @@
   auto& gang = job.gang;
   if (gang.completed) return complete(job, now);
   gang.committed = false;
-  gang.broken = false;
-  gang.tried_at = state::kNever;
+  gang.replacement_disabled = false;
+  gang.placement_tried_at = state::kNever;
   change_gang_state(job, GangState::waiting, now);
 }
 
--- a/src/placement/gang_coordinator.cpp
+++ b/src/placement/gang_coordinator.cpp
@@ -50,9 +50,9 @@
   if (task.attempt() != gang.attempt || job.cancelled) return;
   if (state == TaskState::gathering) {
     gang.gathering_since = std::min(gang.gathering_since, now);
-  } else if (state == TaskState::running && !gang.broken) {
-    gang.broken = true;
-    model_.open().insert(&job);
+  } else if (state == TaskState::running && !gang.replacement_disabled) {
+    gang.replacement_disabled = true;
+    model_.jobs_with_unqueued_tasks().insert(&job);
   } else if (state == TaskState::checkpointing && !task.is_stopping()) {
     // A former leader has told this task to stop. The other tasks must be told in time to write
     // their checkpoints, too.
@@ -64,7 +64,7 @@
 void GangCoordinator::avoid_slow_machines(state::Job& job) {
   for (const auto* task : gang_tasks_in_memory(job)) {
     if (task->may_be_on_machine() && task->reported_state() == TaskState::fetching)
-      job.gang.avoided.insert(task->machine()->id);
+      job.gang.avoided_machines.insert(task->machine()->id);
   }
 }
 
@@ -72,12 +72,12 @@
   auto& job = *task.job;
   auto& gang = job.gang;
   const bool refused = is_refusal(cause);
-  if (refused || cause == EndCause::error) gang.avoided.insert(task.machine()->id);
+  if (refused || cause == EndCause::error) gang.avoided_machines.insert(task.machine()->id);
   if (refused) {
     // The other tasks may still be waiting, so a replacement can complete the attempt.
     task.postpone(now + constants::kGangRefusedPause);
   } else {
-    gang.broken = true;
+    gang.replacement_disabled = true;
   }
   if (cause == EndCause::incomplete) avoid_slow_machines(job);
   model_.unassign(task);
@@ -127,13 +127,13 @@
 
 void GangCoordinator::place(state::Job& job, const state::MachineSet& with_room, double now) {
   auto& gang = job.gang;
-  if (now < gang.tried_at + constants::kGangRetryInterval) return;
+  if (now < gang.placement_tried_at + constants::kGangRetryInterval) return;
   const auto tasks = load_pending_gang_tasks(model_, job);
   const bool may_start_now = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
     return task->not_before() <= now;
   });
   if (!may_start_now || !gang_within_quota(job, tasks.size())) return;
-  gang.tried_at = now;
+  gang.placement_tried_at = now;
   const auto sites = sites_.free_sites(job, with_room);
   if (const auto places = place_gang_in_free_room(job, tasks.size(), sites)) {
     claims_.release_reservation(job);
--- a/src/placement/gang_sites.cpp
+++ b/src/placement/gang_sites.cpp
@@ -62,7 +62,7 @@
   site.zone = machine.zone;
   const auto room = machine.room();
   site.free_slots = sched::slots_in(room, job.need);
-  site.avoid = job.gang.avoided.contains(machine.id);
+  site.avoid = job.gang.avoided_machines.contains(machine.id);
   site.cached = machine.caches(job.image);
   site.fetching = fetches_other_image(job, machine);
   // Gangs should leave the room that arrays and services could use to them, and should not begin
--- a/src/placement/gang_tasks.cpp
+++ b/src/placement/gang_tasks.cpp
@@ -7,7 +7,7 @@
 void change_gang_state(state::Job& job, state::Gang::State state, double now) {
   auto& gang = job.gang;
   if (gang.state == state) return;
-  if (!state::may_follow(gang.state, state))
+  if (!state::is_valid_transition(gang.state, state))
     spdlog::error("gang {}: {} does not follow {}", job.id, to_text(state), to_text(gang.state));
   spdlog::info("gang {}: {}, was {}", job.id, to_text(state), to_text(gang.state));
   gang.state = state;
--- a/src/placement/job_queues.cpp
+++ b/src/placement/job_queues.cpp
@@ -97,7 +97,7 @@
 }
 
 void JobQueues::enqueue_open_jobs(double now) {
-  auto& open = model_.open();
+  auto& open = model_.jobs_with_unqueued_tasks();
   for (auto it = open.begin(); it != open.end();) {
     auto& job = **it;
     const bool over = job.cancelled || job.all_done();
--- a/src/placement/task_stop.cpp
+++ b/src/placement/task_stop.cpp
@@ -35,7 +35,7 @@
 
 void tell_to_stop(state::Model& model, state::Task& task, double grace_period_s) {
   task.begin_stop(grace_period_s);
-  model.attention().insert(task.machine());
+  model.machines_to_command().insert(task.machine());
 }
 
 }  // namespace
--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -16,13 +16,14 @@
 
 bool HeartbeatReader::is_newer(const state::Machine& machine,
                                const wire::WorkerHeartbeat& heartbeat) {
-  return !machine.heard ||
+  return !machine.heartbeat_received ||
          std::tie(heartbeat.epoch, heartbeat.sequence) > std::tie(machine.epoch, machine.sequence);
 }
 
 void HeartbeatReader::read(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                            HeartbeatSource source, double now) {
-  context_.model.describe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot, heartbeat.addr);
+  context_.model.update_attributes(machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
+                                   heartbeat.addr);
   record_if_new(machine);
   update_machine(machine, heartbeat, source, now);
   state::Model::clear_heartbeat_content(machine);
@@ -32,7 +33,7 @@
   // (docs/design.md, rule 2).
   if (machine.synchronized && !machine.rpc_in_flight) unassign_absent_tasks(machine);
   if (machine.interruption_at) stop_for_interruption(machine, now);
-  context_.model.attention().insert(&machine);
+  context_.model.machines_to_command().insert(&machine);
   context_.model_changed();
 }
 
@@ -56,9 +57,10 @@
   // Command RPCs also reach machines that can't reach any controller. They renew no lease, so
   // what they start ends with the machine's lease. The reply to an RPC therefore does not count as
   // a heartbeat, except as the first contact in a term, when the next heartbeat may take long.
-  if (source == HeartbeatSource::worker || !machine.heard) machine.last_heartbeat = now;
+  if (source == HeartbeatSource::worker || !machine.heartbeat_received)
+    machine.last_heartbeat = now;
   machine.last_contact = now;
-  machine.heard = true;
+  machine.heartbeat_received = true;
   machine.epoch = heartbeat.epoch;
   machine.sequence = heartbeat.sequence;
   context_.model.mark_dirty(machine);
@@ -130,7 +132,7 @@
   for (auto* task : tasks) {
     if (!task->may_be_on_machine() || task->in_last_heartbeat()) continue;
     // Once a gang has begun, no task can join it any more.
-    const bool attempt_over = task->job->is_gang() && task->job->gang.broken;
+    const bool attempt_over = task->job->is_gang() && task->job->gang.replacement_disabled;
     if (task->is_stopping() || task->job->cancelled || attempt_over) context_.model.unassign(*task);
     // Otherwise `run` will be sent again. The worker still accepts it, since the attempt was never
     // cleared there.
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -42,9 +42,9 @@
   // hold up all other changes that are written in the same transaction.
   const auto exclude = [&](const std::string& node, const std::string& zone) {
     if (may_be_delegate(zone, machine))
-      machine.record->absent.push_back(store::delegation_key(node));
+      machine.record->absent_keys.push_back(store::delegation_key(node));
   };
-  machine.record->absent.clear();
+  machine.record->absent_keys.clear();
   exclude(settings_.node, settings_.zone);
   for (const auto& peer : settings_.peers) exclude(peer.name, peer.zone);
   group_commit_.mark_dirty(*machine.record);
@@ -54,7 +54,7 @@
   if (!machine.retired || machine.record == nullptr) return;
   machine.retired = false;
   machine.retired_at = state::kNever;
-  machine.record->absent.clear();
+  machine.record->absent_keys.clear();
   group_commit_.mark_dirty(*machine.record);
 }
 
--- a/src/reconcile/recovery.cpp
+++ b/src/reconcile/recovery.cpp
@@ -7,7 +7,7 @@
   for (const auto& [id, stored] : mirror.machines()) {
     const auto& record = stored.record;
     auto& machine = model.machine(id);
-    model.describe(machine, record.type, record.zone, record.spot, record.addr);
+    model.update_attributes(machine, record.type, record.zone, record.spot, record.addr);
     machine.inherited_until = lease_expiry.inherited_until();
     machine.retired = record.retired;
     model.restore_record(machine, stored);
--- a/src/state/commit_record.hpp
+++ b/src/state/commit_record.hpp
@@ -58,7 +58,7 @@
   bool remove = false;
   /// Keys that must not exist when the newest version is written. The record of a retired
   /// machine names the zone delegations that would contradict it (rule 6).
-  std::vector<std::string> absent;
+  std::vector<std::string> absent_keys;
 
   /// Whether the newest version is in the state store.
   [[nodiscard]] bool clean() const { return written == version; }
--- a/src/state/gang.cpp
+++ b/src/state/gang.cpp
@@ -2,7 +2,7 @@
 
 namespace elmstall::state {
 
-bool may_follow(Gang::State from, Gang::State to) {
+bool is_valid_transition(Gang::State from, Gang::State to) {
   using State = Gang::State;
   // A task that completes completes the gang, whatever its state.
   if (to == State::done) return from != State::done;
--- a/src/state/gang.hpp
+++ b/src/state/gang.hpp
@@ -61,7 +61,7 @@
   bool committed = false;
   /// A task of the current attempt has begun to run, has failed, or has stopped waiting for the
   /// others. From then on a lost task is not replaced within this attempt.
-  bool broken = false;
+  bool replacement_disabled = false;
   /// The earliest time at which a task of the current attempt may have begun to wait for the
   /// others. Workers let a task wait for `gang_wait_s`. Infinity: none is known to wait.
   double gathering_since = std::numeric_limits<double>::infinity();
@@ -70,9 +70,9 @@
   bool completed = false;
   /// Identifiers of machines that refused a task of this gang, on which one failed, or which
   /// did not get its image while the other tasks waited.
-  std::set<std::string> avoided;
+  std::set<std::string> avoided_machines;
   /// When places were last searched for, for the whole gang or for a replacement.
-  double tried_at = -std::numeric_limits<double>::infinity();
+  double placement_tried_at = -std::numeric_limits<double>::infinity();
   /// When the zone was last chosen for which machines are rented. Applies to gangs whose tasks
   /// must all be in one zone.
   double zone_chosen_at = -std::numeric_limits<double>::infinity();
@@ -83,7 +83,7 @@
 
 /// Whether the gang may change from the one state to the other. Besides the transitions listed
 /// above this permits starting -> stopping and stopping -> ending, which nothing makes today.
-[[nodiscard]] bool may_follow(Gang::State from, Gang::State to);
+[[nodiscard]] bool is_valid_transition(Gang::State from, Gang::State to);
 /// The name of the state, for log lines.
 [[nodiscard]] const char* to_text(Gang::State state);
 
--- a/src/state/group_commit.cpp
+++ b/src/state/group_commit.cpp
@@ -38,7 +38,7 @@
       scope_(queue),
       slots_(mirror.slots()),
       limits_(settings),
-      wake_(event_loop, queue) {}
+      commit_timer_(event_loop, queue) {}
 
 // --- records ---------------------------------------------------------------------
 
@@ -60,7 +60,7 @@
 void GroupCommit::discard(Record& record, store::Packed last) {
   record.remove = true;
   record.job.clear();
-  record.absent.clear();
+  record.absent_keys.clear();
   record.pack = [last = std::move(last)] { return last; };
   mark_dirty(record);
 }
@@ -95,7 +95,7 @@
   if (!mirror_.loaded() || mirror_.revision() < required_mirror_revision_) return;
   const double now = loop_.now();
   if (next_commit_at_ && now < *next_commit_at_)
-    return wake_.after(*next_commit_at_ - now, [this] { flush(); });
+    return commit_timer_.after(*next_commit_at_ - now, [this] { flush(); });
   const auto pending = build_transaction();
   if (!pending->values.empty()) send(pending);
 }
@@ -165,7 +165,7 @@
     if (record->written != entry.version || record->revision == 0) record->revision = revision;
     record->written = entry.version;
     if (record->clean()) {
-      record->absent.clear();
+      record->absent_keys.clear();
       records_.leave_queue(*record);
       if (record->remove) {
         drop(*record);
@@ -178,7 +178,7 @@
 
 void GroupCommit::on_conflict(const Pending& pending, const store::CommitResult& result) {
   // Rule 5: a controller that learns of a later term stops leading at once.
-  if (failed_on(result, std::string(store::kTermKey))) return events_.deposed();
+  if (failed_on(result, std::string(store::kTermKey))) return events_.term_ended();
   // Only this leader writes the log. If a slot has changed, then an earlier transaction of
   // this leader, which was thought to be lost, was applied after all.
   const bool slot_changed = std::any_of(
--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -50,7 +50,7 @@
     std::function<void(const std::string& job)> finished;
     /// Another controller has won a later term. The handler must not destroy the group commit
     /// before it returns.
-    std::function<void()> deposed;
+    std::function<void()> term_ended;
     /// A transaction was applied, so the term was still the latest one at some time after the
     /// transaction was sent (rule 5). `sent_at` is in seconds, by the clock of the event loop.
     std::function<void(double sent_at)> confirmed;
@@ -119,7 +119,7 @@
   Finalizations finalizations_;
   CommitLimits limits_;
   bool busy_ = false;  ///< a transaction is in flight or read back, or a pause lasts
-  runtime::CoalescingTimer wake_;
+  runtime::CoalescingTimer commit_timer_;
   std::optional<double> next_commit_at_;  ///< not before this time; seconds of the event loop
   /// No transaction is built before the mirror has reached this revision.
   std::uint64_t required_mirror_revision_ = 0;
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -77,7 +77,7 @@
   // reconcile::HeartbeatReader sets what is heard from the machine, dispatch::CommandDispatcher
   // sets `last_reply`, and reconcile::LeaseExpiry sets the rest unless said otherwise.
 
-  bool heard = false;  ///< a heartbeat was received from the machine in this term
+  bool heartbeat_received = false;  ///< a heartbeat was received from the machine in this term
   /// When the worker last sent a heartbeat on its own. Replies to command RPCs do not count, except
   /// as the first contact in a term, because they also come from machines that reach no controller.
   double last_heartbeat = kNever;
@@ -154,7 +154,7 @@
   /// Seconds for which the machine has been silent. It is 0 while a zone delegate may answer the
   /// machine, and counts from the end of the delegation at the earliest, because the machine then
   /// needs some time to find the leader again.
-  [[nodiscard]] double quiet(double now) const {
+  [[nodiscard]] double silent_for(double now) const {
     return delegated ? 0 : now - std::max(last_heartbeat, delegated_at);
   }
 };
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kIndexBits = 20;  // more than the 100,000 tasks a job may have
-constexpr std::size_t kImagesRemembered = 8;
+constexpr std::size_t kMaxCachedImages = 8;
 
 /// Packs the machine's record as it is at the moment of a commit.
 std::function<store::Packed()> packed_form(const Machine& machine) {
@@ -39,8 +39,8 @@
       image_numbers_
           .try_emplace(record.spec.image, static_cast<std::uint32_t>(image_numbers_.size()))
           .first->second;
-  by_serial_[job->serial] = job.get();
-  open_.insert(job.get());
+  jobs_by_serial_[job->serial] = job.get();
+  jobs_with_unqueued_tasks_.insert(job.get());
   finalizable_.insert(job.get());
   include_need(*job);
   return *(jobs_[id] = std::move(job));
@@ -49,8 +49,8 @@
 void Model::remove_job(const std::string& id) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
-  by_serial_.erase(found->second->serial);
-  open_.erase(found->second.get());
+  jobs_by_serial_.erase(found->second->serial);
+  jobs_with_unqueued_tasks_.erase(found->second.get());
   finalizable_.erase(found->second.get());
   jobs_.erase(found);
 }
@@ -63,8 +63,8 @@
 Job* Model::job_of(sched::TaskId id) { return job_by_serial(id >> kIndexBits); }
 
 Job* Model::job_by_serial(std::uint64_t serial) {
-  const auto found = by_serial_.find(serial);
-  return found == by_serial_.end() ? nullptr : found->second;
+  const auto found = jobs_by_serial_.find(serial);
+  return found == jobs_by_serial_.end() ? nullptr : found->second;
 }
 
 Task* Model::task(sched::TaskId id) {
@@ -152,7 +152,7 @@
   terminated_.insert(id);
   clear_unrecorded(*found->second);
   dirty_.erase(found->second.get());
-  attention_.erase(found->second.get());
+  machines_to_command_.erase(found->second.get());
   if (found->second->record != nullptr)
     group_commit_.discard(*found->second->record, store::pack(store::MachineEntry{id, true, {}}));
   machines_.erase(found);
@@ -220,8 +220,8 @@
   return found == machine_types_.end() ? nullptr : &*found;
 }
 
-void Model::describe(Machine& machine, const std::string& type, const std::string& zone, bool spot,
-                     const std::string& addr) const {
+void Model::update_attributes(Machine& machine, const std::string& type, const std::string& zone,
+                              bool spot, const std::string& addr) const {
   // Tasks on the machine were counted for its present zone, and a machine never changes its zone.
   if (machine.tasks.empty() || machine.zone.empty()) machine.zone = zone;
   machine.type = type;
@@ -253,7 +253,7 @@
   if (--in_zone == 0) task.job->per_zone.erase(machine.zone);
   --task.job->on_machines;
   --on_machines_[static_cast<std::size_t>(task.job->spec.priority)];
-  open_.insert(task.job);
+  jobs_with_unqueued_tasks_.insert(task.job);
   finalizable_.insert(task.job);
   mark_dirty(machine);
   task.leave_machine();
@@ -280,7 +280,7 @@
   attach(task, machine);
   task.enter(TaskPhase::assigned);
   task.reported_state_ = wire::TaskState::fetching;
-  attention_.insert(&machine);
+  machines_to_command_.insert(&machine);
   task.attempt_ = attempt;
   mark_dirty(task);
   task.required_version_ = task.block->record->version;
@@ -288,7 +288,7 @@
   const auto image = task.job->image;
   std::erase(machine.images, image);
   machine.images.push_back(image);
-  if (machine.images.size() > kImagesRemembered) machine.images.pop_front();
+  if (machine.images.size() > kMaxCachedImages) machine.images.pop_front();
 }
 
 void Model::restore(Task& task, Machine& machine, std::uint64_t attempt) {
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -77,8 +77,8 @@
   [[nodiscard]] const wire::MachineType* machine_type(const std::string& type) const;
   /// Sets what heartbeats, the cloud or the records say of a machine. Its zone is kept while it has
   /// tasks, and its address is kept if `addr` is empty.
-  void describe(Machine& machine, const std::string& type, const std::string& zone, bool spot,
-                const std::string& addr) const;
+  void update_attributes(Machine& machine, const std::string& type, const std::string& zone,
+                         bool spot, const std::string& addr) const;
 
   // --- placement of tasks; see TaskPhase ---
 
@@ -133,12 +133,12 @@
 
   /// Jobs that may have pending tasks that are in no queue. placement::JobQueues and
   /// placement::DirectPlacement remove a job once it needs nothing more from them.
-  [[nodiscard]] JobSet& open() { return open_; }
+  [[nodiscard]] JobSet& jobs_with_unqueued_tasks() { return jobs_with_unqueued_tasks_; }
   /// Jobs that may be over, because one of their tasks was completed or has left its machine, or
   /// because they are new or cancelled. reconcile::JobLifecycle takes them out.
   [[nodiscard]] JobSet& finalizable() { return finalizable_; }
   /// Machines for which there may be commands to send. dispatch::CommandDispatcher takes them out.
-  [[nodiscard]] MachineSet& attention() { return attention_; }
+  [[nodiscard]] MachineSet& machines_to_command() { return machines_to_command_; }
   /// All planned tasks.
   [[nodiscard]] const TaskSet& planned() const { return planned_; }
   /// Returns the machines whose room, tasks or status have changed since the last call, ordered by
@@ -195,13 +195,13 @@
   std::vector<wire::MachineType> machine_types_;
   std::uint64_t next_serial_ = 1;
   std::map<std::string, std::unique_ptr<Job>> jobs_;
-  std::unordered_map<std::uint64_t, Job*> by_serial_;
+  std::unordered_map<std::uint64_t, Job*> jobs_by_serial_;
   std::unordered_map<std::string, std::uint32_t> image_numbers_;  ///< by the image's name
-  JobSet open_;
+  JobSet jobs_with_unqueued_tasks_;
   JobSet finalizable_;
   TaskSet planned_;
   MachineSet dirty_;
-  MachineSet attention_;
+  MachineSet machines_to_command_;
   sched::Amount least_need_;
   std::optional<sched::Amount> least_gang_need_;
   std::array<std::size_t, 4> on_machines_{};  ///< by priority
--- a/src/state/task.cpp
+++ b/src/state/task.cpp
@@ -8,7 +8,7 @@
 
 namespace elmstall::state {
 
-bool may_follow(TaskPhase from, TaskPhase to) {
+bool is_valid_transition(TaskPhase from, TaskPhase to) {
   switch (from) {
     case TaskPhase::pending:
       // `dispatched` follows for an assignment that a former leader recorded. `done` follows for a
@@ -49,7 +49,7 @@
 
 void Task::enter(TaskPhase to) {
   if (phase_ == to) return;
-  if (!may_follow(phase_, to)) {
+  if (!is_valid_transition(phase_, to)) {
     spdlog::error("task {}: {} does not follow {}", wire::task_name(job->id, index), to_text(to),
                   to_text(phase_));
   }
--- a/src/state/task.hpp
+++ b/src/state/task.hpp
@@ -33,7 +33,7 @@
 };
 
 /// Whether a task may change from the one phase to the other.
-[[nodiscard]] bool may_follow(TaskPhase from, TaskPhase to);
+[[nodiscard]] bool is_valid_transition(TaskPhase from, TaskPhase to);
 /// The name of the phase, for log lines.
 [[nodiscard]] const char* to_text(TaskPhase phase);
 
@@ -122,7 +122,8 @@
  private:
   friend class Model;
 
-  /// Changes the phase. A change that may_follow() does not permit is made, but logged as an error.
+  /// Changes the phase. A change that is_valid_transition() does not permit is made, but logged as
+  /// an error.
   void enter(TaskPhase to);
   /// Resets what is true only for one machine and attempt.
   void leave_machine();
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -149,7 +149,7 @@
   // that is stored already has met its preconditions.
   if (record.clean()) return;
   auto& preconditions = pending_.transaction.preconditions;
-  for (const auto& key : record.absent) {
+  for (const auto& key : record.absent_keys) {
     const bool known = std::any_of(preconditions.begin(), preconditions.end(),
                                    [&](const auto& one) { return one.key == key; });
     if (!known) preconditions.push_back({key, 0});
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -378,12 +378,12 @@
 
 TEST(GangStates, OnlyTheListedOnesFollowEachOther) {
   using State = state::Gang::State;
-  EXPECT_TRUE(state::may_follow(State::waiting, State::starting));
-  EXPECT_TRUE(state::may_follow(State::stopping, State::waiting));
-  EXPECT_FALSE(state::may_follow(State::waiting, State::running));
-  EXPECT_FALSE(state::may_follow(State::ending, State::starting));
-  EXPECT_FALSE(state::may_follow(State::running, State::waiting));
-  EXPECT_FALSE(state::may_follow(State::done, State::waiting));
+  EXPECT_TRUE(state::is_valid_transition(State::waiting, State::starting));
+  EXPECT_TRUE(state::is_valid_transition(State::stopping, State::waiting));
+  EXPECT_FALSE(state::is_valid_transition(State::waiting, State::running));
+  EXPECT_FALSE(state::is_valid_transition(State::ending, State::starting));
+  EXPECT_FALSE(state::is_valid_transition(State::running, State::waiting));
+  EXPECT_FALSE(state::is_valid_transition(State::done, State::waiting));
 }
 
 }  // namespace
