--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -29,7 +29,7 @@
   if (heartbeat.zone == context_.settings.zone) return false;
   const double now = context_.event_loop.now();
   auto& last = redirects_[heartbeat.machine];
-  // A worker that comes back so soon could not reach the node that it was sent to.
+  // A worker that returns so soon could not reach the node that it was redirected to.
   if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
   for (const auto& peer : context_.settings.peers) {
     if (peer.zone != heartbeat.zone || !context_.peers.reachable(peer.name)) continue;
@@ -68,7 +68,7 @@
   const double now = context_.event_loop.now();
   std::erase_if(redirects_,
                 [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
-  // Heartbeats that waited for a delegation while no leader was heard.
+  // Heartbeats that waited for a delegation while no leader was reachable.
   const bool leader_available =
       context_.leader() != nullptr || (leader_reachable() && !context_.zone_delegate.active());
   if (leader_available) {
--- a/src/controller/heartbeat_router.hpp
+++ b/src/controller/heartbeat_router.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Brings workers' heartbeats to the controller that may reply to them: the leader, or the zone
-/// delegate while the leader is not heard.
+/// Routes workers' heartbeats to the controller that may reply to them: the leader, or the zone
+/// delegate while the leader is unreachable.
 ///
 /// Workers report to a controller of their own zone, which forwards their heartbeats
-/// to the leader. When the zone is cut off or the leader fails, the workers already talk to a
+/// to the leader. When the zone is partitioned or the leader fails, the workers already talk to a
 /// controller that can renew their leases (docs/design.md, "Forwarding"). Runs on the controller's
 /// event loop.
 #pragma once
@@ -30,9 +30,9 @@
   struct Context {
     const config::Settings& settings;       ///< settings of this controller
     const runtime::EventLoop& event_loop;   ///< clock
-    const PeerMonitor& peers;               ///< what other controllers have said of themselves
+    const PeerMonitor& peers;               ///< status that the other controllers report
     const election::TermTracker& terms;     ///< highest known term and its leader
-    election::ZoneDelegate& zone_delegate;  ///< replies while the leader is not heard
+    election::ZoneDelegate& zone_delegate;  ///< replies while the leader is unreachable
     PeerOutbox& outbox;                     ///< sends messages to other controllers
     /// Returns the leader's state if this node leads, else null.
     std::function<Leader*()> leader;
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -36,9 +36,9 @@
     clients::WorkerRpc& worker_rpc;         ///< sends command RPCs to workers
     const store::Mirror& mirror;            ///< local replica of the records
     const election::ReadIndex& read_index;  ///< tells how recent the mirror is
-    /// Returns what another controller has said of its copy of the records.
+    /// Returns what another controller has reported of its copy of the records.
     reconcile::LeaseExpiry::PeerStates peer_read_state;
-    /// Returns whether every controller is heard and none reaches the state store.
+    /// Returns whether every controller is reachable and none reaches the state store.
     election::LeaderLease::CommonOutage common_outage;
     /// Called when a commit shows that the term is over.
     std::function<void()> term_ended;
@@ -54,7 +54,7 @@
   /// Reads a worker's heartbeat and replies to it. Without a valid leader lease it is refused with
   /// 503 (rule 5).
   void on_heartbeat(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
-  /// To be called when another controller says that it has recorded the job as cancelled.
+  /// To be called when another controller reports that it has recorded the job as cancelled.
   void on_cancellation(const std::string& job_id);
   /// To be called when the mirror has changed; `keys` are those of the changed records.
   void on_change(const std::vector<store::Key>& keys);
@@ -102,7 +102,7 @@
   reconcile::HeartbeatReader heartbeat_reader_;
   dispatch::CommandComposer command_composer_;
   dispatch::CommandDispatcher dispatcher_;
-  bool may_start_logged_ = true;  ///< what the last log line on it said
+  bool may_start_logged_ = true;  ///< value in the last log line on it
   /// Set when something has happened that may lead to new decisions. Users' polls and replies of
   /// the state store do not.
   bool decision_due_ = true;
--- a/src/controller/node.hpp
+++ b/src/controller/node.hpp
@@ -54,7 +54,7 @@
   [[nodiscard]] bool ready() const;
   /// The leader's state while this node leads, else null.
   [[nodiscard]] Leader* leader() { return leader_.get(); }
-  /// How many answers about jobs this node has made, and by what knowledge.
+  /// How many answers about jobs this node has given, by the source of each answer.
   [[nodiscard]] const api::AnswerCounts& answer_counts() const { return user_api_.answer_counts(); }
   /// This node's replica of the records.
   [[nodiscard]] const store::Mirror& mirror() const { return mirror_; }
@@ -74,8 +74,8 @@
   void handle(const peer::Message& message);
   void send_peer_heartbeat();
   void on_peer_heartbeat(const peer::Heartbeat& heartbeat);
-  /// Tells the other controllers of a cancellation that this node has recorded, so that the leader
-  /// hears of it at once (rule 8).
+  /// Notifies the other controllers of a cancellation that this node has recorded, so that the
+  /// leader acts on it at once (rule 8).
   void broadcast_cancellation(const std::string& job);
   void on_cancellation(const std::string& job);
 
@@ -85,7 +85,7 @@
   [[nodiscard]] bool state_reachable(double within_s) const;
   /// Seconds since the mirror was known to be current, for the log.
   [[nodiscard]] double records_age() const;
-  /// Whether every controller is heard, and the state store replies to none of them.
+  /// Whether every controller is reachable, and the state store replies to none of them.
   [[nodiscard]] bool common_outage() const;
   [[nodiscard]] election::Connectivity connectivity() const;
 
@@ -128,7 +128,7 @@
   double next_peer_heartbeat_ = 0;
   double next_probe_ = 0;
   double next_answer_counts_log_ = 0;      ///< when the numbers of answers are logged next
-  bool reported_leader_reachable_ = true;  ///< what the last heartbeat to peers said
+  bool reported_leader_reachable_ = true;  ///< in the last heartbeat to peers
 };
 
 }  // namespace elmstall::controller
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What this node knows of the other controllers from their heartbeats. Runs on the controller's
+/// Status of the other controllers according to their heartbeats. Runs on the controller's
 /// event loop.
 #pragma once
 
@@ -22,16 +22,16 @@
   /// Takes in a heartbeat of another controller.
   void on_heartbeat(const peer::Heartbeat& heartbeat);
 
-  /// Whether the peer was heard within the last `constants::kPeerSilence` seconds.
+  /// Whether a heartbeat of the peer arrived within the last `constants::kPeerSilence` seconds.
   [[nodiscard]] bool reachable(const std::string& peer) const;
-  /// Whether every peer is heard, and each says that it does not reach the state store.
+  /// Whether every peer is reachable, and each reports that it does not reach the state store.
   [[nodiscard]] bool all_without_state_store() const;
-  /// Whether some peer is heard, and none that is heard reaches the state store.
+  /// Whether at least one peer is reachable, and no reachable peer reaches the state store.
   [[nodiscard]] bool reachable_peers_without_state_store() const;
-  /// Name of a peer of this node's zone that is heard and does not hear the leader; empty if
-  /// there is none.
+  /// Name of a reachable peer of this node's zone that does not receive the leader's heartbeats;
+  /// empty if there is none.
   [[nodiscard]] std::string zone_peer_without_leader() const;
-  /// What the peer has said of its copy of the records.
+  /// What the peer has reported of its copy of the records.
   [[nodiscard]] reconcile::PeerReadState read_state(const std::string& peer) const;
 
  private:
--- a/src/controller/routes.hpp
+++ b/src/controller/routes.hpp
@@ -18,7 +18,7 @@
   not_found,     ///< no such path
 };
 
-/// What method and path of a request say.
+/// The endpoint and the job that a request names.
 struct Route {
   Endpoint endpoint = Endpoint::not_found;  ///< what the request is for
   std::string job_id;                       ///< of poll_job and cancel_job; not checked
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -49,8 +49,8 @@
   /// process of this node.
   Election(Context context, std::string incarnation);
 
-  /// Takes up the leadership if the mirror shows a won candidacy, or starts a candidacy if there
-  /// is no leader. To be called after every change of the records, and at regular intervals.
+  /// Becomes the leader if the mirror shows a won candidacy, or starts a candidacy if there is
+  /// no leader. To be called after every change of the records, and at regular intervals.
   void evaluate();
   /// This node no longer leads and may stand for election again.
   void resign() { role_ = Role::follower; }
--- a/src/election/leader_lease.hpp
+++ b/src/election/leader_lease.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The leader lease: how long a leader may act without hearing from the state store.
+/// The leader lease: how long a leader may act without a reply from the state store.
 ///
 /// A leader may reply to heartbeats, which renews worker leases, only while both
 /// its term and its copy of the records were confirmed recently (docs/design.md,
@@ -16,11 +16,11 @@
 
 namespace elmstall::election {
 
-/// Says whether this leader may reply to heartbeats, and whether it may start tasks.
+/// Determines whether this leader may reply to heartbeats, and whether it may start tasks.
 class LeaderLease {
  public:
-  /// Returns whether every other controller is heard and says that the state
-  /// store does not answer it either.
+  /// Returns whether every other controller is reachable and reports that the
+  /// state store does not answer it either.
   using CommonOutage = std::function<bool()>;
 
   /// `confirmed_at`: when the request that won the term was sent.
@@ -34,8 +34,8 @@
   [[nodiscard]] bool valid() const;
 
   /// Whether tasks may be started (rule 1). Either the term and the copy of the records were
-  /// confirmed within the last `constants::kStartKnowledge` seconds, or every controller says that
-  /// the state store does not answer it, so that no controller can have confirmed a cancellation.
+  /// confirmed in the last `constants::kStartKnowledge` seconds, or every controller reports that
+  /// the state store does not answer it, so that none can have confirmed a cancellation.
   [[nodiscard]] bool may_start_tasks() const;
 
   /// Seconds since both the term and the copy of the records were known to be current.
--- a/src/election/read_index.cpp
+++ b/src/election/read_index.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Seconds. Reported for a time that does not exist yet; older than any limit on age allows.
+/// Seconds. Stands for an event that has not happened yet; older than every limit on age.
 constexpr double kFarPast = -1e18;
 
 }  // namespace
--- a/src/election/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -6,7 +6,7 @@
 /// the controller asks the state store for its current revision, waits until the mirror has
 /// reached this revision, and only then answers.
 ///
-/// These rely on one ("Reads never go back" in docs/design.md):
+/// These depend on a read index ("Reads never go back" in docs/design.md):
 /// - every answer to a user that is not a final state, including 404. Final states never
 ///   change, so they are answered at once.
 /// - starting a task: the leader's knowledge of cancellations must be recent (rule 1).
--- a/src/election/term_tracker.hpp
+++ b/src/election/term_tracker.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps the highest term that this node has heard of, and the name of its leader.
+/// Keeps the highest term that this node knows of, and the name of its leader.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 /// Term and leader as this node knows them. Neither proves that the leader still leads.
 class TermTracker {
  public:
-  /// Takes in a term that the records, a peer or a worker's token have told. `leader` is empty if
+  /// Takes in a term that a record, a peer or a worker's token carries. `leader` is empty if
   /// the source does not name the leader of that term. Lower terms than the known one are ignored.
   void learn(std::uint64_t term, const std::string& leader) {
     if (term > term_) leader_.clear();
@@ -27,7 +27,7 @@
   /// Forgets the leader, because the leader of the present term has stepped down.
   void clear_leader() { leader_.clear(); }
 
-  /// The highest term heard of; 0 before the first.
+  /// The highest known term; 0 before the first.
   [[nodiscard]] std::uint64_t term() const { return term_; }
   /// Name of the leading node; empty while it is not known.
   [[nodiscard]] const std::string& leader() const { return leader_; }
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -34,8 +34,8 @@
 
 void ZoneDelegate::on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity) {
   const bool other_zone = heartbeat.heartbeat.zone != context_.settings.zone;
-  // A worker that knows a later term would drop our reply. It would stay with this node while its
-  // lease runs out.
+  // A worker that knows a later term would drop this reply. It would keep reporting to this node
+  // until its lease expires.
   const bool later_term = wire::term_of_token(heartbeat.heartbeat.token) > context_.mirror.term();
   if (other_zone || later_term) return heartbeat.respond({kServiceUnavailable, {}, 0});
   if (may_reply(heartbeat.heartbeat.machine, connectivity))
@@ -68,8 +68,8 @@
   const double records_age = now - context_.read_index.current_as_of();
   if (records_age >= context_.settings.leader_lease_s()) return false;
   if (!connectivity.cut_off_zone_peer.empty()) return true;
-  // Perhaps only this node is cut off, and other controllers can serve its workers. A worker that
-  // was sent to another controller and has come back was not served there.
+  // Perhaps only this node is partitioned, and other controllers can serve its workers. A worker
+  // that was refused here and has come back was not served by another controller.
   const auto refused = last_refused_at_.find(machine);
   return refused != last_refused_at_.end() && now > refused->second;
 }
@@ -79,17 +79,17 @@
   last_refused_at_[heartbeat.heartbeat.machine] = context_.event_loop.now();
   const auto& zone_peer = connectivity.cut_off_zone_peer;
   if (zone_peer.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
-  // In a zone that is cut off, controllers of other zones can't be reached, and
+  // In a partitioned zone, controllers of other zones can't be reached, and
   // trying each of them takes a worker 5 s. If the worker stays with this node or its peer,
-  // the leader hears of it as soon as the cut ends.
+  // the leader receives its heartbeats as soon as the partition ends.
   heartbeat.respond({kMisdirected, wire::encode_redirect(zone_peer), 0});
 }
 
 void ZoneDelegate::reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond) {
   const auto& machines = context_.mirror.machines();
   const auto found = machines.find(heartbeat.machine);
-  // A machine that the records do not know, or that the leader is about to give up,
-  // must not be kept alive (rule 6).
+  // The lease of a machine that is not in the records, or that the leader is about
+  // to give up, must not be renewed (rule 6).
   if (found == machines.end() || found->second.record.retired)
     return respond({kServiceUnavailable, {}, 0});
   if (cancelled_run_may_be_in_flight(heartbeat)) return respond({kServiceUnavailable, {}, 0});
@@ -249,7 +249,7 @@
   if (state_ != State::active) return;
   track_leader(connectivity.leader_reachable, now);
   if (leader_reachable_since_ && now - *leader_reachable_since_ >= k::kDelegationEnd)
-    return end("its leader is heard again");
+    return end("its leader is reachable again");
   if (now >= next_renewal_) renew();
 }
 
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -2,13 +2,13 @@
 /// Keeps the leases of a zone's workers alive while they and their leader can't
 /// reach each other.
 ///
-/// A follower that receives heartbeats of its zone while it does not hear the leader
+/// A follower that receives heartbeats of its zone while the leader is unreachable
 /// records that it is the delegate of its zone. It then renews worker leases, starts
 /// nothing, and stops only tasks of cancelled jobs. The record is attached to a
 /// lease of the state store, and the delegate replies to heartbeats only while that
 /// lease has certainly not ended (docs/design.md, "Zone delegates").
 ///
-/// Where the zone is cut off from the state store too, nothing can be recorded. The
+/// If the zone is partitioned from the state store too, nothing can be recorded. The
 /// delegation is then unrecorded: the node replies in the same way, for as long as a
 /// leader may without the state store (rule 5), and only to machines that are not
 /// recorded as retired. A leader that gives up a machine takes that into account
@@ -51,7 +51,7 @@
   void on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity);
   /// Hands over all heartbeats that still wait, so that a leader can reply to them instead.
   [[nodiscard]] std::vector<PendingHeartbeat> take_waiting() { return std::exchange(waiting_, {}); }
-  /// Renews the delegation, or ends it when the leader is heard again.
+  /// Renews the delegation, or ends it when the leader is reachable again.
   void tick(const Connectivity& connectivity);
   /// Ends the delegation: replies to no more heartbeats and removes the record. Does nothing if
   /// there is no delegation. `reason` is for the log.
--- a/src/state/commit_limits.hpp
+++ b/src/state/commit_limits.hpp
@@ -10,7 +10,7 @@
 namespace elmstall::state {
 
 /// The limits of the state store, from the settings, times a scale. The scale is 1 until the
-/// state store calls a transaction malformed although it keeps to the announced limits; it is
+/// state store rejects a transaction as malformed although it keeps to the announced limits; it is
 /// then halved, and doubled again after many accepted transactions. See "Limits to come" in
 /// docs/design.md.
 class CommitLimits {
--- a/src/state/gang.hpp
+++ b/src/state/gang.hpp
@@ -6,7 +6,7 @@
 ///
 /// placement::GangCoordinator and placement::stop_gang make all transitions:
 /// - waiting -> starting: there is room for all tasks, which are assigned under a new attempt.
-/// - waiting -> claiming: lesser work is being stopped to make room for all tasks; or the gang
+/// - waiting -> claiming: other tasks are being preempted to make room for all tasks; or the gang
 ///   has waited long, and keeps the free places that there are.
 /// - claiming -> starting: there is room for all tasks now.
 /// - claiming -> waiting: the claim took too long, one of its machines can't be used any more,
--- a/src/state/group_commit.cpp
+++ b/src/state/group_commit.cpp
@@ -192,7 +192,7 @@
 }
 
 void GroupCommit::on_rejected(const PendingCommit& pending) {
-  // The state store calls it malformed. It is probably larger than the state store accepts,
+  // The state store rejects it as malformed. It is probably larger than the state store accepts,
   // although the settings allow it.
   spdlog::error("the state service refuses a transaction of {} changes and about {} bytes",
                 pending.transaction.writes.size(), pending.json_bytes);
--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -44,7 +44,7 @@
   /// The final state of a job that is to be written.
   using Finalization = state::Finalization;
 
-  /// What the group commit tells its owner. All handlers must be set.
+  /// Callbacks to the owner of the group commit. All must be set.
   struct Events {
     /// The final state of the job is stored. Its block records no longer exist.
     std::function<void(const std::string& job)> finished;
--- a/src/state/job.hpp
+++ b/src/state/job.hpp
@@ -63,8 +63,8 @@
   /// A task of the job was assigned to a machine at least once, by this leader or, as far as the
   /// records still show it, by a former one.
   bool begun = false;
-  /// When work to preempt for this job was last searched for in vain; for a gang, when it was last
-  /// searched for at all. The next search waits for constants::kDisplaceInterval from then on.
+  /// When the last search for tasks to preempt for this job failed; for a gang, when the last
+  /// search was made at all. The next one waits for constants::kDisplaceInterval from then on.
   double searched_at = kNever;
   /// Number of the tasks that `on_machines` counts, by zone. Zones without such tasks are left out.
   std::map<std::string, std::uint32_t> per_zone;
@@ -76,7 +76,7 @@
   Gang gang;  ///< state of the gang; of no meaning for jobs of other kinds
   /// No task of the job is started before this time, because the job failed on several machines.
   double failed_until = kNever;
-  int failures = 0;  ///< how often reconcile::TaskFailures held the job, not a machine, to blame
+  int failures = 0;  ///< failures that reconcile::TaskFailures attributed to the job, not a machine
   /// Whether the job is a service.
   [[nodiscard]] bool is_service() const { return spec.kind == wire::JobKind::service; }
   /// Whether the job is a gang.
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -66,15 +66,15 @@
   /// until the next heartbeat, which shows their effect (rule 2).
   bool reply_carried_commands = false;
   double rpc_backoff_until = kNever;  ///< no command RPC is sent before this time
-  /// Since when the machine has shown no effect of what it was told. kNever if no effect is
+  /// Since when the machine has shown no effect of its commands. kNever if no effect is
   /// outstanding. reconcile::Responsiveness changes it too.
   double unacknowledged_since = kNever;
   /// The worker sends heartbeats, but they show no effect of commands. Set by
   /// reconcile::Responsiveness.
   bool unresponsive = false;
 
-  // --- leases: times of contact, and what rule 6 asks of a silent machine ---
-  // reconcile::HeartbeatReader sets what is heard from the machine, dispatch::CommandDispatcher
+  // --- leases: times of contact, and what rule 6 requires for a silent machine ---
+  // reconcile::HeartbeatReader sets what heartbeats contain, dispatch::CommandDispatcher
   // sets `last_reply`, and reconcile::LeaseExpiry sets the rest unless said otherwise.
 
   bool heartbeat_received = false;  ///< a heartbeat was received from the machine in this term
@@ -124,8 +124,8 @@
 
   // --- fleet and health; set by the autoscaler unless said otherwise ---
 
-  /// Identifiers of jobs of which tasks failed on the machine, except for jobs that were held to
-  /// blame themselves. Set by reconcile::TaskFailures.
+  /// Identifiers of jobs of which tasks failed on the machine, except for jobs to which the
+  /// failures were attributed. Set by reconcile::TaskFailures.
   std::set<std::string> failed_jobs;
   /// The machine gets no new tasks, because tasks of several jobs failed on it. Set by
   /// reconcile::TaskFailures.
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -75,8 +75,8 @@
   void set_machine_types(std::vector<wire::MachineType> machine_types);
   /// The machine type with this name, or null.
   [[nodiscard]] const wire::MachineType* machine_type(const std::string& type) const;
-  /// Sets what heartbeats, the cloud or the records say of a machine. Its zone is kept while it has
-  /// tasks, and its address is kept if `addr` is empty.
+  /// Sets a machine's attributes from a heartbeat, the cloud or the records. Its zone is kept
+  /// while it has tasks, and its address is kept if `addr` is empty.
   void update_attributes(Machine& machine, const std::string& type, const std::string& zone,
                          bool spot, const std::string& addr) const;
 
@@ -129,7 +129,7 @@
     return machine_types_;
   }
 
-  // --- what has changed, so that no decision has to walk through all jobs and machines ---
+  // --- change tracking, so that no decision has to iterate over all jobs and machines ---
 
   /// Jobs that may have pending tasks that are in no queue. placement::JobQueues and
   /// placement::DirectPlacement remove a job once it needs nothing more from them.
