--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -52,7 +52,7 @@
   // show two epochs that were both over before its tasks began (rule 3).
   if (machine.epoch_known && heartbeat.epoch > machine.epoch)
     remove_all_tasks(context_.model, context_.planner, machine, "its epoch ended");
-  context_.lease_expiry.revive(machine);
+  context_.lease_expiry.cancel_retirement(machine);
   // Command RPCs also reach machines that can't reach any controller. They renew no lease, so
   // what they start ends with the machine's lease. The reply to an RPC therefore does not count as
   // a heartbeat, except as the first contact in a term, when the next heartbeat may take long.
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -29,7 +29,7 @@
     // This also holds when the delegation has just ended: the delegate may have replied until now.
     if (delegated || machine->delegated) machine->delegated_at = now;
     machine->delegated = delegated;
-    if (delegated) revive(*machine);
+    if (delegated) cancel_retirement(*machine);
   }
 }
 
@@ -40,17 +40,17 @@
   // existing delegation makes the transaction fail. Delegates of other zones do not reply to this
   // machine, so they are no precondition: while a zone is cut off, its delegation would otherwise
   // hold up all other changes that are written in the same transaction.
-  const auto exclude = [&](const std::string& node, const std::string& zone) {
+  const auto require_absent = [&](const std::string& node, const std::string& zone) {
     if (may_be_delegate(zone, machine))
       machine.record->absent.push_back(store::delegation_key(node));
   };
   machine.record->absent.clear();
-  exclude(settings_.node, settings_.zone);
-  for (const auto& peer : settings_.peers) exclude(peer.name, peer.zone);
+  require_absent(settings_.node, settings_.zone);
+  for (const auto& peer : settings_.peers) require_absent(peer.name, peer.zone);
   group_commit_.mark_dirty(*machine.record);
 }
 
-void LeaseExpiry::revive(state::Machine& machine) {
+void LeaseExpiry::cancel_retirement(state::Machine& machine) {
   if (!machine.retired || machine.record == nullptr) return;
   machine.retired = false;
   machine.retired_at = state::kNever;
@@ -58,7 +58,7 @@
   group_commit_.mark_dirty(*machine.record);
 }
 
-bool LeaseExpiry::excluded(const state::Machine& machine, double now) const {
+bool LeaseExpiry::other_renewals_ruled_out(const state::Machine& machine, double now) const {
   const double lease = settings_.lease_over_s();
   // A controller that proved its records current just before the retirement was written may have
   // replied as an unrecorded delegate until its leader lease ran out. After that and one worker
@@ -80,21 +80,23 @@
     // An epoch may have begun just before its heartbeat was received, and command RPCs start
     // tasks in an epoch to which no reply was sent. Therefore the last contact counts as well as
     // the last reply.
-    const double last_touched =
+    const double latest_renewal =
         std::max({machine->last_reply, machine->last_contact, machine->delegated_at});
-    const double alive_until = std::max(machine->inherited_until, last_touched + lease);
-    if (alive_until == state::kNever || machine->delegated || machine->record == nullptr) continue;
+    const double latest_lease_end = std::max(machine->inherited_until, latest_renewal + lease);
+    if (latest_lease_end == state::kNever || machine->delegated || machine->record == nullptr)
+      continue;
     if (!machine->retired) {
       // The machine is retired before its lease ends, so that all controllers that might reply to
       // it know of the retirement by then.
-      const double silent_since = std::max(last_touched, started_);
-      if (now >= std::min(alive_until, silent_since + settings_.silent_after_s())) retire(*machine);
+      const double silent_since = std::max(latest_renewal, started_);
+      if (now >= std::min(latest_lease_end, silent_since + settings_.silent_after_s()))
+        retire(*machine);
       continue;
     }
     // Go on only when the retirement is committed and the mirror has reached its revision.
     if (!machine->record->clean() || mirror_.revision() < machine->record->revision) continue;
     if (machine->retired_at == state::kNever) machine->retired_at = now;
-    if (now < alive_until || !excluded(*machine, now)) continue;
+    if (now < latest_lease_end || !other_renewals_ruled_out(*machine, now)) continue;
     expired_(*machine);
     machine->synchronized = false;
   }
--- a/src/reconcile/lease_expiry.hpp
+++ b/src/reconcile/lease_expiry.hpp
@@ -46,7 +46,7 @@
   /// To be called when the delegations in the records have changed.
   void update_delegations(double now);
   /// Withdraws the retirement of a machine that was heard of again.
-  void revive(state::Machine& machine);
+  void cancel_retirement(state::Machine& machine);
   /// The time until which worker leases that a former leader renewed may last.
   [[nodiscard]] double inherited_until() const;
 
@@ -54,7 +54,7 @@
   void retire(state::Machine& machine);
   /// Whether it is excluded that another controller replies to this machine, or has replied to it
   /// so recently that the renewed lease may still last (rule 6).
-  [[nodiscard]] bool excluded(const state::Machine& machine, double now) const;
+  [[nodiscard]] bool other_renewals_ruled_out(const state::Machine& machine, double now) const;
 
   const config::Settings& settings_;
   const store::Mirror& mirror_;
--- a/src/reconcile/responsiveness.cpp
+++ b/src/reconcile/responsiveness.cpp
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-bool Responsiveness::shows_our_replies(const state::Machine& machine,
-                                       const wire::WorkerHeartbeat& heartbeat) const {
+bool Responsiveness::acknowledges_replies(const state::Machine& machine,
+                                          const wire::WorkerHeartbeat& heartbeat) const {
   if (heartbeat.token < fencing_.token(machine)) return false;
   if (!machine.reply_carried_commands) return true;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const state::Task* task) {
-    const bool just_ordered =
+    const bool run_unacknowledged =
         task->may_be_on_machine() && task->run_sent() && !task->in_last_heartbeat();
-    return !just_ordered || lists_task(heartbeat, *task);
+    return !run_unacknowledged || lists_task(heartbeat, *task);
   });
 }
 
@@ -48,7 +48,7 @@
                            double now) {
   // A heartbeat proves that a machine works, not that it receives replies. They may be lost on
   // the way, and then its lease runs out.
-  if (shows_our_replies(machine, heartbeat)) {
+  if (acknowledges_replies(machine, heartbeat)) {
     if (machine.unresponsive) spdlog::info("machine {} hears us again", machine.id);
     machine.unresponsive = false;
     machine.unacknowledged_since = state::kNever;
--- a/src/reconcile/responsiveness.hpp
+++ b/src/reconcile/responsiveness.hpp
@@ -24,8 +24,8 @@
   void check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, double now);
 
  private:
-  [[nodiscard]] bool shows_our_replies(const state::Machine& machine,
-                                       const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool acknowledges_replies(const state::Machine& machine,
+                                          const wire::WorkerHeartbeat& heartbeat) const;
   [[nodiscard]] bool lease_lapsed_early(const state::Machine& machine,
                                         const wire::WorkerHeartbeat& heartbeat, double now) const;
   [[nodiscard]] bool unacknowledged_too_long(const state::Machine& machine, double now) const;
--- a/src/reconcile/task_failures.cpp
+++ b/src/reconcile/task_failures.cpp
@@ -37,13 +37,13 @@
   machine.failed_jobs.insert(job.id);
   model_.unassign(task);
   if (static_cast<int>(job.failed_on.size()) >= k::kJobErrorMachines) {
-    blame_job(job, now);
+    back_off_job(job, now);
   } else {
     quarantine_if_repeated(machine);
   }
 }
 
-void TaskFailures::blame_job(state::Job& job, double now) {
+void TaskFailures::back_off_job(state::Job& job, double now) {
   // The job failed on several machines, so the job is the likely cause. It backs off, so that it
   // does not get one machine after the other quarantined, and its failures no longer count against
   // the machines.
--- a/src/reconcile/task_failures.hpp
+++ b/src/reconcile/task_failures.hpp
@@ -19,7 +19,7 @@
   void on_failure(state::Task& task, state::Machine& machine, double now);
 
  private:
-  void blame_job(state::Job& job, double now);
+  void back_off_job(state::Job& job, double now);
   static void quarantine_if_repeated(state::Machine& machine);
 
   state::Model& model_;
