--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -87,7 +87,7 @@
   auto& machine = model_.machine(heartbeat.machine);
   if (!HeartbeatReader::is_newer(machine, heartbeat)) {
     if (crossed_command_rpc(machine, heartbeat))
-      return dispatcher_.reply_to_crossed(machine, respond);
+      return dispatcher_.reply_to_outdated(machine, respond);
     return respond({unavailable, {}, 0});  // a late copy; no worker waits for its reply
   }
   const double now = context_.event_loop.now();
--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -64,7 +64,7 @@
 }
 
 std::vector<wire::WorkerCommand> CommandComposer::compose(state::Machine& machine, double now,
-                                                          bool starting) {
+                                                          bool may_start_tasks) {
   Commands commands = cancellations(machine);
   for (const auto& name : machine.unrecorded_tasks) {
     if (commands.size() >= k::kMaxCommands) break;
@@ -76,7 +76,7 @@
     if (!task->may_be_on_machine() || task->job->cancelled) continue;
     if (task->is_stopping()) {
       add_stop(*task, now, commands);
-    } else if (starting && run_due(*task, machine)) {
+    } else if (may_start_tasks && run_due(*task, machine)) {
       commands.push_back({Verb::run, task->job->id, task->index, task->attempt(), 0});
       task->mark_run_sent();
     }
--- a/src/dispatch/command_composer.hpp
+++ b/src/dispatch/command_composer.hpp
@@ -19,9 +19,9 @@
       : settings_(settings), model_(model), group_commit_(group_commit), gangs_(gangs) {}
 
   /// All commands that are due for the machine, `constants::kMaxCommands` at most. Commands that
-  /// start tasks are among them only if `starting` is true. The model notes what is sent.
+  /// start tasks are among them only if `may_start_tasks` is true. The model notes what is sent.
   [[nodiscard]] std::vector<wire::WorkerCommand> compose(state::Machine& machine, double now,
-                                                         bool starting);
+                                                         bool may_start_tasks);
   /// Commands that stop the tasks of cancelled jobs on the machine. Every reply that renews the
   /// machine's lease must contain them (rule 8).
   [[nodiscard]] static std::vector<wire::WorkerCommand> cancellations(
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -40,13 +40,13 @@
 
 void CommandDispatcher::log_commands(const state::Machine& machine,
                                      const std::vector<wire::WorkerCommand>& commands,
-                                     std::string_view way) const {
+                                     std::string_view channel) const {
   if (!spdlog::should_log(spdlog::level::debug)) return;
   for (const auto& command : commands) {
     spdlog::debug(
         "command: verb={} task={} attempt={} machine={} by={} token={} records_age={:.2f}s",
         wire::to_text(command.verb), wire::task_name(command.job, command.index), command.attempt,
-        machine.id, way, context_.fencing.token(machine), context_.lease.age());
+        machine.id, channel, context_.fencing.token(machine), context_.lease.age());
   }
 }
 
@@ -73,7 +73,7 @@
   respond({200, wire::encode_heartbeat_reply(context_.fencing.token(machine), commands), 0});
 }
 
-void CommandDispatcher::reply_to_crossed(state::Machine& machine, const net::Responder& respond) {
+void CommandDispatcher::reply_to_outdated(state::Machine& machine, const net::Responder& respond) {
   machine.last_reply = context_.event_loop.now();
   const auto commands = CommandComposer::cancellations(machine);
   log_commands(machine, commands, "heartbeat_reply");
@@ -91,17 +91,17 @@
 void CommandDispatcher::deliver() {
   if (!std::exchange(due_, false) || !context_.lease.valid()) return;
   const double now = context_.event_loop.now();
-  const bool may_start = context_.lease.may_start_tasks();
+  const bool may_start_tasks = context_.lease.may_start_tasks();
   auto& attention = context_.model.attention();
   for (auto it = attention.begin(); it != attention.end();) {
     auto& machine = **it;
-    const bool waits = machine.synchronized && awaits_commands(machine);
-    if (!waits) {
+    const bool needs_commands = machine.synchronized && awaits_commands(machine);
+    if (!needs_commands) {
       it = attention.erase(it);  // its next heartbeat, or a change, adds it again
       continue;
     }
     if (rpc_possible(machine)) {
-      const auto commands = context_.composer.compose(machine, now, may_start);
+      const auto commands = context_.composer.compose(machine, now, may_start_tasks);
       // Commands that only clear tasks can wait for the reply to the next heartbeat.
       if (starts_or_stops(commands)) start_rpc(machine, commands);
     }
@@ -157,8 +157,8 @@
   if (!machine.recorded() || machine.epoch_known || machine.terminating) return false;
   if (machine.addr.empty() || machine.rpc_in_flight || now < machine.rpc_backoff_until)
     return false;
-  const bool reply_on_its_way = machine.heard && now - machine.last_reply < kSynchronizationPause;
-  return !reply_on_its_way;
+  const bool reply_in_transit = machine.heard && now - machine.last_reply < kSynchronizationPause;
+  return !reply_in_transit;
 }
 
 void CommandDispatcher::synchronize_machines() {
--- a/src/dispatch/command_dispatcher.hpp
+++ b/src/dispatch/command_dispatcher.hpp
@@ -44,7 +44,7 @@
   void reply(state::Machine& machine, const net::Responder& respond);
   /// Replies to a heartbeat that was received after the newer reply to a command RPC. The reply
   /// renews the lease, and commands nothing but the end of cancelled tasks.
-  void reply_to_crossed(state::Machine& machine, const net::Responder& respond);
+  void reply_to_outdated(state::Machine& machine, const net::Responder& respond);
 
   /// Notes that the model may have changed, so that commands may be due.
   void mark_due() { due_ = true; }
@@ -57,7 +57,7 @@
  private:
   /// Logs which commands were allowed, and on what knowledge, at debug level.
   void log_commands(const state::Machine& machine, const std::vector<wire::WorkerCommand>& commands,
-                    std::string_view way) const;
+                    std::string_view channel) const;
   [[nodiscard]] bool rpc_possible(const state::Machine& machine) const;
   [[nodiscard]] static bool needs_synchronization(const state::Machine& machine, double now);
   void start_rpc(state::Machine& machine, const std::vector<wire::WorkerCommand>& commands);
