--- a/src/autoscaler/demand_estimator.cpp
+++ b/src/autoscaler/demand_estimator.cpp
@@ -18,17 +18,17 @@
   auto& arrivals = arrivals_.try_emplace(machine_type.name, k::kArrivalMemory, now).first->second;
   sched::Demand demand;
   TeamDemand team_demand;
-  double machines_ending = 0;
+  double machines_freed = 0;
   std::uint64_t newest_serial = newest_counted_serial_;
   for (const auto& [id, job] : model_.jobs()) {
-    if (!wants_machine_type(*job, machine_type, now)) continue;
+    if (!needs_machine_type(*job, machine_type, now)) continue;
     const auto* team = settings_.team(job->spec.team);
     if (team == nullptr) continue;
     const auto packed = tasks_per_machine(job->need, machine_type);
     if (!packed) continue;
     const double machines_per_task = 1.0 / *packed;
     if (job->spec.spot)
-      machines_ending += machines_per_task * tasks_ending_soon(*job, machine_type.ready_s, now);
+      machines_freed += machines_per_task * tasks_ending_soon(*job, machine_type.ready_s, now);
     newest_serial = std::max(newest_serial, job->serial);
     if (counts_as_arrival(*job, machine_type))
       arrivals.add(now, machines_per_task * std::min<double>(job->spec.tasks, k::kWindowTasks));
@@ -36,14 +36,14 @@
     (job->spec.spot ? demand.flexible : demand.ordinary) += machines_per_task * tasks;
   }
   newest_counted_serial_ = newest_serial;
-  const double change = expected_change(machine_type, arrivals, machines_ending, now);
+  const double change = expected_change(machine_type, arrivals, machines_freed, now);
   demand.flexible = std::max(0.0, demand.flexible + settings_.tuning.foresight * change);
   demand.headroom =
       settings_.tuning.headroom_machines + settings_.tuning.headroom_share * demand.ordinary;
   return demand;
 }
 
-bool DemandEstimator::wants_machine_type(const state::Job& job,
+bool DemandEstimator::needs_machine_type(const state::Job& job,
                                          const wire::MachineType& machine_type, double now) {
   if (job.cancelled || job.failed_until > now || job.all_done()) return false;
   const auto& types = job.spec.types;
@@ -92,14 +92,14 @@
 }
 
 double DemandEstimator::expected_change(const wire::MachineType& machine_type,
-                                        sched::ArrivalRate& arrivals, double machines_ending,
+                                        sched::ArrivalRate& arrivals, double machines_freed,
                                         double now) const {
   // After a takeover the arrival rate is not known at first. Work that ends must then not be
   // subtracted either, because nothing would stand for the work that replaces it.
   const bool rate_known =
       term_start_.first_term() || now > term_start_.at + k::kArrivalSettle + k::kArrivalLearn;
   if (!rate_known) return 0;
-  return arrivals.per_second(now) * machine_type.ready_s - machines_ending;
+  return arrivals.per_second(now) * machine_type.ready_s - machines_freed;
 }
 
 }  // namespace elmstall::autoscaler
--- a/src/autoscaler/demand_estimator.hpp
+++ b/src/autoscaler/demand_estimator.hpp
@@ -36,7 +36,7 @@
   using TeamDemand = std::map<std::string, sched::Amount>;
 
   /// Whether the job needs machines now, and may use this type.
-  [[nodiscard]] static bool wants_machine_type(const state::Job& job,
+  [[nodiscard]] static bool needs_machine_type(const state::Job& job,
                                                const wire::MachineType& machine_type, double now);
   /// How many of the job's unfinished tasks its team's hard limit allows to run beside the rest
   /// of the team's demand. Adds them to that demand.
@@ -51,7 +51,7 @@
   [[nodiscard]] double tasks_ending_soon(const state::Job& job, double within_s, double now) const;
   /// The likely change of flexible demand, in machines, until a machine requested now is up.
   [[nodiscard]] double expected_change(const wire::MachineType& machine_type,
-                                       sched::ArrivalRate& arrivals, double machines_ending,
+                                       sched::ArrivalRate& arrivals, double machines_freed,
                                        double now) const;
 
   const config::Settings& settings_;
--- a/src/autoscaler/fleet_autoscaler.cpp
+++ b/src/autoscaler/fleet_autoscaler.cpp
@@ -47,7 +47,7 @@
 
 void FleetAutoscaler::terminate(state::Machine& machine) { terminations_.mark(machine); }
 
-bool FleetAutoscaler::knows_whole_fleet(double now) const {
+bool FleetAutoscaler::fleet_fully_known(double now) const {
   if (!machine_list_.read_once()) return false;
   // Machines that a former leader provisioned a moment ago show up in the list only after its
   // lag. Provisioning before that would buy them twice.
@@ -57,7 +57,7 @@
 
 void FleetAutoscaler::plan(double now) {
   provisioning_.begin_round();
-  if (!knows_whole_fleet(now)) return;
+  if (!fleet_fully_known(now)) return;
   for (const auto& machine_type : model_.machine_types()) plan_machine_type(machine_type, now);
 }
 
--- a/src/autoscaler/fleet_autoscaler.hpp
+++ b/src/autoscaler/fleet_autoscaler.hpp
@@ -45,7 +45,7 @@
   void plan(double now);
   void plan_machine_type(const wire::MachineType& machine_type, double now);
   /// Whether this leader knows of every machine that former leaders have provisioned.
-  [[nodiscard]] bool knows_whole_fleet(double now) const;
+  [[nodiscard]] bool fleet_fully_known(double now) const;
 
   const config::Settings& settings_;
   runtime::EventLoop& loop_;
--- a/src/autoscaler/health_review.cpp
+++ b/src/autoscaler/health_review.cpp
@@ -28,13 +28,13 @@
 constexpr double kListLagMargin = 1;
 
 /// Whether so many machines are affected at once that the network is the likely cause.
-bool likely_partition(std::size_t affected, std::size_t heard) {
-  return affected * kPartitionRatio > heard && affected > 1;
+bool likely_partition(std::size_t affected, std::size_t total) {
+  return affected * kPartitionRatio > total && affected > 1;
 }
 
 }  // namespace
 
-bool HealthReview::HeartbeatCounts::partitioned() const { return likely_partition(silent, heard); }
+bool HealthReview::HeartbeatCounts::partitioned() const { return likely_partition(silent, total); }
 
 HealthReview::HealthReview(const config::Settings& settings, state::Model& model,
                            const MachineList& machine_list, Terminations& terminations,
@@ -52,7 +52,7 @@
     if (machine.terminating || machine.reported_failed) {
       terminations_.mark(machine);
     } else if (machine.heard) {
-      review_heard(machine, findings, now);
+      review_running(machine, findings, now);
     } else {
       review_booting(machine, now);
     }
@@ -61,7 +61,7 @@
   terminate_silent(findings, now);
 }
 
-void HealthReview::review_heard(state::Machine& machine, Findings& findings, double now) {
+void HealthReview::review_running(state::Machine& machine, Findings& findings, double now) {
   const bool silent = machine.quiet(now) > settings_.silent_after_s();
   if (machine.tasks.empty() && machine.quarantined) {
     terminations_.mark(machine);
@@ -71,7 +71,7 @@
     findings.unresponsive.push_back(&machine);
   }
   for (auto* counts : {&findings.fleet, &findings.zones[machine.zone]}) {
-    ++counts->heard;
+    ++counts->total;
     if (silent) ++counts->silent;
   }
 }
@@ -90,25 +90,25 @@
 }
 
 void HealthReview::terminate_unresponsive(const Findings& findings, double now) {
-  if (likely_partition(findings.unresponsive.size(), findings.fleet.heard)) return;
-  const double patience = k::kUnresponsiveLeases * settings_.lease_over_s();
+  if (likely_partition(findings.unresponsive.size(), findings.fleet.total)) return;
+  const double timeout = k::kUnresponsiveLeases * settings_.lease_over_s();
   for (auto* machine : findings.unresponsive) {
-    if (now - machine->unacknowledged_since > patience) terminations_.mark(*machine);
+    if (now - machine->unacknowledged_since > timeout) terminations_.mark(*machine);
   }
 }
 
 void HealthReview::terminate_silent(const Findings& findings, double now) {
   const double lease = settings_.lease_over_s();
-  const double unlisted_patience = kListLagFactor * settings_.list_lag_s + kListLagMargin;
+  const double unlisted_timeout = kListLagFactor * settings_.list_lag_s + kListLagMargin;
   for (auto* machine : findings.silent) {
     const double silent_for = machine->quiet(now);
     const bool gone_from_list =
-        machine_list_.read_once() && !machine->listed && silent_for > unlisted_patience;
+        machine_list_.read_once() && !machine->listed && silent_for > unlisted_timeout;
     const bool partition =
         findings.fleet.partitioned() || findings.zones.at(machine->zone).partitioned();
-    const double patience =
+    const double timeout =
         lease + (partition ? kPartitionExtraLeases * lease : lease * kSilentExtraLeases);
-    if (gone_from_list || silent_for > patience) terminations_.mark(*machine);
+    if (gone_from_list || silent_for > timeout) terminations_.mark(*machine);
   }
 }
 
--- a/src/autoscaler/health_review.hpp
+++ b/src/autoscaler/health_review.hpp
@@ -32,7 +32,7 @@
  private:
   /// Counts of the machines that have sent a heartbeat in this term.
   struct HeartbeatCounts {
-    std::size_t heard = 0;   ///< have sent at least one heartbeat
+    std::size_t total = 0;   ///< have sent at least one heartbeat
     std::size_t silent = 0;  ///< of those, have sent none for too long
     [[nodiscard]] bool partitioned() const;
   };
@@ -45,7 +45,7 @@
     std::map<std::string, HeartbeatCounts> zones;
   };
 
-  void review_heard(state::Machine& machine, Findings& findings, double now);
+  void review_running(state::Machine& machine, Findings& findings, double now);
   void review_booting(state::Machine& machine, double now);
   void terminate_unresponsive(const Findings& findings, double now);
   void terminate_silent(const Findings& findings, double now);
--- a/src/autoscaler/pool_survey.cpp
+++ b/src/autoscaler/pool_survey.cpp
@@ -21,7 +21,7 @@
   return pool;
 }
 
-bool takes_work(const state::Machine& machine) {
+bool is_schedulable(const state::Machine& machine) {
   return !machine.terminating && !machine.quarantined && !machine.interruption_at &&
          !machine.reported_failed;
 }
@@ -52,7 +52,7 @@
     }
   }
   for (const auto& [id, machine] : model.machines()) {
-    if (machine->type == machine_type.name && takes_work(*machine))
+    if (machine->type == machine_type.name && is_schedulable(*machine))
       count_machine(pools, *machine, settings.silent_after_s(), now);
   }
   return pools;
--- a/src/autoscaler/terminations.cpp
+++ b/src/autoscaler/terminations.cpp
@@ -56,10 +56,10 @@
     next_request_at_ = loop_.now() + k::kAutoscaleInterval;
     return;
   }
-  for (const auto& id : machine_ids) forget(id);
+  for (const auto& id : machine_ids) remove_deleted(id);
 }
 
-void Terminations::forget(const std::string& machine_id) {
+void Terminations::remove_deleted(const std::string& machine_id) {
   auto* machine = model_.find_machine(machine_id);
   if (machine == nullptr) return;
   spdlog::info("machine {} returned", machine_id);
--- a/src/autoscaler/terminations.hpp
+++ b/src/autoscaler/terminations.hpp
@@ -33,7 +33,7 @@
   /// The marked machines that the next request takes.
   [[nodiscard]] std::vector<std::string> next_batch() const;
   void on_reply(const std::vector<std::string>& machine_ids, bool confirmed);
-  void forget(const std::string& machine_id);
+  void remove_deleted(const std::string& machine_id);
 
   runtime::EventLoop& loop_;
   clients::Cloud& cloud_;
--- a/src/autoscaler/zone_planner.cpp
+++ b/src/autoscaler/zone_planner.cpp
@@ -92,14 +92,14 @@
 std::optional<std::string> ZonePlanner::zone_with_spread_room(
     const state::Job& job, const std::vector<std::string>& zones) {
   if (!job.spec.spread) return std::nullopt;
-  const auto full = [&](const std::string& zone) {
+  const auto is_full = [&](const std::string& zone) {
     return tasks_in_zone(job, zone) >= sched::spread_limit(job.spec.tasks);
   };
-  if (std::none_of(zones.begin(), zones.end(), full)) return std::nullopt;
-  const auto emptiest = std::min_element(
+  if (std::none_of(zones.begin(), zones.end(), is_full)) return std::nullopt;
+  const auto least_used = std::min_element(
       zones.begin(), zones.end(),
       [&](const auto& a, const auto& b) { return tasks_in_zone(job, a) < tasks_in_zone(job, b); });
-  return full(*emptiest) ? std::nullopt : std::optional(*emptiest);
+  return is_full(*least_used) ? std::nullopt : std::optional(*least_used);
 }
 
 double ZonePlanner::machines_for_waiting_tasks(const state::Job& job,
