--- a/src/autoscaler/demand_estimator.cpp
+++ b/src/autoscaler/demand_estimator.cpp
@@ -54,7 +54,7 @@
                                            TeamDemand& team_demand) {
   auto& demand = team_demand[job.spec.team];
   const double tasks =
-      sched::within_limit_count(team, demand, job.need, job.spec.tasks - job.finished_tasks);
+      sched::max_tasks_within_limit(team, demand, job.need, job.spec.tasks - job.finished_tasks);
   demand += job.need * tasks;
   return tasks;
 }
--- a/src/placement/direct_placement.cpp
+++ b/src/placement/direct_placement.cpp
@@ -27,21 +27,21 @@
 
 void DirectPlacement::place_open_jobs(double now) {
   for (auto* job : open_jobs_by_precedence(now)) {
-    if (place(*job, now) == Progress::settled) model_.open().erase(job);
+    if (place(*job, now) == Progress::nothing_to_place) model_.open().erase(job);
   }
 }
 
 DirectPlacement::Progress DirectPlacement::place(state::Job& job, double now) {
   if (job.is_gang()) {
-    const bool to_be_continued = gangs_.advance(job, machines_.with_room_for_gangs(), now);
-    return to_be_continued ? Progress::still_open : Progress::settled;
+    const bool still_open = gangs_.advance(job, machines_.with_room_for_gangs(), now);
+    return still_open ? Progress::still_open : Progress::nothing_to_place;
   }
   choose_zone(job, now);
   return place_tasks(job, now);
 }
 
 DirectPlacement::Progress DirectPlacement::place_tasks(state::Job& job, double now) {
-  auto progress = Progress::settled;
+  auto progress = Progress::nothing_to_place;
   for (std::uint32_t number = 0; number < job.block_count; ++number) {
     for (auto& task : model_.load_block(job, number, nullptr).tasks) {
       if (!task.is_pending()) continue;
--- a/src/placement/direct_placement.hpp
+++ b/src/placement/direct_placement.hpp
@@ -32,7 +32,7 @@
 
  private:
   /// What is to become of a job in the set of open jobs.
-  enum class Progress : std::uint8_t { still_open, settled };
+  enum class Progress : std::uint8_t { still_open, nothing_to_place };
 
   [[nodiscard]] std::vector<state::Job*> open_jobs_by_precedence(double now);
   [[nodiscard]] Progress place(state::Job& job, double now);
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -56,7 +56,7 @@
   return gang.committed;
 }
 
-void GangAttempts::watch_start(state::Job& job, const state::MachineSet& with_room, double now) {
+void GangAttempts::advance_start(state::Job& job, const state::MachineSet& with_room, double now) {
   const auto tasks = load_gang_tasks(model_, job);
   if (std::all_of(tasks.begin(), tasks.end(), is_running))
     return change_gang_state(job, GangState::running, now);
@@ -65,13 +65,13 @@
   // A gang whose tasks have begun to run, or were told to end, can't take a replacement any more.
   // Its remaining tasks are ended to make room for the next attempt.
   if (job.gang.broken) return end(job, "a task is gone", now);
-  if (others_still_wait(job)) return replace_lost_tasks(job, with_room, now);
+  if (others_still_waiting(job)) return replace_lost_tasks(job, with_room, now);
   if (!time_for_replacement(job, kNoFetch, now)) end(job, "it can't be completed", now);
 }
 
 // --- replacement of lost tasks ---------------------------------------------------------------
 
-bool GangAttempts::others_still_wait(state::Job& job) const {
+bool GangAttempts::others_still_waiting(state::Job& job) const {
   // Heartbeats show the past. Therefore each of the other tasks must have been seen waiting in
   // a heartbeat that was sent after the machine was told to run it.
   const auto tasks = load_gang_tasks(model_, job);
@@ -84,8 +84,8 @@
 }
 
 bool GangAttempts::time_for_replacement(const state::Job& job, double fetch_s, double now) const {
-  const double others_give_up_at = job.gang.gathering_since + settings_.gang_wait_s;
-  return now + fetch_s + constants::kGangReplaceMargin < others_give_up_at;
+  const double others_wait_until = job.gang.gathering_since + settings_.gang_wait_s;
+  return now + fetch_s + constants::kGangReplaceMargin < others_wait_until;
 }
 
 double GangAttempts::fetch_time_s(const state::Job& job, const state::Machine& machine) const {
--- a/src/placement/gang_attempts.hpp
+++ b/src/placement/gang_attempts.hpp
@@ -6,7 +6,7 @@
 
 #include <vector>
 
-#include "placement/gang_sites.hpp"
+#include "placement/gang_candidates.hpp"
 #include "placement/run_time_estimates.hpp"
 #include "state/model.hpp"
 
@@ -25,7 +25,7 @@
              double now);
   /// Looks after an attempt in state `starting`: it is running once all its tasks run; tasks that
   /// were lost are replaced, or else the attempt ends.
-  void watch_start(state::Job& job, const state::MachineSet& with_room, double now);
+  void advance_start(state::Job& job, const state::MachineSet& with_room, double now);
   /// Whether machines may be told to run the attempt's tasks: the assignments of all of them are
   /// committed (rule 1).
   [[nodiscard]] bool is_committed(state::Job& job);
@@ -39,7 +39,7 @@
 
  private:
   /// Whether lost tasks may be assigned anew under the same attempt.
-  [[nodiscard]] bool others_still_wait(state::Job& job) const;
+  [[nodiscard]] bool others_still_waiting(state::Job& job) const;
   /// Whether a replacement that needs `fetch_s` seconds for the image can join the other tasks
   /// before these give up waiting.
   [[nodiscard]] bool time_for_replacement(const state::Job& job, double fetch_s, double now) const;
--- a/src/placement/gang_sites.cpp
+++ b/src/placement/gang_candidates.cpp
@@ -1,4 +1,4 @@
-#include "placement/gang_sites.hpp"
+#include "placement/gang_candidates.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -34,64 +34,66 @@
   return request;
 }
 
-std::optional<GangPlaces> to_places(const GangSites& sites,
+std::optional<GangPlaces> to_places(const GangCandidates& candidates,
                                     const std::optional<std::vector<sched::GangShare>>& shares) {
   if (!shares) return std::nullopt;
   GangPlaces places;
-  for (const auto& share : *shares) places.push_back({sites.machines[share.site], share.tasks});
+  for (const auto& share : *shares)
+    places.push_back({candidates.machines[share.candidate], share.tasks});
   return places;
 }
 
 }  // namespace
 
-void GangSites::add(state::Machine& machine, sched::GangSite site) {
-  site.machine = machines.size();
+void GangCandidates::add(state::Machine& machine, sched::GangCandidate candidate) {
+  candidate.machine = machines.size();
   machines.push_back(&machine);
-  sites.push_back(std::move(site));
+  descriptions.push_back(std::move(candidate));
 }
 
-double GangSiteFinder::slots_of_smallest_task(const sched::Amount& room) const {
+double GangCandidateFinder::slots_of_smallest_task(const sched::Amount& room) const {
   const auto slots = sched::slots_in(room, model_.least_need());
   return static_cast<double>(std::min(kMaxCountedSlots, slots));
 }
 
-std::optional<sched::GangSite> GangSiteFinder::describe(const state::Job& job,
-                                                        const state::Machine& machine) const {
+std::optional<sched::GangCandidate> GangCandidateFinder::describe(
+    const state::Job& job, const state::Machine& machine) const {
   if (!state::Model::allowed_kind(job, machine)) return std::nullopt;
-  sched::GangSite site;
-  site.zone = machine.zone;
+  sched::GangCandidate candidate;
+  candidate.zone = machine.zone;
   const auto room = machine.room();
-  site.free_slots = sched::slots_in(room, job.need);
-  site.avoid = job.gang.avoided.contains(machine.id);
-  site.cached = machine.caches(job.image);
-  site.fetching = fetches_other_image(job, machine);
+  candidate.free_slots = sched::slots_in(room, job.need);
+  candidate.avoid = job.gang.avoided.contains(machine.id);
+  candidate.cached = machine.caches(job.image);
+  candidate.fetching = fetches_other_image(job, machine);
   // Gangs should leave the room that arrays and services could use to them, and should not begin
   // to use empty machines. Therefore the slots that such work would lose count as waste.
-  const auto taken = std::min<std::size_t>(site.free_slots, job.spec.tasks);
+  const auto taken = std::min<std::size_t>(candidate.free_slots, job.spec.tasks);
   const auto room_left = room - job.need * static_cast<double>(taken);
   const double slots_left = slots_of_smallest_task(room_left);
-  site.inviting = slots_left > 0;
-  site.waste =
+  candidate.has_room_for_others = slots_left > 0;
+  candidate.waste =
       slots_of_smallest_task(room) - slots_left + (machine.tasks.empty() ? kEmptyMachineWaste : 0);
-  return site;
+  return candidate;
 }
 
-GangSites GangSiteFinder::free_sites(const state::Job& job,
-                                     const state::MachineSet& with_room) const {
-  GangSites found;
+GangCandidates GangCandidateFinder::free_candidates(const state::Job& job,
+                                                    const state::MachineSet& with_room) const {
+  GangCandidates found;
   for (auto* machine : with_room) {
-    auto site = describe(job, *machine);
-    if (site && site->free_slots > 0) found.add(*machine, std::move(*site));
+    auto candidate = describe(job, *machine);
+    if (candidate && candidate->free_slots > 0) found.add(*machine, std::move(*candidate));
   }
   return found;
 }
 
-GangSites GangSiteFinder::preemptible_sites(const state::Job& job, double now) const {
-  GangSites found;
+GangCandidates GangCandidateFinder::preemptible_candidates(const state::Job& job,
+                                                           double now) const {
+  GangCandidates found;
   for (const auto& [id, machine] : model_.machines()) {
     if (!is_usable(*machine, now, settings_)) continue;
-    auto site = describe(job, *machine);
-    if (!site) continue;
+    auto candidate = describe(job, *machine);
+    if (!candidate) continue;
     sched::Amount room = machine->room();
     // The work of a whole gang is lost with any of its tasks. A gang with several tasks on this
     // machine is counted once for each of them here, which overstates the cost.
@@ -103,23 +105,27 @@
     }
     const auto all_slots = sched::slots_in(room, job.need);
     if (all_slots == 0) continue;
-    site->extra_slots = all_slots - std::min(all_slots, site->free_slots);
-    site->extra_cost = site->extra_slots == 0 ? 0 : lost_s / static_cast<double>(site->extra_slots);
-    found.add(*machine, std::move(*site));
+    candidate->preemptible_slots = all_slots - std::min(all_slots, candidate->free_slots);
+    candidate->preemption_cost_s = candidate->preemptible_slots == 0
+                                       ? 0
+                                       : lost_s / static_cast<double>(candidate->preemptible_slots);
+    found.add(*machine, std::move(*candidate));
   }
   return found;
 }
 
 std::optional<GangPlaces> place_gang_in_free_room(const state::Job& job, std::size_t task_count,
-                                                  const GangSites& sites) {
-  return to_places(sites, sched::place_gang(sites.sites, make_request(job, task_count),
-                                            sched::Preemption::forbidden));
+                                                  const GangCandidates& candidates) {
+  return to_places(candidates,
+                   sched::place_gang(candidates.descriptions, make_request(job, task_count),
+                                     sched::Preemption::forbidden));
 }
 
 std::optional<GangPlaces> place_gang_by_preemption(const state::Job& job, std::size_t task_count,
-                                                   const GangSites& sites) {
-  return to_places(sites, sched::place_gang(sites.sites, make_request(job, task_count),
-                                            sched::Preemption::allowed));
+                                                   const GangCandidates& candidates) {
+  return to_places(candidates,
+                   sched::place_gang(candidates.descriptions, make_request(job, task_count),
+                                     sched::Preemption::allowed));
 }
 
 void put_tasks_in_places(state::Job& job, const std::vector<state::Task*>& tasks,
@@ -135,16 +141,16 @@
 bool gang_within_quota(const state::Job& job, std::size_t task_count) {
   if (job.team == nullptr) return false;
   const auto count = static_cast<double>(task_count);
-  return sched::within_limit_count(*job.team, *job.team_usage, job.need, count) >= count;
+  return sched::max_tasks_within_limit(*job.team, *job.team_usage, job.need, count) >= count;
 }
 
-void choose_gang_zone(const config::Settings& settings, state::Job& job, const GangSites& sites,
-                      double now) {
+void choose_gang_zone(const config::Settings& settings, state::Job& job,
+                      const GangCandidates& candidates, double now) {
   if (!job.spec.together || job.spec.zone) return;
   auto& gang = job.gang;
   // A new choice after each look would provision some machines in every zone and enough in none.
   if (!job.zone_choice.empty() && now < gang.zone_chosen_at + constants::kGangZonePatience) return;
-  auto zone = sched::zone_with_most_room(sites.sites);
+  auto zone = sched::zone_with_most_room(candidates.descriptions);
   if (zone.empty()) zone = settings.zones[job.serial % settings.zones.size()];
   job.zone_choice = std::move(zone);
   gang.zone_chosen_at = now;
--- a/src/placement/gang_sites.hpp
+++ b/src/placement/gang_candidates.hpp
@@ -14,12 +14,13 @@
 namespace elmstall::placement {
 
 /// Machines on which tasks of a gang could run. Both vectors have the same length and order.
-struct GangSites {
+struct GangCandidates {
   std::vector<state::Machine*> machines;  ///< the machines themselves; never null
-  std::vector<sched::GangSite> sites;     ///< their descriptions, for the placement algorithm
+  std::vector<sched::GangCandidate>
+      descriptions;  ///< their descriptions, for the placement algorithm
 
   /// Appends a machine and its description, which keeps both vectors in the same order.
-  void add(state::Machine& machine, sched::GangSite site);
+  void add(state::Machine& machine, sched::GangCandidate candidate);
 };
 
 /// A machine and the number of the gang's tasks that go there.
@@ -31,24 +32,24 @@
 using GangPlaces = std::vector<GangPlace>;
 
 /// Describes machines from a gang's point of view.
-class GangSiteFinder {
+class GangCandidateFinder {
  public:
   /// All arguments have to outlive this object.
-  GangSiteFinder(const config::Settings& settings, state::Model& model)
+  GangCandidateFinder(const config::Settings& settings, state::Model& model)
       : settings_(settings), model_(model) {}
 
   /// The machines with free room for at least one task, out of `with_room`.
-  [[nodiscard]] GangSites free_sites(const state::Job& job,
-                                     const state::MachineSet& with_room) const;
+  [[nodiscard]] GangCandidates free_candidates(const state::Job& job,
+                                               const state::MachineSet& with_room) const;
   /// All usable machines with room for at least one task, counting the room that preemption could
   /// make there.
-  [[nodiscard]] GangSites preemptible_sites(const state::Job& job, double now) const;
+  [[nodiscard]] GangCandidates preemptible_candidates(const state::Job& job, double now) const;
 
  private:
-  /// The machine as a site, without the room that preemption could make; empty if the gang may not
-  /// run on this kind of machine.
-  [[nodiscard]] std::optional<sched::GangSite> describe(const state::Job& job,
-                                                        const state::Machine& machine) const;
+  /// The machine as a candidate, without the room that preemption could make; empty if the gang may
+  /// not run on this kind of machine.
+  [[nodiscard]] std::optional<sched::GangCandidate> describe(const state::Job& job,
+                                                             const state::Machine& machine) const;
   /// How many of the smallest other tasks there is room for.
   [[nodiscard]] double slots_of_smallest_task(const sched::Amount& room) const;
 
@@ -59,12 +60,12 @@
 /// Places for `task_count` tasks of the gang in free room; empty if there is not enough.
 [[nodiscard]] std::optional<GangPlaces> place_gang_in_free_room(const state::Job& job,
                                                                 std::size_t task_count,
-                                                                const GangSites& sites);
+                                                                const GangCandidates& candidates);
 /// Places for `task_count` tasks of the gang in free room and in room that preemption has to make;
 /// empty if there is not enough.
 [[nodiscard]] std::optional<GangPlaces> place_gang_by_preemption(const state::Job& job,
                                                                  std::size_t task_count,
-                                                                 const GangSites& sites);
+                                                                 const GangCandidates& candidates);
 
 /// Calls `put` for each task, in order, with the machine of its place. A gang whose tasks must
 /// stay together is bound to the zone of these places.
@@ -77,7 +78,7 @@
 
 /// Chooses the zone for which machines are provisioned, for a gang whose tasks must stay together:
 /// the one with the most room. The choice is kept for `constants::kGangZonePatience`.
-void choose_gang_zone(const config::Settings& settings, state::Job& job, const GangSites& sites,
-                      double now);
+void choose_gang_zone(const config::Settings& settings, state::Job& job,
+                      const GangCandidates& candidates, double now);
 
 }  // namespace elmstall::placement
--- a/src/placement/gang_claims.cpp
+++ b/src/placement/gang_claims.cpp
@@ -34,7 +34,8 @@
   const auto tasks = load_gang_tasks(model_, job);
   const double longest_s =
       has_reservation(job) ? constants::kGangReserveMax : constants::kGangClaimMax;
-  if (lost_place(job, tasks, now) || now > job.gang.since + longest_s) return give_up(job, now);
+  if (lost_place(job, tasks, now) || now > job.gang.since + longest_s)
+    return release_claim(job, now);
   if (has_reservation(job)) return extend_reservation(job, tasks, with_room, now);
   if (places_are_free(tasks)) start_on_claimed_places(job, tasks, now);
 }
@@ -48,7 +49,7 @@
   });
 }
 
-void GangClaims::give_up(state::Job& job, double now) {
+void GangClaims::release_claim(state::Job& job, double now) {
   unplan_tasks(model_, load_gang_tasks(model_, job));
   auto& gang = job.gang;
   if (has_reservation(job)) {
@@ -65,8 +66,8 @@
                                      double now) {
   if (!budget_.try_consume(settings_, model_, job, now)) return false;
   job.searched_at = now;
-  const auto places =
-      place_gang_by_preemption(job, tasks.size(), sites_.preemptible_sites(job, now));
+  const auto places = place_gang_by_preemption(job, tasks.size(),
+                                               candidate_finder_.preemptible_candidates(job, now));
   if (!places) return false;
   std::vector<state::Task*> victims;
   for (const auto& place : *places) {
@@ -105,10 +106,10 @@
 
 // --- the reservation -------------------------------------------------------------------------
 
-void GangClaims::reserve(state::Job& job, std::size_t task_count, const GangSites& sites,
+void GangClaims::reserve(state::Job& job, std::size_t task_count, const GangCandidates& candidates,
                          double now) {
   if (reservation_ != kNoReservation || now < job.submitted + constants::kGangReserveAfter ||
-      now < job.gang.claim_after || sites.machines.empty())
+      now < job.gang.claim_after || candidates.machines.empty())
     return;
   reservation_ = job.serial;
   change_gang_state(job, GangState::claiming, now);
@@ -117,26 +118,26 @@
 
 void GangClaims::extend_reservation(state::Job& job, const std::vector<state::Task*>& tasks,
                                     const state::MachineSet& with_room, double now) {
-  const auto sites = sites_.free_sites(job, with_room);
+  const auto candidates = candidate_finder_.free_candidates(job, with_room);
   if (gang_within_quota(job, tasks.size())) {
-    if (const auto places = place_gang_in_free_room(job, tasks.size(), sites)) {
+    if (const auto places = place_gang_in_free_room(job, tasks.size(), candidates)) {
       release_reservation(job);
       return attempts_.start(job, tasks, *places, now);
     }
   }
-  choose_gang_zone(settings_, job, sites, now);
-  plan_reserved_places(job, tasks, sites);
+  choose_gang_zone(settings_, job, candidates, now);
+  plan_reserved_places(job, tasks, candidates);
 }
 
 void GangClaims::plan_reserved_places(const state::Job& job, const std::vector<state::Task*>& tasks,
-                                      const GangSites& sites) {
+                                      const GangCandidates& candidates) {
   const auto required_zone = job.spec.together ? job.zone_choice : std::string();
   const auto zone_limit = job.spec.spread ? sched::spread_limit(job.spec.tasks) : job.spec.tasks;
   auto next = tasks.begin();
-  for (std::size_t i = 0; i < sites.machines.size() && next != tasks.end(); ++i) {
-    auto& machine = *sites.machines[i];
+  for (std::size_t i = 0; i < candidates.machines.size() && next != tasks.end(); ++i) {
+    auto& machine = *candidates.machines[i];
     if (!required_zone.empty() && machine.zone != required_zone) continue;
-    const auto slots = sites.sites[i].free_slots;
+    const auto slots = candidates.descriptions[i].free_slots;
     for (std::size_t taken = 0; taken < slots && next != tasks.end(); ++taken) {
       const auto in_zone = job.per_zone.find(machine.zone);
       const bool zone_is_full = in_zone != job.per_zone.end() && in_zone->second >= zone_limit;
--- a/src/placement/gang_claims.hpp
+++ b/src/placement/gang_claims.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "placement/gang_attempts.hpp"
-#include "placement/gang_sites.hpp"
+#include "placement/gang_candidates.hpp"
 #include "placement/preemption_search_budget.hpp"
 #include "state/model.hpp"
 
@@ -20,9 +20,12 @@
 class GangClaims {
  public:
   /// All arguments have to outlive this object.
-  GangClaims(const config::Settings& settings, state::Model& model, const GangSiteFinder& sites,
-             GangAttempts& attempts)
-      : settings_(settings), model_(model), sites_(sites), attempts_(attempts) {}
+  GangClaims(const config::Settings& settings, state::Model& model,
+             const GangCandidateFinder& candidate_finder, GangAttempts& attempts)
+      : settings_(settings),
+        model_(model),
+        candidate_finder_(candidate_finder),
+        attempts_(attempts) {}
 
   /// Starts a new round of decisions, with a new budget of searches. The places of the reservation
   /// are given up until its gang's turn comes, so that work of higher precedence chooses first.
@@ -31,7 +34,8 @@
   /// possible, or not to be tried now.
   bool claim_by_preemption(state::Job& job, const std::vector<state::Task*>& tasks, double now);
   /// Gives the reservation to the gang if it has waited long enough and the reservation is free.
-  void reserve(state::Job& job, std::size_t task_count, const GangSites& sites, double now);
+  void reserve(state::Job& job, std::size_t task_count, const GangCandidates& candidates,
+               double now);
   /// Takes a gang in state `claiming` one step further: it starts when all its places have become
   /// free, and gives its claim up when that takes too long or a place is lost.
   void advance(state::Job& job, const state::MachineSet& with_room, double now);
@@ -53,15 +57,15 @@
   void extend_reservation(state::Job& job, const std::vector<state::Task*>& tasks,
                           const state::MachineSet& with_room, double now);
   void plan_reserved_places(const state::Job& job, const std::vector<state::Task*>& tasks,
-                            const GangSites& sites);
-  void give_up(state::Job& job, double now);
+                            const GangCandidates& candidates);
+  void release_claim(state::Job& job, double now);
 
   /// `reservation_` when no gang has one; serial numbers of jobs begin at 1.
   static constexpr std::uint64_t kNoReservation = 0;
 
   const config::Settings& settings_;
   state::Model& model_;
-  const GangSiteFinder& sites_;
+  const GangCandidateFinder& candidate_finder_;
   GangAttempts& attempts_;
   PreemptionSearchBudget budget_;
   std::uint64_t reservation_ = kNoReservation;  ///< serial number of the gang that holds it
--- a/src/placement/gang_coordinator.cpp
+++ b/src/placement/gang_coordinator.cpp
@@ -18,7 +18,7 @@
 
 /// Share of the time for which tasks wait for each other that is assumed to be over at a takeover.
 /// When they began to wait is not recorded.
-constexpr double kWaitAssumedOver = 0.5;
+constexpr double kAssumedElapsedWaitShare = 0.5;
 
 /// Whether the machine declined to run the task, so that it never began there.
 bool is_refusal(EndCause cause) {
@@ -41,10 +41,10 @@
   // began to do so at an unknown time before the takeover.
   gang.state = GangState::starting;
   gang.since = now;
-  gang.gathering_since = now - settings_.gang_wait_s * kWaitAssumedOver;
+  gang.gathering_since = now - settings_.gang_wait_s * kAssumedElapsedWaitShare;
 }
 
-void GangCoordinator::on_state(state::Task& task, TaskState state, double now) {
+void GangCoordinator::on_task_state(state::Task& task, TaskState state, double now) {
   auto& job = *task.job;
   auto& gang = job.gang;
   if (task.attempt() != gang.attempt || job.cancelled) return;
@@ -87,7 +87,7 @@
   if (!job.cancelled && job.gang.state != GangState::done) attempts_.complete(job, now);
 }
 
-void GangCoordinator::on_late_done(state::Job& job, double now) {
+void GangCoordinator::on_earlier_attempt_done(state::Job& job, double now) {
   auto& gang = job.gang;
   if (job.cancelled || gang.state == GangState::done || gang.completed) return;
   gang.completed = true;
@@ -109,7 +109,7 @@
       claims_.advance(job, with_room, now);
       return true;
     case GangState::starting:
-      attempts_.watch_start(job, with_room, now);
+      attempts_.advance_start(job, with_room, now);
       return gang.state != GangState::running;
     case GangState::running:
       if (!load_pending_gang_tasks(model_, job).empty()) attempts_.end(job, "a task is gone", now);
@@ -134,14 +134,14 @@
   });
   if (!may_start_now || !gang_within_quota(job, tasks.size())) return;
   gang.tried_at = now;
-  const auto sites = sites_.free_sites(job, with_room);
-  if (const auto places = place_gang_in_free_room(job, tasks.size(), sites)) {
+  const auto candidates = candidate_finder_.free_candidates(job, with_room);
+  if (const auto places = place_gang_in_free_room(job, tasks.size(), candidates)) {
     claims_.release_reservation(job);
     return attempts_.start(job, tasks, *places, now);
   }
   if (claims_.claim_by_preemption(job, tasks, now)) return;
-  choose_gang_zone(settings_, job, sites, now);
-  claims_.reserve(job, tasks.size(), sites, now);
+  choose_gang_zone(settings_, job, candidates, now);
+  claims_.reserve(job, tasks.size(), candidates, now);
 }
 
 bool GangCoordinator::may_run(const state::Task& task) {
--- a/src/placement/gang_coordinator.hpp
+++ b/src/placement/gang_coordinator.hpp
@@ -1,14 +1,14 @@
 /// @file
 /// The coordinator starts, stops and ends gangs: jobs whose tasks all run at the same time or not
 /// at all. Nothing else stops, moves or starts a single task of a gang, except that a cancellation
-/// stops the tasks of any job. Places are found in gang_sites.hpp, kept in gang_claims.hpp, and
-/// used by attempts in gang_attempts.hpp. Runs on the controller's event loop; times are seconds
-/// of its steady clock.
+/// stops the tasks of any job. Places are found in gang_candidates.hpp, kept in gang_claims.hpp,
+/// and used by attempts in gang_attempts.hpp. Runs on the controller's event loop; times are
+/// seconds of its steady clock.
 #pragma once
 
 #include "placement/gang_attempts.hpp"
+#include "placement/gang_candidates.hpp"
 #include "placement/gang_claims.hpp"
-#include "placement/gang_sites.hpp"
 #include "placement/run_time_estimates.hpp"
 #include "state/model.hpp"
 
@@ -23,9 +23,9 @@
                   RunTimeEstimates& estimates)
       : settings_(settings),
         model_(model),
-        sites_(settings, model),
+        candidate_finder_(settings, model),
         attempts_(settings, model, estimates),
-        claims_(settings, model, sites_, attempts_) {}
+        claims_(settings, model, candidate_finder_, attempts_) {}
   GangCoordinator(const GangCoordinator&) = delete;
   GangCoordinator& operator=(const GangCoordinator&) = delete;
   GangCoordinator(GangCoordinator&&) = delete;
@@ -36,14 +36,14 @@
   void recover(state::Job& job, double now) const;
 
   /// A heartbeat shows the task of a gang in this state.
-  void on_state(state::Task& task, wire::TaskState state, double now);
+  void on_task_state(state::Task& task, wire::TaskState state, double now);
   /// The task is certainly not on its machine any more, for this cause.
   void on_exit(state::Task& task, wire::EndCause cause, double now);
   /// A task of the current attempt has completed, and with it the whole gang.
   void on_done(state::Job& job, double now);
   /// A task of an earlier attempt has completed. Its result counts, so the gang is complete as soon
   /// as the current attempt has ended.
-  void on_late_done(state::Job& job, double now);
+  void on_earlier_attempt_done(state::Job& job, double now);
 
   /// Starts a new round of decisions.
   void begin_round() { claims_.begin_round(); }
@@ -63,7 +63,7 @@
 
   const config::Settings& settings_;
   state::Model& model_;
-  GangSiteFinder sites_;
+  GangCandidateFinder candidate_finder_;
   GangAttempts attempts_;
   GangClaims claims_;
 };
--- a/src/placement/job_queues.cpp
+++ b/src/placement/job_queues.cpp
@@ -25,9 +25,9 @@
   if (found != groups_.end()) found->second.remove_worker(machine.id);
 }
 
-void JobQueues::settle_inboxes() {
+void JobQueues::distribute_shared_queues() {
   const auto eligible = eligibility();
-  for (auto& [name, group] : groups_) group.settle_inbox(eligible);
+  for (auto& [name, group] : groups_) group.distribute_shared_queue(eligible);
 }
 
 // --- entering and leaving the queues ---------------------------------------------------------
@@ -36,7 +36,7 @@
   const auto eligible = eligibility();
   sched::Group* shortest = nullptr;
   for (auto& [name, group] : groups_) {
-    if (shortest != nullptr && group.mean() >= shortest->mean()) continue;
+    if (shortest != nullptr && group.mean_wait() >= shortest->mean_wait()) continue;
     const auto& workers = group.workers();
     const bool has_machine = std::any_of(workers.begin(), workers.end(), [&](const auto& worker) {
       return eligible(task, worker.first);
@@ -52,7 +52,7 @@
   // While no machine may run the tasks they stay outside the queues and are tried again later.
   if (group == nullptr) return;
   const auto position = queue_position(settings_, estimates_, job, now);
-  std::vector<sched::Queued> entries;
+  std::vector<sched::QueuedTask> entries;
   for (auto* task : tasks) {
     task->set_queued(true);
     entries.push_back(position.entry(task->id));
@@ -60,8 +60,9 @@
   group->push_block(entries, eligibility());
 }
 
-JobQueues::Enqueued JobQueues::enqueue_block(state::Job& job, state::Block& block, double now) {
-  Enqueued result;
+JobQueues::EnqueueResult JobQueues::enqueue_block(state::Job& job, state::Block& block,
+                                                  double now) {
+  EnqueueResult result;
   std::vector<state::Task*> unqueued;
   for (auto& task : block.tasks) {
     if (!task.is_pending()) continue;
@@ -81,7 +82,7 @@
 }
 
 bool JobQueues::enqueue_job(state::Job& job, double now) {
-  Enqueued total;
+  EnqueueResult total;
   const auto add_block = [&](state::Block& block) {
     const auto enqueued = enqueue_block(job, block, now);
     total.pending += enqueued.pending;
@@ -101,8 +102,8 @@
   for (auto it = open.begin(); it != open.end();) {
     auto& job = **it;
     const bool over = job.cancelled || job.all_done();
-    const bool settled = over || (!is_placed_directly(job) && enqueue_job(job, now));
-    it = settled ? open.erase(it) : std::next(it);
+    const bool nothing_left = over || (!is_placed_directly(job) && enqueue_job(job, now));
+    it = nothing_left ? open.erase(it) : std::next(it);
   }
 }
 
@@ -121,7 +122,7 @@
   next_reorder_ = now + constants::kReorderInterval;
   // All tasks of a job have the same position, so it is computed once per job, by serial number.
   std::map<std::uint64_t, QueuePosition> positions;
-  const auto update_entry = [&](sched::Queued& entry) {
+  const auto update_entry = [&](sched::QueuedTask& entry) {
     const auto* job = model_.job_of(entry.id);
     if (job == nullptr) return;
     auto found = positions.find(job->serial);
@@ -133,33 +134,33 @@
   };
   const auto eligible = eligibility();
   for (auto& [name, group] : groups_) {
-    if (group.queued() == 0) continue;
+    if (group.queued_count() == 0) continue;
     group.reorder(update_entry);
-    moves_ += group.balance(settings_.tuning.threshold_tasks, eligible);
+    moved_tasks_ += group.balance(settings_.tuning.threshold_tasks, eligible);
   }
 }
 
 // --- reading ---------------------------------------------------------------------------------
 
-std::optional<sched::Queued> JobQueues::next_for(const state::Machine& machine,
-                                                 const TaskFilter& may_take) {
+std::optional<sched::QueuedTask> JobQueues::next_for(const state::Machine& machine,
+                                                     const TaskFilter& may_take) {
   const auto own_name = group_name(machine);
   if (auto own_task = groups_[own_name].next(machine.id, may_take)) return own_task;
   std::vector<const sched::Group*> others;
   for (const auto& [name, group] : groups_) {
-    if (name != own_name && group.queued() > 0) others.push_back(&group);
+    if (name != own_name && group.queued_count() > 0) others.push_back(&group);
   }
   std::stable_sort(others.begin(), others.end(),
-                   [](const auto* a, const auto* b) { return a->mean() > b->mean(); });
+                   [](const auto* a, const auto* b) { return a->mean_wait() > b->mean_wait(); });
   for (const auto* group : others) {
-    if (auto other_task = group->lend(may_take)) return other_task;
+    if (auto other_task = group->next_for_other_group(may_take)) return other_task;
   }
   return std::nullopt;
 }
 
 bool JobQueues::empty() const {
   return std::none_of(groups_.begin(), groups_.end(),
-                      [](const auto& entry) { return entry.second.queued() > 0; });
+                      [](const auto& entry) { return entry.second.queued_count() > 0; });
 }
 
 }  // namespace elmstall::placement
--- a/src/placement/job_queues.hpp
+++ b/src/placement/job_queues.hpp
@@ -34,7 +34,7 @@
   /// Takes the machine's queue away; its tasks return to the inbox of the group.
   void remove_worker(const state::Machine& machine);
   /// Offers tasks that had no eligible machine to those that have come meanwhile.
-  void settle_inboxes();
+  void distribute_shared_queues();
 
   /// Puts the pending tasks of all open jobs into the queues. Jobs with nothing left to put there
   /// are no longer open afterwards.
@@ -46,26 +46,26 @@
 
   /// The task that the machine should start next: one of its own group, or else of the other
   /// group with the longest mean wait. The task stays in its queue.
-  [[nodiscard]] std::optional<sched::Queued> next_for(const state::Machine& machine,
-                                                      const TaskFilter& may_take);
+  [[nodiscard]] std::optional<sched::QueuedTask> next_for(const state::Machine& machine,
+                                                          const TaskFilter& may_take);
   /// Whether no task is queued in any group.
   [[nodiscard]] bool empty() const;
 
   /// The queues of all groups, by the name of the group.
   [[nodiscard]] const std::map<std::string, sched::Group>& groups() const { return groups_; }
   /// Tasks that balancing has moved between machines so far.
-  [[nodiscard]] std::size_t moves() const { return moves_; }
+  [[nodiscard]] std::size_t moved_tasks() const { return moved_tasks_; }
 
  private:
   /// What was found when a block or a job was put into the queues.
-  struct Enqueued {
+  struct EnqueueResult {
     std::size_t pending = 0;  ///< pending tasks, whether they are queued or not
     bool complete = true;     ///< all of them are queued
   };
 
   /// Whether a machine, given by its name, may ever run a task.
   [[nodiscard]] sched::Eligible eligibility();
-  Enqueued enqueue_block(state::Job& job, state::Block& block, double now);
+  EnqueueResult enqueue_block(state::Job& job, state::Block& block, double now);
   /// Returns true when all pending tasks of the job are queued.
   bool enqueue_job(state::Job& job, double now);
   void push(const state::Job& job, const std::vector<state::Task*>& tasks, double now);
@@ -76,7 +76,7 @@
   state::Model& model_;
   const RunTimeEstimates& estimates_;
   std::map<std::string, sched::Group> groups_;
-  std::size_t moves_ = 0;
+  std::size_t moved_tasks_ = 0;
   double next_reorder_ = state::kNever;
 };
 
--- a/src/placement/machine_index.cpp
+++ b/src/placement/machine_index.cpp
@@ -43,13 +43,13 @@
     next_review_ = now + constants::kReviewInterval;
     model_.refresh_least_need();
     for (const auto& [id, machine] : model_.machines()) model_.mark_dirty(*machine);
-    queues_.settle_inboxes();
+    queues_.distribute_shared_queues();
   }
   for (auto* machine : model_.take_dirty()) update_machine(*machine, now);
 }
 
 void MachineIndex::update_machine(state::Machine& machine, double now) {
-  ++steps_;
+  ++machines_examined_;
   if (!is_usable(machine, now, settings_)) return remove(machine);
   const auto room = machine.room();
   const bool fits_smallest = model_.least_need().fits(room);
--- a/src/placement/machine_index.hpp
+++ b/src/placement/machine_index.hpp
@@ -35,7 +35,7 @@
   /// The machines with room, in the order in which queued tasks should fill them.
   [[nodiscard]] std::vector<state::Machine*> in_filling_order() const;
   /// Machines looked at by `update` so far: a measure of the cost of decisions.
-  [[nodiscard]] std::size_t steps() const { return steps_; }
+  [[nodiscard]] std::size_t machines_examined() const { return machines_examined_; }
 
  private:
   void update_machine(state::Machine& machine, double now);
@@ -46,7 +46,7 @@
   JobQueues& queues_;
   state::MachineSet with_room_;
   state::MachineSet with_room_for_gangs_;
-  std::size_t steps_ = 0;
+  std::size_t machines_examined_ = 0;
   double next_review_ = state::kNever;
 };
 
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -49,9 +49,11 @@
     return queues_.groups();
   }
   /// Tasks that equation (1) has moved between machines so far.
-  [[nodiscard]] std::size_t moves() const { return queues_.moves(); }
+  [[nodiscard]] std::size_t moved_tasks() const { return queues_.moved_tasks(); }
   /// Machines looked at so far: what decisions cost, for tests and metrics.
-  [[nodiscard]] std::size_t steps() const { return machines_.steps() + starter_.steps(); }
+  [[nodiscard]] std::size_t machines_examined() const {
+    return machines_.machines_examined() + starter_.machines_examined();
+  }
 
  private:
   GangCoordinator& gangs_;
--- a/src/placement/preemption_search.cpp
+++ b/src/placement/preemption_search.cpp
@@ -65,16 +65,16 @@
   }
 }
 
-std::vector<sched::Queued> PreemptionSearch::first_tasks_of_due_jobs(double now) {
-  std::map<std::uint64_t, sched::Queued> first_by_job;  // by the job's serial number
-  const auto visit = [&](const sched::Queued& entry) {
+std::vector<sched::QueuedTask> PreemptionSearch::first_tasks_of_due_jobs(double now) {
+  std::map<std::uint64_t, sched::QueuedTask> first_by_job;  // by the job's serial number
+  const auto visit = [&](const sched::QueuedTask& entry) {
     const auto* job = model_.job_of(entry.id);
     if (job == nullptr || !preemption_search_is_due(settings_, model_, *job, now)) return;
     auto& first = first_by_job.try_emplace(job->serial, entry).first->second;
     if (entry.before(first)) first = entry;
   };
-  for (const auto& [name, group] : queues_.groups()) group.each(visit);
-  std::vector<sched::Queued> entries;
+  for (const auto& [name, group] : queues_.groups()) group.for_each(visit);
+  std::vector<sched::QueuedTask> entries;
   entries.reserve(first_by_job.size());
   for (const auto& [serial, entry] : first_by_job) entries.push_back(entry);
   std::sort(entries.begin(), entries.end(),
--- a/src/placement/preemption_search.hpp
+++ b/src/placement/preemption_search.hpp
@@ -45,7 +45,7 @@
   /// The best plan among all machines; walks through all of them.
   [[nodiscard]] std::optional<PreemptionPlan> best_plan(const state::Job& job, double now) const;
   /// The first task of each job for which a search is due, in queue order.
-  [[nodiscard]] std::vector<sched::Queued> first_tasks_of_due_jobs(double now);
+  [[nodiscard]] std::vector<sched::QueuedTask> first_tasks_of_due_jobs(double now);
   void preempt_for_queued_task(state::Task& task, double now);
 
   const config::Settings& settings_;
--- a/src/placement/queue_position.cpp
+++ b/src/placement/queue_position.cpp
@@ -20,7 +20,7 @@
                              const state::Job& job, double now) {
   QueuePosition position;
   position.precedence = precedence(job);
-  position.work_s = estimates.run_time(job.spec.job_class, job.spec.expect_s);
+  position.run_time_s = estimates.run_time(job.spec.job_class, job.spec.expect_s);
   const auto objective_s = completion_objective_s(settings, job);
   position.due = job.submitted + objective_s.value_or(constants::kNoAim);
   const double waited_s = now - job.submitted;
@@ -33,12 +33,12 @@
   if (!objective_s) return position;
   // A job that can no longer meet its due time yields to those that still can. It gets a later
   // due time, extended by a share of its objective, until that one can be met.
-  while (position.tier < constants::kMaxTier && now + position.work_s > position.due) {
+  while (position.tier < constants::kMaxTier && now + position.run_time_s > position.due) {
     ++position.tier;
     position.due += *objective_s * constants::kTierStep;
   }
   position.due +=
-      settings.tuning.small_first * position.work_s * (job.spec.tasks - job.finished_tasks);
+      settings.tuning.small_first * position.run_time_s * (job.spec.tasks - job.finished_tasks);
   return position;
 }
 
--- a/src/placement/queue_position.hpp
+++ b/src/placement/queue_position.hpp
@@ -15,14 +15,14 @@
 
 /// Sort key that all queued tasks of one job share.
 struct QueuePosition {
-  int precedence = 0;  ///< priority and guarantee; higher goes first
-  int tier = 0;        ///< how often the due time had to be extended; lower goes first
-  double due = 0;      ///< seconds of the steady clock; earlier goes first
-  double work_s = 0;   ///< expected run time of one task, in seconds
+  int precedence = 0;     ///< priority and guarantee; higher goes first
+  int tier = 0;           ///< how often the due time had to be extended; lower goes first
+  double due = 0;         ///< seconds of the steady clock; earlier goes first
+  double run_time_s = 0;  ///< expected run time of one task, in seconds
 
   /// The queue entry of one of the job's tasks.
-  [[nodiscard]] sched::Queued entry(sched::TaskId task) const {
-    return {task, precedence, tier, due, work_s};
+  [[nodiscard]] sched::QueuedTask entry(sched::TaskId task) const {
+    return {task, precedence, tier, due, run_time_s};
   }
 };
 
--- a/src/placement/queued_task_starter.cpp
+++ b/src/placement/queued_task_starter.cpp
@@ -37,10 +37,10 @@
   model_.assign(task, machine);
 }
 
-std::vector<sched::Queued> QueuedTaskStarter::tasks_in_queue_order() const {
-  std::vector<sched::Queued> entries;
+std::vector<sched::QueuedTask> QueuedTaskStarter::tasks_in_queue_order() const {
+  std::vector<sched::QueuedTask> entries;
   for (const auto& [name, group] : queues_.groups())
-    group.each([&](const sched::Queued& entry) { entries.push_back(entry); });
+    group.for_each([&](const sched::QueuedTask& entry) { entries.push_back(entry); });
   std::sort(entries.begin(), entries.end(),
             [](const auto& a, const auto& b) { return a.before(b); });
   return entries;
@@ -51,7 +51,7 @@
   if (entries.empty()) return;
   std::map<std::uint32_t, std::vector<state::Machine*>> machines_by_image;
   for (auto* machine : machines_.in_filling_order()) {
-    ++steps_;
+    ++machines_examined_;
     for (const auto image : machine->images) machines_by_image[image].push_back(machine);
   }
   for (const auto& entry : entries) {
@@ -88,7 +88,7 @@
   if (queues_.empty()) return;
   RoomsWithoutTask rooms_without_task;
   for (auto* machine : machines_.in_filling_order()) {
-    ++steps_;
+    ++machines_examined_;
     auto& rooms = rooms_without_task[{group_name(*machine), machine->spot}];
     while (!search_must_fail(*machine, rooms)) {
       if (start_next(*machine, now)) continue;
--- a/src/placement/queued_task_starter.hpp
+++ b/src/placement/queued_task_starter.hpp
@@ -26,10 +26,10 @@
   /// Fills every machine with room from the queues.
   void start_on_machines_with_room(double now);
   /// Machines looked at so far: a measure of the cost of decisions.
-  [[nodiscard]] std::size_t steps() const { return steps_; }
+  [[nodiscard]] std::size_t machines_examined() const { return machines_examined_; }
 
  private:
-  [[nodiscard]] std::vector<sched::Queued> tasks_in_queue_order() const;
+  [[nodiscard]] std::vector<sched::QueuedTask> tasks_in_queue_order() const;
   /// Starts one task on the machine; false if none may start there.
   bool start_next(state::Machine& machine, double now);
   void start(state::Task& task, state::Machine& machine);
@@ -37,7 +37,7 @@
   state::Model& model_;
   JobQueues& queues_;
   const MachineIndex& machines_;
-  std::size_t steps_ = 0;
+  std::size_t machines_examined_ = 0;
 };
 
 }  // namespace elmstall::placement
--- a/src/placement/task_stop.cpp
+++ b/src/placement/task_stop.cpp
@@ -33,7 +33,7 @@
   });
 }
 
-void tell_to_stop(state::Model& model, state::Task& task, double grace_period_s) {
+void request_stop(state::Model& model, state::Task& task, double grace_period_s) {
   task.begin_stop(grace_period_s);
   model.attention().insert(task.machine());
 }
@@ -53,7 +53,7 @@
   const bool checkpoint_is_useful = mode == StopMode::with_checkpoint &&
                                     spec.checkpoint_every_s > 0 &&
                                     task.reported_state() == wire::TaskState::running;
-  tell_to_stop(model, task, checkpoint_is_useful ? spec.checkpoint_s : 0);
+  request_stop(model, task, checkpoint_is_useful ? spec.checkpoint_s : 0);
 }
 
 void end_gang_task(state::Model& model, state::Task& task) {
@@ -61,7 +61,7 @@
   if (!task.may_be_on_machine()) return;
   // Without a command to run it the task can't be on the machine (rule 1).
   if (!task.run_sent()) return model.unassign(task);
-  tell_to_stop(model, task, 0);
+  request_stop(model, task, 0);
 }
 
 void stop_gang(state::Model& model, state::Job& job, StopMode mode, double now, double not_before) {
@@ -78,7 +78,7 @@
       return;  // The gang is on no machine, or is being stopped already.
   }
   if (mode == StopMode::with_checkpoint && can_checkpoint_gang(model, job, tasks, now)) {
-    for (auto* task : tasks) tell_to_stop(model, *task, job.spec.checkpoint_s);
+    for (auto* task : tasks) request_stop(model, *task, job.spec.checkpoint_s);
     return change_gang_state(job, GangState::stopping, now);
   }
   for (auto* task : tasks) end_gang_task(model, *task);
--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -79,7 +79,7 @@
   task->mark_listed();
   if (status.state == TaskState::ended) return on_exit(*task, machine, status, now);
   task->observe(status.state, now);
-  if (job->is_gang()) context_.gangs.on_state(*task, status.state, now);
+  if (job->is_gang()) context_.gangs.on_task_state(*task, status.state, now);
 }
 
 void HeartbeatReader::read_unrecorded_task(state::Machine& machine, state::Job* job,
@@ -88,7 +88,7 @@
   if (status.state == TaskState::ended) {
     machine.exited.push_back(attempt);
     if (job != nullptr && job->is_gang() && status.cause == EndCause::done)
-      context_.gangs.on_late_done(*job, now);
+      context_.gangs.on_earlier_attempt_done(*job, now);
     return;
   }
   machine.unrecorded_tasks.push_back(attempt);
--- a/src/sched/arrivals.hpp
+++ b/src/sched/arrivals.hpp
@@ -6,13 +6,13 @@
 
 namespace elmstall::sched {
 
-/// Exponentially weighted rate of arrivals: an arrival that lies `memory_s` seconds back has 1/e
-/// of the weight of a new one. All times are in seconds on one steady clock.
+/// Exponentially weighted rate of arrivals: an arrival that lies `time_constant_s` seconds back has
+/// 1/e of the weight of a new one. All times are in seconds on one steady clock.
 class ArrivalRate {
  public:
   /// `start` is the time from which arrivals are counted.
-  ArrivalRate(double memory_s, double start)
-      : memory_s_(memory_s), start_(start), updated_at_(start) {}
+  ArrivalRate(double time_constant_s, double start)
+      : time_constant_s_(time_constant_s), start_(start), updated_at_(start) {}
 
   /// Counts an arrival of `amount`, in any unit.
   void add(double now, double amount) {
@@ -24,18 +24,18 @@
   /// covers less than its whole memory; the rate is corrected for that.
   [[nodiscard]] double per_second(double now) {
     decay(now);
-    const double covered_share = 1 - std::exp(-(now - start_) / memory_s_);
-    return covered_share <= 0 ? 0 : weighted_sum_ / (memory_s_ * covered_share);
+    const double covered_share = 1 - std::exp(-(now - start_) / time_constant_s_);
+    return covered_share <= 0 ? 0 : weighted_sum_ / (time_constant_s_ * covered_share);
   }
 
  private:
   void decay(double now) {
     if (now <= updated_at_) return;
-    weighted_sum_ *= std::exp(-(now - updated_at_) / memory_s_);
+    weighted_sum_ *= std::exp(-(now - updated_at_) / time_constant_s_);
     updated_at_ = now;
   }
 
-  double memory_s_;
+  double time_constant_s_;
   double start_;
   double updated_at_;
   double weighted_sum_ = 0;
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -12,21 +12,21 @@
 namespace elmstall::sched {
 
 /// A machine that a gang's tasks could run on. A slot is room for one task of the gang.
-struct GangSite {
-  std::size_t machine = 0;      ///< the caller's number for the machine
-  std::string zone;             ///< name of the zone in which the machine is
-  std::size_t free_slots = 0;   ///< slots that are free now
-  std::size_t extra_slots = 0;  ///< further slots that preemption of lesser tasks would free
-  bool avoid = false;           ///< an earlier attempt of the gang failed to start here
-  bool cached = false;          ///< the machine has the gang's image, or is fetching it
-  bool fetching = false;        ///< the machine is fetching another image, which slows a fetch
+struct GangCandidate {
+  std::size_t machine = 0;            ///< the caller's number for the machine
+  std::string zone;                   ///< name of the zone in which the machine is
+  std::size_t free_slots = 0;         ///< slots that are free now
+  std::size_t preemptible_slots = 0;  ///< further slots that preemption of lesser tasks would free
+  bool avoid = false;                 ///< an earlier attempt of the gang failed to start here
+  bool cached = false;                ///< the machine has the gang's image, or is fetching it
+  bool fetching = false;  ///< the machine is fetching another image, which slows a fetch
   /// The machine would have room left for other tasks. These may start soon, and the fetches of
   /// their images would slow the fetch of the gang's image.
-  bool inviting = false;
+  bool has_room_for_others = false;
   /// Slots for other tasks that would be lost if the gang took this room; half a slot is added for
   /// a machine that is empty so far.
   double waste = 0;
-  double extra_cost = 0;  ///< seconds of work that preemption would lose for each extra slot
+  double preemption_cost_s = 0;  ///< seconds of work that preemption would lose for each extra slot
 };
 
 /// The tasks that are to be placed.
@@ -38,9 +38,9 @@
 
 /// The tasks that are placed on one machine.
 struct GangShare {
-  std::size_t site = 0;        ///< index among the sites
+  std::size_t candidate = 0;   ///< index among the candidates
   std::size_t tasks = 0;       ///< all tasks on this machine
-  std::size_t displacing = 0;  ///< those of them for which others must be preempted
+  std::size_t preempting = 0;  ///< those of them for which others must be preempted
 };
 
 /// Whether room may be made for a gang by preempting other tasks.
@@ -54,12 +54,12 @@
 /// Machines that are not to be avoided are preferred; then those that have the image, those that
 /// can fetch it fastest, and those that other tasks have the least use for. Of several zones for a
 /// gang that must stay together, the one is chosen that requires the least preemption.
-[[nodiscard]] std::optional<std::vector<GangShare>> place_gang(const std::vector<GangSite>& sites,
-                                                               const GangRequest& request,
-                                                               Preemption preemption);
+[[nodiscard]] std::optional<std::vector<GangShare>> place_gang(
+    const std::vector<GangCandidate>& candidates, const GangRequest& request,
+    Preemption preemption);
 
-/// The zone with the most slots, free and extra ones together; empty without sites. Of use for a
-/// gang that must stay together and finds no place yet.
-[[nodiscard]] std::string zone_with_most_room(const std::vector<GangSite>& sites);
+/// The zone with the most slots, free and extra ones together; empty without candidates. Of use for
+/// a gang that must stay together and finds no place yet.
+[[nodiscard]] std::string zone_with_most_room(const std::vector<GangCandidate>& candidates);
 
 }  // namespace elmstall::sched
--- a/src/sched/group.hpp
+++ b/src/sched/group.hpp
@@ -25,27 +25,27 @@
 using TaskId = std::uint64_t;
 
 /// A task that waits in a list. Lists are ordered by precedence, tier, due time and id.
-struct Queued {
+struct QueuedTask {
   TaskId id = 0;       ///< must be unique in the group
   int precedence = 0;  ///< tasks with a higher precedence go first
   int tier = 0;        ///< tasks with a lower tier go first; 0 while the task can still be in time
   double due = 0;      ///< seconds on the caller's clock; tasks that are due earlier go first
-  double work_s = 0;   ///< anticipated run time in seconds
+  double run_time_s = 0;  ///< anticipated run time in seconds
 
   /// Whether this task goes before the other one. Of otherwise equal tasks the lower id does.
-  [[nodiscard]] bool before(const Queued& other) const;
+  [[nodiscard]] bool before(const QueuedTask& other) const;
 };
 
 /// A worker with the tasks that wait for it.
 struct Worker {
-  std::vector<Queued> list;    ///< in the order in which the tasks are to start
+  std::vector<QueuedTask> queue;  ///< in the order in which the tasks are to start
   std::size_t in_transit = 0;  ///< tasks that are assigned to it and not yet seen in its heartbeats
   double slots = 1;            ///< tasks of the usual size that run at once
-  bool room = false;           ///< whether another task could start now
+  bool has_room = false;       ///< whether another task could start now
 
   /// Tasks that wait for the worker or are on their way to it, per slot.
   [[nodiscard]] double load() const {
-    return static_cast<double>(list.size() + in_transit) / slots;
+    return static_cast<double>(queue.size() + in_transit) / slots;
   }
 };
 
@@ -57,33 +57,35 @@
 class Group {
  public:
   /// Adds a worker, or updates what is known of it. Its list stays as it is.
-  void set_worker(const std::string& name, std::size_t in_transit, double slots, bool room);
+  void set_worker(const std::string& name, std::size_t in_transit, double slots, bool has_room);
   /// Removes a worker. The tasks of its list move to the inbox.
   void remove_worker(const std::string& name);
   /// All workers of the group, by name.
   [[nodiscard]] const std::map<std::string, Worker>& workers() const { return workers_; }
   /// The tasks that are in no worker's list, in the order in which lists are kept.
-  [[nodiscard]] const std::vector<Queued>& inbox() const { return inbox_; }
+  [[nodiscard]] const std::vector<QueuedTask>& shared_queue() const { return shared_queue_; }
 
   /// Adds a block of tasks to the list of one worker, the one with the lowest z that is eligible
   /// for all of them, or else to the inbox. The blocks of the paper go to one node likewise;
   /// balancing spreads their tasks later.
-  void push_block(const std::vector<Queued>& block, const Eligible& eligible);
+  void push_block(const std::vector<QueuedTask>& block, const Eligible& eligible);
   /// Moves tasks from the inbox to the lists of workers that have joined meanwhile.
-  void settle_inbox(const Eligible& eligible);
+  void distribute_shared_queue(const Eligible& eligible);
   /// Removes a task from the list that it is in. False if it is in none.
   bool remove(TaskId id);
   /// Calls `update` for every task, which may change all of it but its id, and sorts all lists.
-  void reorder(const std::function<void(Queued&)>& update);
+  void reorder(const std::function<void(QueuedTask&)>& update);
 
   /// Mean anticipated run time of the queued tasks in seconds; `constants::kDefaultTaskTime` if
   /// there are none.
-  [[nodiscard]] double task_time() const;
+  [[nodiscard]] double mean_run_time() const;
   /// Mean z of the group, in seconds, tasks of the inbox included. For a group without workers, the
   /// time that one worker would need for the inbox and one task more.
-  [[nodiscard]] double mean() const;
+  [[nodiscard]] double mean_wait() const;
   /// The anticipated wait of a worker in seconds.
-  [[nodiscard]] double z(const Worker& worker) const { return worker.load() * task_time(); }
+  [[nodiscard]] double anticipated_wait(const Worker& worker) const {
+    return worker.load() * mean_run_time();
+  }
 
   /// Moves tasks between lists by one round of equation (1), with a threshold in tasks. Returns the
   /// number of tasks that were moved.
@@ -92,16 +94,17 @@
   /// The task that the worker should start next: the first startable one of its own list, or else
   /// of the longest list that has one, or else of the inbox. Nothing for an unknown worker, or if
   /// no task can start. The task stays in its list.
-  [[nodiscard]] std::optional<Queued> next(const std::string& worker,
-                                           const std::function<bool(TaskId)>& startable) const;
+  [[nodiscard]] std::optional<QueuedTask> next(const std::string& worker,
+                                               const std::function<bool(TaskId)>& startable) const;
   /// The task that a worker of another group should start next: the first startable one of the
   /// longest list that has one, or else of the inbox. The task stays in its list.
-  [[nodiscard]] std::optional<Queued> lend(const std::function<bool(TaskId)>& startable) const;
+  [[nodiscard]] std::optional<QueuedTask> next_for_other_group(
+      const std::function<bool(TaskId)>& startable) const;
 
   /// Number of tasks in all lists and in the inbox.
-  [[nodiscard]] std::size_t queued() const { return queued_; }
+  [[nodiscard]] std::size_t queued_count() const { return queued_count_; }
   /// Calls `visit` for every queued task. `visit` must not change the group.
-  void each(const std::function<void(const Queued&)>& visit) const;
+  void for_each(const std::function<void(const QueuedTask&)>& visit) const;
 
  private:
   using Workers = std::map<std::string, Worker>;
@@ -109,20 +112,20 @@
 
   /// Orders workers by the length of their lists, longest first, and then by name, so that equal
   /// groups always come to equal decisions.
-  struct LongestListFirst {
+  struct LongestQueueFirst {
     bool operator()(const Workers::value_type* a, const Workers::value_type* b) const;
   };
 
   /// Inserts a task at its place in an ordered list.
-  static void insert_in_order(std::vector<Queued>& list, const Queued& task);
+  static void insert_in_order(std::vector<QueuedTask>& queue, const QueuedTask& task);
   /// Applies a change to a worker. Every change must be made through this function, which keeps
   /// `total_load_` and `workers_with_tasks_` up to date.
   void change_worker(Workers::value_type& worker, const std::function<void(Worker&)>& change);
-  /// Keep `total_work_s_` and `queued_` up to date when a task joins or leaves the group.
-  void count_in(const Queued& task);
-  void count_out(const Queued& task);
+  /// Keep `total_run_time_s_` and `queued_count_` up to date when a task joins or leaves the group.
+  void add_to_totals(const QueuedTask& task);
+  void subtract_from_totals(const QueuedTask& task);
   /// The worker with the lowest z that is eligible for all tasks of a block, or null.
-  [[nodiscard]] Workers::value_type* least_loaded_worker_for(const std::vector<Queued>& block,
+  [[nodiscard]] Workers::value_type* least_loaded_worker_for(const std::vector<QueuedTask>& block,
                                                              const Eligible& eligible);
   /// Moves up to `limit` tasks that `receiver` may run from one list to the other. Returns how
   /// many.
@@ -130,16 +133,16 @@
                          std::size_t limit, const Eligible& eligible);
   /// The first startable task of the longest list that has one, or else of the inbox. The list of
   /// the worker `excluded`, which may be null, is left out.
-  [[nodiscard]] std::optional<Queued> first_of_longest_list(const Workers::value_type* excluded,
-                                                            const Startable& startable) const;
+  [[nodiscard]] std::optional<QueuedTask> first_of_longest_queue(
+      const Workers::value_type* excluded, const Startable& startable) const;
 
   Workers workers_;  ///< by name
-  std::vector<Queued> inbox_;
-  std::set<Workers::value_type*, LongestListFirst> workers_with_tasks_;
+  std::vector<QueuedTask> shared_queue_;
+  std::set<Workers::value_type*, LongestQueueFirst> workers_with_tasks_;
   std::map<TaskId, Workers::value_type*> worker_of_task_;  ///< null for a task in the inbox
   double total_load_ = 0;                                  ///< sum of the workers' loads
-  double total_work_s_ = 0;                                ///< sum of `work_s` of all queued tasks
-  std::size_t queued_ = 0;
+  double total_run_time_s_ = 0;  ///< sum of `run_time_s` of all queued tasks
+  std::size_t queued_count_ = 0;
 };
 
 }  // namespace elmstall::sched
--- a/src/sched/resources.hpp
+++ b/src/sched/resources.hpp
@@ -62,7 +62,7 @@
 };
 
 /// The smaller of both amounts in each dimension.
-[[nodiscard]] inline Amount smaller(const Amount& a, const Amount& b) {
+[[nodiscard]] inline Amount min_of_each(const Amount& a, const Amount& b) {
   return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
 }
 
@@ -84,18 +84,18 @@
          (team.gpus_max <= 0 || used.gpus <= team.gpus_max + Amount::kSlack);
 }
 
-/// How many of `most` tasks that need `need` each fit into the team's hard limit, in addition to
-/// what the team uses already.
-[[nodiscard]] inline double within_limit_count(const config::Team& team, const Amount& used,
-                                               const Amount& need, double most) {
-  const auto bound_by = [&most](double limit, double taken, double per_task) {
+/// How many of `max_tasks` tasks that need `need` each fit into the team's hard limit, in addition
+/// to what the team uses already.
+[[nodiscard]] inline double max_tasks_within_limit(const config::Team& team, const Amount& used,
+                                                   const Amount& need, double max_tasks) {
+  const auto bound_by = [&max_tasks](double limit, double taken, double per_task) {
     if (limit <= 0 || per_task <= 0) return;
     const double fitting = std::floor((limit - taken + Amount::kSlack) / per_task);
-    most = std::min(most, std::max(0.0, fitting));
+    max_tasks = std::min(max_tasks, std::max(0.0, fitting));
   };
   bound_by(team.cpus_max, used.cpus, need.cpus);
   bound_by(team.gpus_max, used.gpus, need.gpus);
-  return most;
+  return max_tasks;
 }
 
 /// Whether the team has a guarantee and `used` is within it. A dimension with a guarantee of 0 is
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -172,7 +172,7 @@
 
 void Model::include_gang_need(const Job& job) {
   if (least_gang_need_) {
-    least_gang_need_ = sched::smaller(*least_gang_need_, job.need);
+    least_gang_need_ = sched::min_of_each(*least_gang_need_, job.need);
     return;
   }
   least_gang_need_ = job.need;
@@ -198,7 +198,7 @@
   for (const auto& [id, job] : jobs_) {
     if (job->cancelled) continue;
     auto& smallest = job->is_gang() ? least_of_gangs : least;
-    smallest = smallest ? sched::smaller(*smallest, job->need) : job->need;
+    smallest = smallest ? sched::min_of_each(*smallest, job->need) : job->need;
   }
   least_need_ = least.value_or(sched::Amount{});
   // When there is no gang any more, the last value is kept, because the next gang is most likely
--- a/tests/decision_cost_test.cpp
+++ b/tests/decision_cost_test.cpp
@@ -17,10 +17,10 @@
     world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 2000));
     world.run_until(70);
     ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
-    const auto before = leader_of(world).planner().steps();
+    const auto before = leader_of(world).planner().machines_examined();
     world.run_until(90);
     const double events = 20.0 * machines * (1 / 1.5 + 1);
-    EXPECT_LT(static_cast<double>(leader_of(world).planner().steps() - before), 1.5 * events)
+    EXPECT_LT(static_cast<double>(leader_of(world).planner().machines_examined() - before), 1.5 * events)
         << machines;
   }
 }
@@ -44,7 +44,7 @@
     auto heartbeat =
         heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
     show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
-    const auto before = leader.planner().steps();
+    const auto before = leader.planner().machines_examined();
     constexpr int kHeartbeats = 18;  // in less than a second, each with a decision of its own
     for (int i = 0; i < kHeartbeats; ++i) {
       ++heartbeat.sequence;
@@ -56,7 +56,7 @@
       world.run_for(0.051);
     }
     // And one review of all machines, which is due every second.
-    EXPECT_LE(leader.planner().steps() - before,
+    EXPECT_LE(leader.planner().machines_examined() - before,
               static_cast<std::size_t>(kHeartbeats * 5 + machines * 2))
         << machines;
   }
--- a/tests/gang_placement_test.cpp
+++ b/tests/gang_placement_test.cpp
@@ -11,9 +11,10 @@
 namespace elmstall::sched {
 namespace {
 
-/// Whether any distribution holds all tasks: tries every count on each site.
-bool possible(const std::vector<GangSite>& sites, const GangRequest& request, bool displace,
-              std::size_t site, std::map<std::string, std::size_t> in_zone, std::size_t left) {
+/// Whether any distribution holds all tasks: tries every count on each candidate.
+bool possible(const std::vector<GangCandidate>& candidates, const GangRequest& request,
+              bool displace, std::size_t candidate, std::map<std::string, std::size_t> in_zone,
+              std::size_t left) {
   if (left == 0) {
     std::size_t zones = 0;
     for (const auto& [zone, count] : in_zone) {
@@ -22,12 +23,13 @@
     }
     return !request.together || zones <= 1;
   }
-  if (site == sites.size()) return false;
-  const auto slots = sites[site].free_slots + (displace ? sites[site].extra_slots : 0);
+  if (candidate == candidates.size()) return false;
+  const auto slots =
+      candidates[candidate].free_slots + (displace ? candidates[candidate].preemptible_slots : 0);
   for (std::size_t count = 0; count <= std::min(slots, left); ++count) {
     auto next = in_zone;
-    next[sites[site].zone] += count;
-    if (possible(sites, request, displace, site + 1, next, left - count)) return true;
+    next[candidates[candidate].zone] += count;
+    if (possible(candidates, request, displace, candidate + 1, next, left - count)) return true;
   }
   return false;
 }
@@ -38,18 +40,18 @@
   std::mt19937 random(GetParam());
   const auto pick = [&](std::size_t most) { return random() % (most + 1); };
   for (int round = 0; round < 200; ++round) {
-    std::vector<GangSite> sites(1 + pick(4));
-    for (std::size_t i = 0; i < sites.size(); ++i) {
-      sites[i] = {i,
-                  i % 2 == 0 ? "north" : "south",
-                  pick(3),
-                  pick(2),
-                  pick(4) == 0,
-                  pick(1) == 0,
-                  pick(1) == 0,
-                  pick(1) == 0,
-                  static_cast<double>(pick(3)),
-                  static_cast<double>(pick(9))};
+    std::vector<GangCandidate> candidates(1 + pick(4));
+    for (std::size_t i = 0; i < candidates.size(); ++i) {
+      candidates[i] = {i,
+                       i % 2 == 0 ? "north" : "south",
+                       pick(3),
+                       pick(2),
+                       pick(4) == 0,
+                       pick(1) == 0,
+                       pick(1) == 0,
+                       pick(1) == 0,
+                       static_cast<double>(pick(3)),
+                       static_cast<double>(pick(9))};
     }
     GangRequest request;
     request.tasks = 1 + pick(6);
@@ -57,17 +59,17 @@
     if (!request.together && pick(1) == 0) request.zone_limit = (request.tasks + 1) / 2;
     const bool displace = pick(1) == 0;
     const auto shares =
-        place_gang(sites, request, displace ? Preemption::allowed : Preemption::forbidden);
-    ASSERT_EQ(shares.has_value(), possible(sites, request, displace, 0, {}, request.tasks));
+        place_gang(candidates, request, displace ? Preemption::allowed : Preemption::forbidden);
+    ASSERT_EQ(shares.has_value(), possible(candidates, request, displace, 0, {}, request.tasks));
     if (!shares) continue;
     std::size_t placed = 0;
     std::map<std::string, std::size_t> in_zone;
     for (const auto& share : *shares) {
-      const auto& site = sites[share.site];
-      EXPECT_LE(share.tasks - share.displacing, site.free_slots);
-      EXPECT_LE(share.displacing, displace ? site.extra_slots : 0);
+      const auto& candidate = candidates[share.candidate];
+      EXPECT_LE(share.tasks - share.preempting, candidate.free_slots);
+      EXPECT_LE(share.preempting, displace ? candidate.preemptible_slots : 0);
       placed += share.tasks;
-      in_zone[site.zone] += share.tasks;
+      in_zone[candidate.zone] += share.tasks;
     }
     EXPECT_EQ(placed, request.tasks);
     EXPECT_TRUE(!request.together || in_zone.size() == 1);
@@ -79,66 +81,66 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, GangPlacement, ::testing::Range(1U, 6U));
 
 TEST(GangPlacementOrder, TheImageThenRoomThatOthersCantUse) {
-  std::vector<GangSite> sites(3);
-  sites[0] = {0, "north", 2, 0, false, false, false, false, 0, 0};
-  sites[1] = {1, "north", 2, 0, false, true, false, false, 3, 0};
-  sites[2] = {2, "north", 2, 0, false, true, true, false, 0, 0};
-  const auto shares = place_gang(sites, {3, true, 0}, Preemption::forbidden);
+  std::vector<GangCandidate> candidates(3);
+  candidates[0] = {0, "north", 2, 0, false, false, false, false, 0, 0};
+  candidates[1] = {1, "north", 2, 0, false, true, false, false, 3, 0};
+  candidates[2] = {2, "north", 2, 0, false, true, true, false, 0, 0};
+  const auto shares = place_gang(candidates, {3, true, 0}, Preemption::forbidden);
   ASSERT_TRUE(shares);
   ASSERT_EQ(shares->size(), 2U);
-  EXPECT_EQ((*shares)[0].site, 1U);
+  EXPECT_EQ((*shares)[0].candidate, 1U);
   EXPECT_EQ((*shares)[0].tasks, 1U);
-  EXPECT_EQ((*shares)[1].site, 2U);
+  EXPECT_EQ((*shares)[1].candidate, 2U);
   EXPECT_EQ((*shares)[1].tasks, 2U);
 }
 
 /// A fetch beside another one takes twice as long, and the whole gang waits for it.
 TEST(GangPlacementOrder, AFreeNetworkThenRoomThatOthersCantUse) {
-  std::vector<GangSite> sites(2);
-  sites[0] = {0, "north", 2, 0, false, false, true, false, 0, 0};
-  sites[1] = {1, "north", 2, 0, false, false, false, false, 3, 0};
-  const auto shares = place_gang(sites, {2, true, 0}, Preemption::forbidden);
+  std::vector<GangCandidate> candidates(2);
+  candidates[0] = {0, "north", 2, 0, false, false, true, false, 0, 0};
+  candidates[1] = {1, "north", 2, 0, false, false, false, false, 3, 0};
+  const auto shares = place_gang(candidates, {2, true, 0}, Preemption::forbidden);
   ASSERT_TRUE(shares);
   ASSERT_EQ(shares->size(), 1U);
-  EXPECT_EQ(shares->front().site, 1U);
+  EXPECT_EQ(shares->front().candidate, 1U);
 }
 
 TEST(GangPlacementOrder, AMachineWhereNothingElseStartsSoon) {
-  std::vector<GangSite> sites(2);
-  sites[0] = {0, "north", 2, 0, false, false, false, true, 0, 0};
-  sites[1] = {1, "north", 2, 0, false, false, false, false, 0, 0};
-  const auto shares = place_gang(sites, {1, true, 0}, Preemption::forbidden);
+  std::vector<GangCandidate> candidates(2);
+  candidates[0] = {0, "north", 2, 0, false, false, false, true, 0, 0};
+  candidates[1] = {1, "north", 2, 0, false, false, false, false, 0, 0};
+  const auto shares = place_gang(candidates, {1, true, 0}, Preemption::forbidden);
   ASSERT_TRUE(shares);
-  EXPECT_EQ(shares->front().site, 1U);
+  EXPECT_EQ(shares->front().candidate, 1U);
 }
 
 /// The room beside the image is left to a gang that fits in there whole.
 TEST(GangPlacementOrder, AnImageThatHasToBeFetchedIsBroughtToManyMachines) {
-  std::vector<GangSite> sites(4);
-  sites[0] = {0, "north", 2, 0, false, true, false, false, 0, 0};
+  std::vector<GangCandidate> candidates(4);
+  candidates[0] = {0, "north", 2, 0, false, true, false, false, 0, 0};
   for (std::size_t i = 1; i < 4; ++i)
-    sites[i] = {i, "north", 2, 0, false, false, false, false, 0, 0};
+    candidates[i] = {i, "north", 2, 0, false, false, false, false, 0, 0};
   GangRequest request{3, true, 0};
-  const auto spread = place_gang(sites, request, Preemption::forbidden);
+  const auto spread = place_gang(candidates, request, Preemption::forbidden);
   ASSERT_TRUE(spread);
   ASSERT_EQ(spread->size(), 3U);
-  for (const auto& share : *spread) EXPECT_NE(share.site, 0U);
+  for (const auto& share : *spread) EXPECT_NE(share.candidate, 0U);
   request.tasks = 2;
-  const auto whole = place_gang(sites, request, Preemption::forbidden);
+  const auto whole = place_gang(candidates, request, Preemption::forbidden);
   ASSERT_TRUE(whole);
   ASSERT_EQ(whole->size(), 1U);
-  EXPECT_EQ(whole->front().site, 0U);
+  EXPECT_EQ(whole->front().candidate, 0U);
 }
 
 TEST(GangPlacementOrder, AZoneWithRoomGoesBeforeOneWhereOthersMustStop) {
-  std::vector<GangSite> sites(2);
-  sites[0] = {0, "north", 1, 5, false, true, false, false, 0, 1};
-  sites[1] = {1, "south", 2, 0, false, false, false, false, 9, 0};
-  const auto shares = place_gang(sites, {2, true, 0}, Preemption::allowed);
+  std::vector<GangCandidate> candidates(2);
+  candidates[0] = {0, "north", 1, 5, false, true, false, false, 0, 1};
+  candidates[1] = {1, "south", 2, 0, false, false, false, false, 9, 0};
+  const auto shares = place_gang(candidates, {2, true, 0}, Preemption::allowed);
   ASSERT_TRUE(shares);
   ASSERT_EQ(shares->size(), 1U);
-  EXPECT_EQ(shares->front().site, 1U);
-  EXPECT_EQ(shares->front().displacing, 0U);
+  EXPECT_EQ(shares->front().candidate, 1U);
+  EXPECT_EQ(shares->front().preempting, 0U);
 }
 
 }  // namespace
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -22,7 +22,7 @@
   // sends 66 tasks to each of the others, which then send nothing on.
   const auto workers = loads({0, 0, 200});
   EXPECT_NEAR(mean_wait(workers), 66.67, 0.01);
-  const auto shares = portions(workers, 2, mean_wait(workers));
+  const auto shares = excess_shares(workers, 2, mean_wait(workers));
   EXPECT_DOUBLE_EQ(shares[0], 0.5);
   EXPECT_DOUBLE_EQ(shares[1], 0.5);
   const auto moves = balance_round(workers, 10);
@@ -34,7 +34,7 @@
 
 TEST(EquationOne, SharesFollowTheShortfall) {
   const auto workers = loads({0, 30, 90});
-  const auto shares = portions(workers, 2, 40);
+  const auto shares = excess_shares(workers, 2, 40);
   EXPECT_DOUBLE_EQ(shares[0], 0.8);
   EXPECT_DOUBLE_EQ(shares[1], 0.2);
   EXPECT_DOUBLE_EQ(shares[2], 0);
@@ -47,7 +47,7 @@
 
 TEST(EquationOne, OnlyWorkersWithRoomGetShares) {
   auto workers = loads({0, 0, 200});
-  workers[0].room = false;
+  workers[0].has_room = false;
   for (const auto& move : balance_round(workers, 10)) EXPECT_EQ(move.to, 1U);
 }
 
@@ -87,7 +87,7 @@
       const std::string name(1, static_cast<char>('a' + w));
       // Only this worker may run its block, so the block lands there.
       group.set_worker(name, 0, 1, true);
-      std::vector<Queued> block(random() % 60);
+      std::vector<QueuedTask> block(random() % 60);
       for (auto& task : block) task = {next++, 0, 0, 0, 1.0};
       plain.push_back(static_cast<double>(block.size()));
       group.push_block(block, [&](TaskId, const std::string& worker) { return worker == name; });
@@ -96,9 +96,9 @@
     plain = plain_round(plain, 5);
     std::size_t w = 0;
     for (const auto& [name, worker] : group.workers()) {
-      ASSERT_EQ(worker.list.size(), static_cast<std::size_t>(plain[w++])) << "round " << round;
+      ASSERT_EQ(worker.queue.size(), static_cast<std::size_t>(plain[w++])) << "round " << round;
     }
-    ASSERT_EQ(group.queued(), next - 1) << "no task is lost or doubled";
+    ASSERT_EQ(group.queued_count(), next - 1) << "no task is lost or doubled";
   }
 }
 
@@ -106,9 +106,10 @@
   Group group;
   group.set_worker("a", 5, 1, true);
   group.set_worker("b", 0, 1, true);
-  EXPECT_GT(group.z(group.workers().at("a")), group.z(group.workers().at("b")));
+  EXPECT_GT(group.anticipated_wait(group.workers().at("a")),
+            group.anticipated_wait(group.workers().at("b")));
   group.push_block({{1, 0, 0, 0, 10}}, [](TaskId, const std::string&) { return true; });
-  EXPECT_EQ(group.workers().at("b").list.size(), 1U);
+  EXPECT_EQ(group.workers().at("b").queue.size(), 1U);
 }
 
 TEST(Group, AnIdleWorkerTakesTheLongestListsHead) {
@@ -131,7 +132,7 @@
   group.push_block({{1, 0, 1, 5, 1}, {2, 0, 0, 9, 1}, {3, 2, 3, 99, 1}, {4, 0, 0, 8, 1}},
                    [](TaskId, const std::string&) { return true; });
   std::vector<TaskId> order;
-  for (const auto& task : group.workers().at("a").list) order.push_back(task.id);
+  for (const auto& task : group.workers().at("a").queue) order.push_back(task.id);
   EXPECT_EQ(order, (std::vector<TaskId>{3, 4, 2, 1}));
 }
 
@@ -141,10 +142,10 @@
   group.set_worker("a", 0, 1, true);
   group.push_block({{1, 0, 0, 5, 1}, {2, 0, 0, 6, 1}}, always);
   group.remove_worker("a");
-  EXPECT_EQ(group.inbox().size(), 2U);
+  EXPECT_EQ(group.shared_queue().size(), 2U);
   group.set_worker("b", 0, 1, true);
-  group.settle_inbox(always);
-  EXPECT_EQ(group.workers().at("b").list.size(), 2U);
+  group.distribute_shared_queue(always);
+  EXPECT_EQ(group.workers().at("b").queue.size(), 2U);
 }
 
 TEST(Resources, ZeroMeansNoLimitAndNoGuarantee) {
