--- a/tests/zone_cut_test.cpp
+++ b/tests/zone_cut_test.cpp
@@ -16,9 +16,9 @@
   world.submit(array_in("north", 1, 4, 3000));
   world.submit(array_in("south", 2, 4, 3000));
   world.run_until(45);
-  lead_from_north(world);
-  ASSERT_EQ(placed(world, "job-1"), 4U);
-  ASSERT_EQ(placed(world, "job-2"), 4U);
+  move_leadership_to_north(world);
+  ASSERT_EQ(placed_tasks(world, "job-1"), 4U);
+  ASSERT_EQ(placed_tasks(world, "job-2"), 4U);
 }
 
 /// A job in the south, while the leader is in the north.
@@ -26,7 +26,7 @@
   world.cloud.capacity = 20;
   world.submit(array_in("south", 1, 2, 3000));
   world.run_until(45);
-  lead_from_north(world);
+  move_leadership_to_north(world);
 }
 
 /// A zone that is cut off from the state store too can record no delegation. Its controllers keep
@@ -38,12 +38,12 @@
   const double at = world.loop.now();
   world.cut_zone("south");
   world.run_until(at + 30);  // W is 28.5 s, the lease 10 s
-  EXPECT_EQ(placed(world, "job-2"), 4U) << "not given up";
+  EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << "not given up";
   world.restore_zone("south");
   world.run_until(at + 60);
-  EXPECT_EQ(placed(world, "job-2"), 4U);
+  EXPECT_EQ(placed_tasks(world, "job-2"), 4U);
   EXPECT_EQ(world.rules.starts(), starts) << "nothing had to be started again";
-  expect_rules(world);
+  expect_no_violations(world);
 }
 
 /// The only controller of its zone can't tell whether the zone is cut off or
@@ -65,7 +65,7 @@
   EXPECT_EQ(ask(0.1), 200);
   world.run_for(25);
   EXPECT_NE(ask(4), 200) << "its authority is over";
-  expect_rules(world);
+  expect_no_violations(world);
 }
 
 /// A longer one ends them; they are started again only when that is certain,
@@ -86,9 +86,9 @@
     world.run_until(at + length);
     world.restore_zone("south");
     world.run_until(at + 130);
-    EXPECT_EQ(placed(world, "job-2"), 4U) << length;
-    EXPECT_EQ(placed(world, "job-3"), length % 12 == 0 ? 0U : 6U) << length;
-    ASSERT_EQ(world.rules.first_broken(), "") << length;
+    EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << length;
+    EXPECT_EQ(placed_tasks(world, "job-3"), length % 12 == 0 ? 0U : 6U) << length;
+    ASSERT_EQ(world.rules.first_violation(), "") << length;
   }
 }
 
@@ -103,7 +103,7 @@
   dead->die();
   world.run_for(13.5);  // its lease is 10 s, a heartbeat 0.8 s
   EXPECT_TRUE(machine_of(world, *dead)->tasks.empty());
-  expect_rules(world);
+  expect_no_violations(world);
 }
 
 /// The zone delegate: a cut between the zones, longer than a lease.
@@ -111,15 +111,15 @@
   World world(13);
   world.submit(service(1, 4));
   world.run_until(40);
-  ASSERT_EQ(running(world, "job-1"), 4U);
+  ASSERT_EQ(running_tasks(world, "job-1"), 4U);
   const auto starts = world.rules.starts();
-  world.network.part_zones();
+  world.network.partition_zones();
   world.run_until(70);
-  world.network.rejoin_zones();
+  world.network.heal_partition();
   world.run_until(90);
-  EXPECT_EQ(running(world, "job-1"), 4U);
+  EXPECT_EQ(running_tasks(world, "job-1"), 4U);
   EXPECT_EQ(world.rules.starts(), starts) << "no replica was lost to the cut";
-  expect_rules_and_starts(world);
+  expect_starts_without_violations(world);
 }
 
 /// A cancellation during the cut: the zone delegate stops its tasks.
@@ -127,13 +127,13 @@
   World world(14);
   world.submit(service(1, 4));
   world.run_until(40);
-  world.network.part_zones();
+  world.network.partition_zones();
   world.run_until(50);
   world.cancel("job-1");
   world.run_until(95);  // checked all the time: nothing is left after 40 s
-  world.network.rejoin_zones();
+  world.network.heal_partition();
   world.run_until(110);
-  expect_rules_and_starts(world);
+  expect_starts_without_violations(world);
 }
 
 /// With workers and a controller, for longer than a lease, while jobs that run
@@ -145,7 +145,7 @@
     world.submit(array_in("south", 1, 4, 3000));
     world.submit(array_in("north", 2, 4, 3000));
     world.run_until(45);
-    if (length % 4 == 0) lead_from_north(world);
+    if (length % 4 == 0) move_leadership_to_north(world);
     const double at = world.loop.now();
     world.cut_zone("south");
     world.run_until(at + 1 + length % 5);
@@ -153,9 +153,9 @@
     world.run_until(at + length);
     world.restore_zone("south");
     world.run_until(at + 150);
-    EXPECT_EQ(told(world, "job-1"), JobState::cancelled) << length;
-    EXPECT_EQ(placed(world, "job-2"), 4U) << length;
-    ASSERT_EQ(world.rules.first_broken(), "") << length;
+    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled) << length;
+    EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << length;
+    ASSERT_EQ(world.rules.first_violation(), "") << length;
   }
 }
 
@@ -172,7 +172,7 @@
     ++heartbeat.sequence;
     world.send_to_node(1, heartbeat_request(heartbeat), [](const net::Response&) {});
   };
-  world.network.part_zones();
+  world.network.partition_zones();
   world.run_for(3);
   // The first attempt seems lost, and is applied when the second has its record.
   world.store(1).faults = {false, 0, 0, 1, 3.6};
