--- a/src/controller/heartbeat_router.hpp
+++ b/src/controller/heartbeat_router.hpp
@@ -3,7 +3,7 @@
 /// delegate while the leader is unreachable.
 ///
 /// Workers report to a controller of their own zone, which forwards their heartbeats
-/// to the leader. When the zone is partitioned or the leader fails, the workers already talk to a
+/// to the leader. When the zone is partitioned or the leader fails, the workers already report to a
 /// controller that can renew their leases (docs/design.md, "Forwarding"). Runs on the controller's
 /// event loop.
 #pragma once
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The leading controller's view of the deployment. It exists from an election
-/// until the end of that term and coordinates the units that decide: it rebuilds
+/// until the end of that term and coordinates the units that make decisions: it rebuilds
 /// their state from the records, hands them heartbeats and changes of records, and
 /// lets them decide, commit and command once per batch. Runs on the controller's event loop; times
 /// are seconds of its steady clock.
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -94,8 +94,8 @@
                         scope_.wrap([this](const store::CommitResult& result) {
                           // The candidacy counts as won only when the mirror shows it, because the
                           // mirror must then hold everything that was committed before this term.
-                          // If it shows it too late, the lease has ended, and this node stands
-                          // again.
+                          // If it shows it too late, the lease has expired, and this node
+                          // starts another candidacy.
                           back_off(result.outcome == Outcome::ok ? k::kLeadLease : k::kStateRetry);
                         }));
 }
--- a/src/election/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -2,8 +2,8 @@
 /// Linearizable read barrier for answers that a controller gives from its mirror.
 ///
 /// The mirror follows the state store with a delay. An answer that is read from it may thus
-/// miss a change that was committed before the question was asked. A read index excludes that:
-/// the controller asks the state store for its current revision, waits until the mirror has
+/// miss a change that was committed before the request arrived. A read index excludes that:
+/// the controller reads the state store's current revision, waits until the mirror has
 /// reached this revision, and only then answers.
 ///
 /// These depend on a read index ("Reads never go back" in docs/design.md):
--- a/src/election/term_tracker.hpp
+++ b/src/election/term_tracker.hpp
@@ -24,7 +24,7 @@
     term_ = term;
     leader_ = leader;
   }
-  /// Forgets the leader, because the leader of the present term has stepped down.
+  /// Clears the leader, because the leader of the present term has stepped down.
   void clear_leader() { leader_.clear(); }
 
   /// The highest known term; 0 before the first.
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Keeps the leases of a zone's workers alive while they and their leader can't
-/// reach each other.
+/// Renews the leases of a zone's workers while they and their leader can't reach
+/// each other.
 ///
 /// A follower that receives heartbeats of its zone while the leader is unreachable
 /// records that it is the delegate of its zone. It then renews worker leases, starts
@@ -43,13 +43,13 @@
     const ReadIndex& read_index;       ///< tells how recent the mirror is
   };
 
-  /// Without a delegation at first.
+  /// Starts without a delegation.
   explicit ZoneDelegate(Context context);
 
   /// Replies to a heartbeat of this zone, now or as soon as a delegation permits it. A heartbeat
   /// that waits beyond its deadline is refused, or its worker is sent to another controller.
   void on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity);
-  /// Hands over all heartbeats that still wait, so that a leader can reply to them instead.
+  /// Removes and returns the waiting heartbeats, so that a leader can reply to them instead.
   [[nodiscard]] std::vector<PendingHeartbeat> take_waiting() { return std::exchange(waiting_, {}); }
   /// Renews the delegation, or ends it when the leader is reachable again.
   void tick(const Connectivity& connectivity);
--- a/src/state/commit_record.hpp
+++ b/src/state/commit_record.hpp
@@ -2,7 +2,7 @@
 /// A record that the leader keeps in the ledger log of the state store.
 ///
 /// The model holds one commit record for each block of tasks and for each machine. The
-/// record knows how to pack the present state of that block or machine, and counts which
+/// record packs the present state of that block or machine on request, and counts which
 /// of its versions are stored. See group_commit.hpp for how records are written.
 ///
 /// All of this runs on the controller's event loop.
--- a/src/state/job.hpp
+++ b/src/state/job.hpp
@@ -20,7 +20,7 @@
 namespace elmstall::state {
 
 /// A range of tasks of one job that are recorded together, as one entry of the ledger log. A block
-/// is brought into memory when one of its tasks is needed first (Model::load_block).
+/// is loaded when one of its tasks is first needed (Model::load_block).
 struct Block {
   Job* job = nullptr;        ///< the job that the block belongs to
   std::uint32_t number = 0;  ///< position among the blocks of the job, from 0
@@ -53,7 +53,7 @@
   double submitted = 0;  ///< time of the submission, by this controller's steady clock
   /// The blocks that are in memory, by their number.
   std::map<std::uint32_t, std::unique_ptr<Block>> blocks;
-  /// Number of the next block that placement::JobQueues brings into memory. All blocks with lower
+  /// Number of the next block that placement::JobQueues loads. All blocks with lower
   /// numbers are in memory.
   std::uint32_t next_block = 0;
   std::uint32_t block_count = 0;     ///< number of blocks, in memory or not
--- a/src/state/log_slots.hpp
+++ b/src/state/log_slots.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What this leader knows of the slots of the ledger log.
+/// The leader's view of the slots of the ledger log.
 ///
 /// The log is a set of keys in the state store, the slots. The value of a slot holds entries:
 /// packed versions of blocks and machines. A commit overwrites whole values. An entry that is
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -39,7 +39,7 @@
   std::string addr;        ///< address of its worker; empty if not known yet
   std::string type;        ///< name of its machine type; empty if not known yet
   std::string zone;        ///< zone in which it is
-  bool spot = false;       ///< the cloud may take it back at any time
+  bool spot = false;       ///< the cloud may reclaim it at any time
   sched::Amount capacity;  ///< resources of its type; zero until the type is known
 
   // --- worker's status; set by reconcile::HeartbeatReader unless said otherwise ---
@@ -96,7 +96,7 @@
   /// When the mirror was first seen to have passed the revision at which the retirement was
   /// written, which is R of rule 6.
   double retired_at = kNever;
-  /// When the cloud takes the machine back, if a heartbeat has brought an interruption notice.
+  /// When the cloud reclaims the machine, if a heartbeat has brought an interruption notice.
   std::optional<double> interruption_at;
 
   // --- tasks and room; set by Model unless said otherwise ---
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -8,8 +8,8 @@
 namespace elmstall::state {
 namespace {
 
-constexpr int kIndexBits = 20;  // more than the 100,000 tasks a job may have
-constexpr std::size_t kMaxCachedImages = 8;
+constexpr int kIndexBits = 20;               // more than the 100,000 tasks a job may have
+constexpr std::size_t kMaxCachedImages = 8;  // images assumed to be cached on one machine
 
 /// Packs the machine's record as it is at the moment of a commit.
 std::function<store::Packed()> packed_form(const Machine& machine) {
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the leader knows of jobs, tasks and machines, and the only place that changes where a task
-/// is. Runs on the controller's event loop; times are seconds of its steady clock.
+/// The leader's model of jobs, tasks and machines, and the only place that changes where a task
+/// is placed. Runs on the controller's event loop; times are seconds of its steady clock.
 #pragma once
 
 #include <array>
@@ -35,9 +35,9 @@
   // --- jobs ---
 
   /// Adds a job whose record exists. `submitted` is the time of the submission by this controller's
-  /// steady clock. None of its blocks is brought into memory.
+  /// steady clock. None of its blocks is loaded.
   Job& add_job(const std::string& id, const store::JobRecord& record, double submitted);
-  /// Forgets a job whose final state is stored. Has no effect if the job is not known.
+  /// Removes a job whose final state is stored. Has no effect if the job is not known.
   void remove_job(const std::string& id);
   /// The job with this identifier, or null.
   [[nodiscard]] Job* job(const std::string& id);
@@ -48,12 +48,12 @@
   /// The settings of the platform.
   [[nodiscard]] const config::Settings& settings() const { return settings_; }
   /// The task with this Task::id. Null if its job has been removed, or if all tasks of its block
-  /// are completed. Brings the block into memory if necessary.
+  /// are completed. Loads the block if necessary.
   [[nodiscard]] Task* task(sched::TaskId id);
   /// The task with this index in the job. Null if the job has no such task, or if all tasks of its
-  /// block are completed. Brings the block into memory if necessary.
+  /// block are completed. Loads the block if necessary.
   [[nodiscard]] Task* task(Job& job, std::uint32_t index);
-  /// Returns the block with this number of the job, and brings it into memory if it is not there
+  /// Returns the block with this number of the job, and loads it if it is not in memory
   /// yet. `stored` is the block as the mirror has it, or null if the block was never recorded. Done
   /// bits and attempt numbers are taken from it; assignments are taken over by restore().
   Block& load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored);
@@ -64,7 +64,7 @@
   Machine& machine(const std::string& id);
   /// The machine with this identifier, or null.
   [[nodiscard]] Machine* find_machine(const std::string& id);
-  /// Forgets a machine whose deletion the cloud has confirmed, and has its removal recorded. Its
+  /// Removes a machine whose deletion the cloud has confirmed, and has its removal recorded. Its
   /// tasks must have been taken off before. Has no effect if the machine is not known.
   void remove_machine(const std::string& id);
   /// Whether the machine was removed by this leader. Heartbeats and entries of the cloud's machine
@@ -104,7 +104,7 @@
   void add_unrecorded(Machine& machine, const Job& job);
   /// Ends the effect of all calls of add_unrecorded() for the machine.
   static void clear_unrecorded(Machine& machine);
-  /// Forgets what the last heartbeat listed apart from recorded tasks that run: exited attempts,
+  /// Clears what the last heartbeat listed apart from recorded tasks that run: exited attempts,
   /// unrecorded tasks and tasks of unknown jobs.
   static void clear_heartbeat_content(Machine& machine);
   /// Has a machine recorded that has no record yet.
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -94,7 +94,7 @@
 }
 
 bool TransactionBuilder::must_be_kept(const CommitRecord& record) const {
-  // The blocks of a job mean nothing once its record is removed. They are kept until then, for
+  // The blocks of a job are obsolete once its record is removed. They are kept until then, for
   // a new leader that found no blocks of a job would use its attempt numbers again (rule 1).
   if (record.job.empty()) return true;
   if (mirror_.job(record.job) == nullptr) return false;
