--- a/src/reconcile/fencing.hpp
+++ b/src/reconcile/fencing.hpp
@@ -3,8 +3,8 @@
 ///
 /// A token consists of the term and, in its low bits, a fence count for one
 /// machine. A worker refuses commands whose token is lower than the highest it has
-/// seen. Raising the fence of a machine therefore makes all commands void that were
-/// sent to it before (docs/design.md, rule 3). Runs on the controller's event loop.
+/// seen. Raising the fence of a machine therefore voids all commands that were sent
+/// to it before (docs/design.md, rule 3). Runs on the controller's event loop.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
   [[nodiscard]] std::uint64_t term_token() const;
   /// The token that messages to this machine carry now.
   [[nodiscard]] std::uint64_t token(const state::Machine& machine) const;
-  /// Raises the machine's fence, which makes everything sent to it so far void. The machine counts
+  /// Raises the machine's fence, which voids all commands sent to it so far. The machine counts
   /// as synchronized again once a heartbeat carries the new token (rule 3).
   void raise(state::Machine& machine);
 
--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -46,23 +46,23 @@
 void HeartbeatReader::update_machine(state::Machine& machine,
                                      const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source,
                                      double now) {
-  // A later epoch knows nothing of the tasks of an earlier one, and commands of
-  // that epoch are void in this one, however late they come. This holds only for a
-  // machine that was synchronized in this term: of others, two late heartbeats may
-  // show two epochs that were both over before its tasks began (rule 3).
+  // A worker keeps no tasks of an earlier epoch and rejects commands of that epoch, however late
+  // they arrive. This holds only for a machine that was synchronized in this term: for others, two
+  // delayed heartbeats may show two epochs that both ended before its tasks began (rule 3).
   if (machine.epoch_known && heartbeat.epoch > machine.epoch)
     remove_all_tasks(context_.model, context_.planner, machine, "its epoch ended");
   context_.lease_expiry.cancel_retirement(machine);
   // Command RPCs also reach machines that can't reach any controller. They renew no lease, so
-  // what they start ends with the machine's lease. The reply to an RPC therefore does not count as
-  // a heartbeat, except as the first contact in a term, when the next heartbeat may take long.
+  // tasks that they start end with the machine's lease. The reply to an RPC therefore does not
+  // count as a heartbeat, except as the first contact in a term, when the next heartbeat may take
+  // long.
   if (source == HeartbeatSource::worker || !machine.heard) machine.last_heartbeat = now;
   machine.last_contact = now;
   machine.heard = true;
   machine.epoch = heartbeat.epoch;
   machine.sequence = heartbeat.sequence;
   context_.model.mark_dirty(machine);
-  // Only this leader can have told the worker this token. So the heartbeat was sent
+  // Only this leader can have sent this token to the worker. So the heartbeat was sent
   // after the takeover, or after the fence was raised, and older commands are void.
   machine.synchronized = heartbeat.token >= context_.fencing.token(machine);
   machine.epoch_known = machine.epoch_known || machine.synchronized;
@@ -124,7 +124,7 @@
 }
 
 void HeartbeatReader::unassign_absent_tasks(state::Machine& machine) {
-  // The heartbeat of a synchronized machine shows everything: commands sent earlier were carried
+  // The heartbeat of a synchronized machine is complete: commands sent earlier were carried
   // out before the heartbeat was sent, or will never be carried out (rules 2 and 3).
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
--- a/src/reconcile/heartbeat_reader.hpp
+++ b/src/reconcile/heartbeat_reader.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// Reconciles what a worker reports with what the records say.
+/// Reconciles the state that workers report with the records.
 ///
-/// A heartbeat lists every task on its machine. Tasks that the records place there
-/// are followed to their end. Others are "unrecorded": they take room and count for
-/// their team until they are stopped. That a heartbeat does not list a task proves only for a
-/// synchronized machine that the task is not there (docs/design.md, rules 3 and 7). Runs on the
+/// A heartbeat lists every task on its machine. Tasks that the records assign to the machine are
+/// tracked until they exit. Others are "unrecorded": they occupy resources and count towards
+/// their team's usage until they are stopped. A task that is missing from a heartbeat is known to
+/// be gone only if the machine is synchronized (docs/design.md, rules 3 and 7). Runs on the
 /// controller's event loop; times are seconds of its steady clock.
 #pragma once
 
@@ -21,25 +21,25 @@
 
 namespace elmstall::reconcile {
 
-/// How the status of a worker came to the leader.
+/// How the leader received a worker's status.
 enum class HeartbeatSource : std::uint8_t {
   worker,         ///< sent by the worker on its own, so it can reach a controller
-  command_reply,  ///< the reply to a command RPC, which proves only the way there
+  command_reply,  ///< the reply to a command RPC: proves only that controllers reach it
 };
 
 /// Applies the heartbeats of all machines to the leader's model.
 class HeartbeatReader {
  public:
-  /// What the reader works with. The references have to outlive it.
+  /// Dependencies of the reader. The references have to outlive it.
   struct Context {
     state::Model& model;                     ///< the leader's model of jobs and machines
     placement::Planner& planner;             ///< owner of the queues of tasks
     placement::GangCoordinator& gangs;       ///< starts and ends gangs as a whole
     placement::RunTimeEstimates& estimates;  ///< learns from the run times of completed tasks
     Fencing& fencing;                        ///< fencing tokens of this term
-    LeaseExpiry& lease_expiry;               ///< is told that a machine was heard of
-    /// Called after each heartbeat, because there may be new decisions to make and commands to
-    /// send.
+    LeaseExpiry& lease_expiry;               ///< cancels the retirement of machines
+    /// Called after each heartbeat, because scheduling decisions and commands may have become
+    /// due.
     std::function<void()> model_changed;
   };
 
@@ -47,19 +47,19 @@
   explicit HeartbeatReader(Context context)
       : context_(std::move(context)), failures_(context_.model) {}
 
-  /// Whether the heartbeat is newer than everything read of this machine so far.
-  /// Copies may arrive late, and their task list is as old as they are.
+  /// Whether the heartbeat is newer than every heartbeat read from this machine so far.
+  /// Delayed duplicates contain an outdated task list.
   [[nodiscard]] static bool is_newer(const state::Machine& machine,
                                      const wire::WorkerHeartbeat& heartbeat);
 
-  /// Brings the model up to date with a heartbeat, which must be newer (`is_newer`). `now`: when
+  /// Updates the model from a heartbeat, which must be newer (`is_newer`). `now`: when
   /// it was received.
   void read(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source,
             double now);
 
  private:
   void record_if_new(state::Machine& machine);
-  /// Contact, epoch and synchronization, without the tasks.
+  /// Updates contact times, epoch and synchronization, but not the tasks.
   void update_machine(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                       HeartbeatSource source, double now);
   void read_task(state::Machine& machine, const wire::TaskStatus& status, double now);
--- a/src/reconcile/job_lifecycle.cpp
+++ b/src/reconcile/job_lifecycle.cpp
@@ -35,10 +35,10 @@
     if (task.machine.empty() || !within_block) continue;
     auto* machine = context_.model.find_machine(task.machine);
     if (machine == nullptr) {
-      // A machine is recorded before anything is assigned to it, and removed from
-      // the records only once it was deleted with everything on it. The block may
-      // have been written before that. The task is nowhere (rule 7): if it stayed
-      // assigned, it would count for its team for ever.
+      // A machine is recorded before any task is assigned to it, and removed from
+      // the records only once it was deleted with all its tasks. The block may have
+      // been written before that. The task runs nowhere (rule 7): if it stayed
+      // assigned, it would count towards its team's usage for ever.
       context_.group_commit.mark_dirty(*block.record);
       continue;
     }
@@ -80,7 +80,7 @@
       if (!task.is_planned() && !task.may_be_on_machine()) continue;
       placement::stop_task(context_.model, task, placement::StopMode::immediate,
                            context_.event_loop.now());
-      // A checkpoint that is being written has no use now.
+      // The checkpoint of a cancelled job is not needed, so its task need not finish writing it.
       task.withdraw_grace_period();
     }
   }
--- a/src/reconcile/job_lifecycle.hpp
+++ b/src/reconcile/job_lifecycle.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Jobs from their acceptance to their final state, as the leader sees them: it
-/// follows the records that controllers write for users, stops cancelled jobs and
-/// has final states written. Runs on the controller's event loop.
+/// Lifecycle of jobs in the leader, from acceptance to final state: applies the
+/// records that controllers write for users, stops cancelled jobs and has final
+/// states written. Runs on the controller's event loop.
 #pragma once
 
 #include <string>
@@ -15,10 +15,10 @@
 
 namespace elmstall::reconcile {
 
-/// Carries the leader's jobs from the records into the model and, when they are over, back.
+/// Loads jobs from the records into the leader's model, and finalizes jobs that have ended.
 class JobLifecycle {
  public:
-  /// What the lifecycle works with. The references have to outlive it.
+  /// Dependencies of the lifecycle. The references have to outlive it.
   struct Context {
     const runtime::EventLoop& event_loop;  ///< clock
     const store::Mirror& mirror;           ///< local replica of the records
@@ -28,7 +28,7 @@
     placement::Planner& planner;           ///< owner of the queues of tasks
   };
 
-  /// To be made when the leadership begins, because its construction marks that time.
+  /// To be constructed when the leadership begins: the time of construction is taken as its start.
   explicit JobLifecycle(Context context);
 
   /// Restores an unfinished job, with the assignments of its tasks, from the records.
@@ -36,9 +36,10 @@
   /// To be called when the record of the job has changed: adds an accepted job to the model, and
   /// stops a cancelled one.
   void on_record_changed(const std::string& id);
-  /// To be called when another controller says that it has recorded the job as cancelled. Returns
-  /// whether this was not known before. The message only speeds up what the records will show: it
-  /// does not prove that the copy of the records is current (docs/design.md, rule 8).
+  /// To be called when another controller reports that it has recorded the job as cancelled.
+  /// Returns whether this was not known before. The message only arrives earlier than the change
+  /// of the record: it does not prove that the copy of the records is current (docs/design.md, rule
+  /// 8).
   bool on_cancellation(const std::string& id);
   /// Hands the final states of jobs that are over to the group commit.
   void finalize_completed();
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -39,7 +39,7 @@
   // becomes a delegate of the machine's zone later sees the retirement in the records, and an
   // existing delegation makes the transaction fail. Delegates of other zones do not reply to this
   // machine, so they are no precondition: while a zone is cut off, its delegation would otherwise
-  // hold up all other changes that are written in the same transaction.
+  // block all other changes that are written in the same transaction.
   const auto require_absent = [&](const std::string& node, const std::string& zone) {
     if (may_be_delegate(zone, machine))
       machine.record->absent.push_back(store::delegation_key(node));
@@ -66,8 +66,8 @@
   if (now >= machine.retired_at + settings_.leader_lease_s() + lease) return true;
   return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const config::Peer& peer) {
     if (!may_be_delegate(peer.zone, machine)) return true;
-    // The time is shorter if the controller says that its mirror holds the retirement, and a
-    // lease has passed since it last replied on its own.
+    // The wait is shorter if the controller reports that its mirror contains the retirement, and
+    // a lease has passed since it last replied on its own.
     const auto read_state = read_state_(peer.name);
     return read_state.revision >= machine.record->revision && now >= read_state.replied_at + lease;
   });
--- a/src/reconcile/lease_expiry.hpp
+++ b/src/reconcile/lease_expiry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Decides when the tasks of a silent machine certainly do not run any more: rule 6 of the safety
+/// Decides when the tasks of a silent machine are certain not to run any more: rule 6 of the safety
 /// argument in docs/design.md. Runs on the controller's event loop; times are seconds of its
 /// steady clock.
 #pragma once
@@ -13,7 +13,7 @@
 
 namespace elmstall::reconcile {
 
-/// What another controller has said of its copy of the records and of its replies.
+/// What another controller has reported about its mirror of the records and its replies.
 struct PeerReadState {
   std::uint64_t revision = 0;         ///< its mirror has reached this revision, or a later one
   double replied_at = state::kNever;  ///< it replied to no heartbeat on its own after this
@@ -22,7 +22,7 @@
 /// Retires silent machines in the records, and reports those whose tasks are certainly gone.
 class LeaseExpiry {
  public:
-  /// Returns what the controller of this name has said of itself.
+  /// Returns the last report of the controller of this name.
   using PeerStates = std::function<PeerReadState(const std::string& peer)>;
   /// Receives a machine whose tasks certainly do not run any more.
   using Expired = std::function<void(state::Machine&)>;
@@ -45,15 +45,15 @@
   void expire(double now);
   /// To be called when the delegations in the records have changed.
   void update_delegations(double now);
-  /// Withdraws the retirement of a machine that was heard of again.
+  /// Cancels the retirement of a machine that made contact again.
   void cancel_retirement(state::Machine& machine);
   /// The time until which worker leases that a former leader renewed may last.
   [[nodiscard]] double inherited_until() const;
 
  private:
   void retire(state::Machine& machine);
-  /// Whether it is excluded that another controller replies to this machine, or has replied to it
-  /// so recently that the renewed lease may still last (rule 6).
+  /// Whether no other controller can be replying to this machine, or can have replied to it so
+  /// recently that the renewed lease may still be valid (rule 6).
   [[nodiscard]] bool other_renewals_ruled_out(const state::Machine& machine, double now) const;
 
   const config::Settings& settings_;
--- a/src/reconcile/machine_loss.cpp
+++ b/src/reconcile/machine_loss.cpp
@@ -9,8 +9,7 @@
   planner.remove_worker(machine);
   model.mark_dirty(machine);
   if (!machine.tasks.empty()) {
-    spdlog::info("machine {}: {} tasks are gone with it ({})", machine.id, machine.tasks.size(),
-                 reason);
+    spdlog::info("machine {}: removed {} tasks ({})", machine.id, machine.tasks.size(), reason);
   }
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
--- a/src/reconcile/machine_loss.hpp
+++ b/src/reconcile/machine_loss.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What follows when no task can still run on a machine. Runs on the controller's event loop.
+/// Removal of the tasks of a machine on which none can still run. Runs on the controller's event
+/// loop.
 #pragma once
 
 #include <string_view>
@@ -9,7 +10,7 @@
 
 namespace elmstall::reconcile {
 
-/// Takes all tasks off the machine, in the model and in the records. To be called
+/// Unassigns all tasks of the machine, in the model and in the records. To be called
 /// only when rule 6 of docs/design.md says that none of them can still run there.
 /// `reason` is for the log.
 void remove_all_tasks(state::Model& model, placement::Planner& planner, state::Machine& machine,
--- a/src/reconcile/responsiveness.cpp
+++ b/src/reconcile/responsiveness.cpp
@@ -46,19 +46,19 @@
 
 void Responsiveness::check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                            double now) {
-  // A heartbeat proves that a machine works, not that it receives replies. They may be lost on
-  // the way, and then its lease runs out.
+  // A heartbeat proves that a machine works, not that it receives replies. If the replies are
+  // lost in transit, its lease runs out.
   if (acknowledges_replies(machine, heartbeat)) {
-    if (machine.unresponsive) spdlog::info("machine {} hears us again", machine.id);
+    if (machine.unresponsive) spdlog::info("machine {} responds to replies again", machine.id);
     machine.unresponsive = false;
     machine.unacknowledged_since = state::kNever;
   }
   if (machine.unresponsive) return;
   const bool lapsed = lease_lapsed_early(machine, heartbeat, now);
   if (!lapsed && !unacknowledged_too_long(machine, now)) return;
-  spdlog::info("machine {} does not hear us: {}", machine.id,
-               lapsed ? "its lease ran out while its heartbeats were answered"
-                      : "it shows no effect of our answers");
+  spdlog::info("machine {} is unresponsive: {}", machine.id,
+               lapsed ? "its lease expired although its heartbeats were replied to"
+                      : "its heartbeats show no effect of the replies");
   machine.unresponsive = true;
   machine.unacknowledged_since = now;
   fencing_.raise(machine);
--- a/src/reconcile/responsiveness.hpp
+++ b/src/reconcile/responsiveness.hpp
@@ -9,14 +9,15 @@
 
 namespace elmstall::reconcile {
 
-/// Judges machines by their heartbeats, and raises the fence of those that seem to hear nothing.
+/// Checks heartbeats for the effect of earlier replies, and raises the fence of machines that
+/// seem to receive none.
 class Responsiveness {
  public:
   /// Both references have to outlive this object.
   Responsiveness(const config::Settings& settings, Fencing& fencing)
       : settings_(settings), fencing_(fencing) {}
 
-  /// Judges a machine by a new heartbeat, before that is read into the model.
+  /// Checks a machine by its new heartbeat, before the heartbeat is applied to the model.
   /// A machine is unresponsive when its lease ran out although its heartbeats were
   /// replied to, or when it has shown no effect of token or commands for a large
   /// part of a lease. Its fence is raised then, and it gets no new work until a
--- a/src/reconcile/task_failures.cpp
+++ b/src/reconcile/task_failures.cpp
@@ -15,7 +15,7 @@
 /// Backoffs double with each failure up to these numbers of times.
 constexpr int kTaskDoublings = 5;
 constexpr int kJobDoublings = 6;
-/// A job that is blamed starts with a backoff that was doubled this often already.
+/// Doublings that are added to the backoff of a whole job.
 constexpr int kJobFirstDoublings = 2;
 
 double backoff(int doublings, int most_doublings) {
@@ -44,9 +44,9 @@
 }
 
 void TaskFailures::back_off_job(state::Job& job, double now) {
-  // The job failed on several machines, so the job is the likely cause. It backs off, so that it
-  // does not get one machine after the other quarantined, and its failures no longer count against
-  // the machines.
+  // The job failed on several machines, so the job is the likely cause. It backs off, so that its
+  // failures do not quarantine one machine after the other, and they no longer count against the
+  // machines.
   ++job.failures;
   job.failed_until = now + backoff(job.failures + kJobFirstDoublings, kJobDoublings);
   for (const auto& id : job.failed_on) {
--- a/src/reconcile/task_failures.hpp
+++ b/src/reconcile/task_failures.hpp
@@ -13,9 +13,10 @@
   /// `model` has to outlive this object.
   explicit TaskFailures(state::Model& model) : model_(model) {}
 
-  /// Takes in that the task exited with `error`. The task is retried with a growing backoff. A
+  /// Handles a task that exited with `error`. The task is retried with a growing backoff. A
   /// machine on which tasks of several jobs failed is quarantined. A job that failed on several
-  /// machines is taken for the cause, and backs off as a whole. `now`: seconds of the steady clock.
+  /// machines is assumed to be the cause, and backs off as a whole. `now`: seconds of the steady
+  /// clock.
   void on_failure(state::Task& task, state::Machine& machine, double now);
 
  private:
