--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -41,8 +41,9 @@
 }
 
 void CommandComposer::add_stop(state::Task& task, double now, Commands& commands) {
-  // A task that writes its checkpoint is not told again to stop, unless its work is of no use.
-  // While it waits until all tasks of its gang have written theirs, it may be reported as running.
+  // The stop command is not repeated while a task writes its checkpoint, unless the checkpoint is
+  // of no use. A task may be reported as running while it waits until all tasks of its gang have
+  // written theirs.
   if (task.grace_period_s() > 0) {
     if (task.reported_state() == TaskState::checkpointing ||
         now < task.stop_sent_at() + k::kStopRepeat)
@@ -56,7 +57,7 @@
   if (task.in_last_heartbeat() || task.block->record->written < task.required_version())
     return false;
   if (task.job->is_gang() && !gangs_.may_run(task)) return false;
-  // While an earlier attempt is not cleared on the machine, it would refuse this one.
+  // The worker refuses this attempt until an earlier one is cleared on the machine.
   return std::none_of(
       machine.exited.begin(), machine.exited.end(), [&](const state::TaskAttempt& exited) {
         return exited.index == task.index && exited.job == task.job->id && !may_clear(exited);
--- a/src/dispatch/command_composer.hpp
+++ b/src/dispatch/command_composer.hpp
@@ -19,7 +19,8 @@
       : settings_(settings), model_(model), group_commit_(group_commit), gangs_(gangs) {}
 
   /// All commands that are due for the machine, `constants::kMaxCommands` at most. Commands that
-  /// start tasks are among them only if `may_start_tasks` is true. The model notes what is sent.
+  /// start tasks are among them only if `may_start_tasks` is true. Records in the model what is
+  /// sent.
   [[nodiscard]] std::vector<wire::WorkerCommand> compose(state::Machine& machine, double now,
                                                          bool may_start_tasks);
   /// Commands that stop the tasks of cancelled jobs on the machine. Every reply that renews the
@@ -32,7 +33,7 @@
 
   void add_clears(const state::Machine& machine, Commands& commands);
   static void add_stop(state::Task& task, double now, Commands& commands);
-  /// Whether the machine may be told now to run the task (rule 1).
+  /// Whether a command to run the task may be sent to the machine now (rule 1).
   [[nodiscard]] bool run_due(const state::Task& task, const state::Machine& machine);
   [[nodiscard]] bool may_clear(const state::TaskAttempt& exited);
 
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Seconds. Pause between two synchronizing RPCs to one machine, and the time for
-/// which the reply to its heartbeat is taken to be on its way.
+/// which the reply to its heartbeat is assumed to be in transit.
 constexpr double kSynchronizationPause = 1;
 
 /// Whether the commands start or stop a task. Commands that clear exited tasks do neither.
@@ -26,7 +26,7 @@
   });
 }
 
-/// Whether a task on the machine waits to be started or stopped.
+/// Whether a task on the machine has yet to be started or stopped.
 bool awaits_commands(const state::Machine& machine) {
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const state::Task* task) {
     const bool awaits_start = !task->in_last_heartbeat() && !task->job->cancelled;
@@ -57,8 +57,8 @@
   std::vector<wire::WorkerCommand> commands;
   if (machine.rpc_in_flight) {
     // The reply to the RPC would not show the effect of commands in this reply (rule 2). Only
-    // cancelled tasks are stopped both ways, because this reply renews their lease and an RPC can
-    // hang (docs/design.md, rule 8).
+    // cancelled tasks are stopped over both channels, because this reply renews their lease and an
+    // RPC can hang (docs/design.md, rule 8).
     machine.reply_carried_commands = false;
     commands = CommandComposer::cancellations(machine);
   } else {
@@ -140,9 +140,9 @@
   if (!replied) {
     machine->rpc_backoff_until = now + k::kCommandRpcBackoff;
     // The commands may still be carried out, minutes later. From now on every
-    // message to the machine carries a higher token, which makes them void. Until
-    // the machine has shown that token, nothing that they name is assigned to
-    // another machine (docs/design.md, rule 3).
+    // message to the machine carries a higher token, which voids them. Until a
+    // heartbeat carries that token, no task that they name is assigned to another
+    // machine (docs/design.md, rule 3).
     if (result.outcome == Outcome::unknown && carried_commands) context_.fencing.raise(*machine);
     return;
   }
--- a/src/dispatch/command_dispatcher.hpp
+++ b/src/dispatch/command_dispatcher.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// Delivers commands to workers, with the replies to their heartbeats or by RPCs
-/// straight to their addresses.
+/// Delivers commands to workers, in the replies to their heartbeats or by RPCs
+/// directly to their addresses.
 ///
-/// Only one way is used at a time (docs/design.md, rule 2): while an RPC is in
-/// flight, a reply only renews the lease, and after a reply that starts or stops
-/// tasks nothing is sent until the next heartbeat. Runs on the controller's event loop.
+/// Only one of the two channels is used at a time (docs/design.md, rule 2): while an
+/// RPC is in flight, a reply only renews the lease and stops cancelled tasks, and after
+/// a reply that starts or stops tasks no command is sent until the next heartbeat. Runs on the
+/// controller's event loop.
 #pragma once
 
 #include <functional>
@@ -22,19 +23,19 @@
 
 namespace elmstall::dispatch {
 
-/// Sends commands to all machines, and keeps to one way at a time for each of them.
+/// Sends commands to all machines, over one channel at a time for each machine.
 class CommandDispatcher {
  public:
-  /// What the dispatcher works with. The references have to outlive it.
+  /// Dependencies of the dispatcher. The references have to outlive it.
   struct Context {
     const runtime::EventLoop& event_loop;          ///< clock
     runtime::CommandQueue& queue;                  ///< runs the callbacks, one after the other
     clients::WorkerRpc& worker_rpc;                ///< sends command RPCs to workers
-    const election::LeaderLease& lease;            ///< says whether replies and starts are allowed
+    const election::LeaderLease& lease;            ///< whether replies and starts are allowed
     state::Model& model;                           ///< the leader's model of jobs and machines
     reconcile::Fencing& fencing;                   ///< fencing tokens of this term
-    reconcile::HeartbeatReader& heartbeat_reader;  ///< takes in the status that an RPC returns
-    CommandComposer& composer;                     ///< says which commands are due
+    reconcile::HeartbeatReader& heartbeat_reader;  ///< applies the status that an RPC returns
+    CommandComposer& composer;                     ///< composes the commands that are due
   };
 
   /// Keeps the context; sends nothing yet.
@@ -43,19 +44,20 @@
   /// Replies to a heartbeat that was just read, which renews the worker's lease.
   void reply(state::Machine& machine, const net::Responder& respond);
   /// Replies to a heartbeat that was received after the newer reply to a command RPC. The reply
-  /// renews the lease, and commands nothing but the end of cancelled tasks.
+  /// renews the lease, and its only commands are those that stop cancelled tasks.
   void reply_to_outdated(state::Machine& machine, const net::Responder& respond);
 
   /// Notes that the model may have changed, so that commands may be due.
   void mark_due() { due_ = true; }
-  /// Sends what is due to machines that should not wait for their next heartbeat.
+  /// Sends due commands by RPC to machines that should not wait for their next heartbeat.
   void deliver();
   /// After a takeover: sends empty RPCs with the new token, some each time, so that
   /// machines become synchronized before their next heartbeat (rule 3).
   void synchronize_machines();
 
  private:
-  /// Logs which commands were allowed, and on what knowledge, at debug level.
+  /// Logs the commands at debug level, with the age of the records that they are based on.
+  /// `channel`: how they are sent.
   void log_commands(const state::Machine& machine, const std::vector<wire::WorkerCommand>& commands,
                     std::string_view channel) const;
   [[nodiscard]] bool rpc_possible(const state::Machine& machine) const;
