--- a/src/autoscaler/demand_estimator.cpp
+++ b/src/autoscaler/demand_estimator.cpp
@@ -62,7 +62,7 @@
 bool DemandEstimator::counts_as_arrival(const state::Job& job,
                                         const wire::MachineType& machine_type) const {
   // Jobs taken over from a former leader did not arrive just now, and right after a takeover users
-  // catch up with submissions that were refused before. Neither shows the usual rate.
+  // repeat submissions that were refused before. Neither represents the usual arrival rate.
   return job.spec.spot && urgent(job, machine_type) && job.serial > newest_counted_serial_ &&
          job.submitted > term_start_.at + k::kArrivalSettle;
 }
@@ -95,7 +95,7 @@
                                         sched::ArrivalRate& arrivals, double machines_freed,
                                         double now) const {
   // After a takeover the arrival rate is not known at first. Work that ends must then not be
-  // subtracted either, because nothing would stand for the work that replaces it.
+  // subtracted either, because the work that replaces it is not counted.
   const bool rate_known =
       term_start_.first_term() || now > term_start_.at + k::kArrivalSettle + k::kArrivalLearn;
   if (!rate_known) return 0;
--- a/src/autoscaler/demand_estimator.hpp
+++ b/src/autoscaler/demand_estimator.hpp
@@ -2,8 +2,9 @@
 /// Estimates how many machines of a type the jobs will need one boot time from now.
 ///
 /// A machine that is provisioned now can serve only the demand of one boot time later. The demand
-/// of flexible work is therefore taken as what is there, plus what arrives within a boot time at
-/// the measured rate, less what will have ended by then ("Fleet size" in docs/design.md).
+/// of flexible work is therefore the present work, plus the work that arrives within a boot time at
+/// the recent arrival rate, less the work that will have ended by then ("Fleet size" in
+/// docs/design.md).
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 
 namespace elmstall::autoscaler {
 
-/// Runs on the controller's event loop.
+/// Estimates the demand for each machine type. Runs on the controller's event loop.
 class DemandEstimator {
  public:
   /// `term_start`: when the present leadership began. The references have to outlive this object.
--- a/src/autoscaler/fleet_autoscaler.cpp
+++ b/src/autoscaler/fleet_autoscaler.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Ratio. After a takeover this many times the list's lag passes before machines are provisioned:
-/// the list then shows what the former leader provisioned last (rule 9).
+/// the list then contains the machines that the former leader provisioned last (rule 9).
 constexpr double kTakeoverListLags = 2;
 
 }  // namespace
@@ -50,7 +50,7 @@
 bool FleetAutoscaler::fleet_fully_known(double now) const {
   if (!machine_list_.read_once()) return false;
   // Machines that a former leader provisioned a moment ago show up in the list only after its
-  // lag. Provisioning before that would buy them twice.
+  // lag. Provisioning before that would duplicate them.
   const double wait = term_start_.first_term() ? 0 : kTakeoverListLags * settings_.list_lag_s;
   return now >= term_start_.at + wait;
 }
--- a/src/autoscaler/fleet_autoscaler.hpp
+++ b/src/autoscaler/fleet_autoscaler.hpp
@@ -20,7 +20,7 @@
 
 namespace elmstall::autoscaler {
 
-/// Part of the leader, runs on the controller's event loop. Each step is a unit of its own; this
+/// Part of the leader; runs on the controller's event loop. Each step has a class of its own; this
 /// class owns them and calls them in order.
 class FleetAutoscaler {
  public:
--- a/src/autoscaler/health_review.cpp
+++ b/src/autoscaler/health_review.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Ratio. When more than one in this many machines is affected by the same trouble, the trouble
-/// is taken for a network partition.
+/// Ratio. When more than one in this many machines is affected by the same problem, the cause
+/// is assumed to be a network partition.
 constexpr std::size_t kPartitionRatio = 3;
 /// Leases. How long past the end of its lease a single silent machine is kept, in case its
 /// heartbeats are only late.
@@ -22,9 +22,9 @@
 /// cut off would lose all their work.
 constexpr double kPartitionExtraLeases = 4;
 /// Ratio. A silent machine that is not on the cloud's list counts as gone only when it has been
-/// silent for this many times the list's lag, so that a list that is merely late is not believed.
+/// silent for this many times the list's lag, because the list may be outdated.
 constexpr double kListLagFactor = 2;
-/// Seconds. Added to that, for timer steps.
+/// Seconds. Added to that time, to allow for timer steps.
 constexpr double kListLagMargin = 1;
 
 /// Whether so many machines are affected at once that the network is the likely cause.
@@ -80,12 +80,12 @@
   const auto* machine_type = model_.machine_type(machine.type);
   if (machine_type == nullptr || !machine.tasks.empty()) return;
   const double boot_timeout = k::kBootGiveUp * machine_type->ready_s;
-  // A machine adopted from a former leader may have been up for long and may only not have found
+  // A machine provisioned by a former leader may have been up for long without having contacted
   // this leader yet. It therefore also gets the length of a lease, counted from the takeover.
   const double waiting_since =
       std::max(machine.provisioned_at, takeover_at_ + settings_.lease_over_s() - boot_timeout);
   if (now - waiting_since <= boot_timeout) return;
-  spdlog::info("machine {} did not come up, returning it", machine.id);
+  spdlog::info("machine {} sent no first heartbeat in time; deleting it", machine.id);
   terminations_.mark(machine);
 }
 
--- a/src/autoscaler/health_review.hpp
+++ b/src/autoscaler/health_review.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// Decides which machines have to be deleted because something is wrong with them: they have
-/// failed, are quarantined, never came up, have fallen silent, or do not follow commands.
+/// Decides which machines have to be deleted because they are faulty: they have failed, are
+/// quarantined, sent no first heartbeat in time, stopped sending heartbeats (silent), or show no
+/// effect of commands (unresponsive).
 ///
-/// One machine that falls silent is most likely dead. When many fall silent at once, the cause is
-/// most likely a network partition, and deleting them would turn an interruption into a loss of
-/// all their work. So the review first counts and only then decides.
+/// A single machine that becomes silent has most likely failed. When many become silent at once,
+/// the cause is most likely a network partition, and deleting them would lose all their work. So
+/// the review first counts the machines affected and only then decides.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +19,7 @@
 
 namespace elmstall::autoscaler {
 
-/// Runs on the controller's event loop.
+/// Reviews the health of all machines. Runs on the controller's event loop.
 class HealthReview {
  public:
   /// `takeover_at`: when this leader's term began, in seconds on the event loop's steady clock.
--- a/src/autoscaler/machine_list.cpp
+++ b/src/autoscaler/machine_list.cpp
@@ -61,7 +61,7 @@
   if (entry.state == wire::CloudMachine::State::failed && !machine.reported_failed) {
     // A failed machine never comes back, so this holds however late the list is (rule 6).
     machine.reported_failed = true;
-    spdlog::info("machine {} failed, as the cloud lists it", machine.id);
+    spdlog::info("machine {} is listed as failed by the cloud", machine.id);
     machine_lost_(machine);
   }
 }
--- a/src/autoscaler/machine_list.hpp
+++ b/src/autoscaler/machine_list.hpp
@@ -1,9 +1,9 @@
 /// @file
 /// Reads the cloud's list of machines, page by page, and applies it to the model.
 ///
-/// The list lags behind by up to `Settings::list_lag_s`. It therefore proves little: a machine
-/// may be listed although it has been deleted, or missing although it was provisioned a moment
-/// ago. The only lasting fact that it shows is that a machine has failed (rule 6).
+/// The list lags behind by up to `Settings::list_lag_s`. A machine may therefore
+/// be listed although it has been deleted, or missing although it was provisioned a moment ago.
+/// Only the state `failed` is final and can be relied on (rule 6).
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace elmstall::autoscaler {
 
-/// Runs on the controller's event loop.
+/// Polls the cloud's machine list. Runs on the controller's event loop.
 class MachineList {
  public:
   /// `machine_lost` is called once for each machine that the cloud lists as failed: its tasks
@@ -36,7 +36,7 @@
   void request_page_after(const std::string& last_id);
   /// Applies a list of which all pages were read.
   void apply_list();
-  /// Applies one entry of the list. Machines unknown so far are adopted.
+  /// Applies one entry of the list. Machines that are not in the model yet are added.
   void apply_entry(const wire::CloudMachine& entry, double now);
 
   runtime::EventLoop& loop_;
--- a/src/autoscaler/pool_survey.hpp
+++ b/src/autoscaler/pool_survey.hpp
@@ -12,7 +12,7 @@
 namespace elmstall::autoscaler {
 
 /// The pools of one machine type, ordered by the site's order of zones and, within a zone,
-/// ordinary before spot. Machines that take no more work are not counted: those that are
+/// ordinary before spot. Machines that get no more tasks are not counted: those that are
 /// terminating, quarantined, failed, about to be interrupted, or silent.
 /// `now`: seconds on the event loop's steady clock.
 [[nodiscard]] std::vector<sched::Pool> survey_pools(const wire::MachineType& machine_type,
--- a/src/autoscaler/provisioning.cpp
+++ b/src/autoscaler/provisioning.cpp
@@ -42,8 +42,8 @@
 }
 
 void Provisioning::scale_out(const PoolKey& pool, int machines) {
-  // A fleet that has far to grow sends many requests at once: a machine that is requested later
-  // also boots later.
+  // Requests are spread over several rounds only where the rate limit requires it: a machine that
+  // is requested later also boots later.
   while (machines > 0 && requests_left_ >= 1) {
     const Request request{pool, next_request_name(),
                           std::min(machines, k::kMaxMachinesPerProvision)};
--- a/src/autoscaler/provisioning.hpp
+++ b/src/autoscaler/provisioning.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Sends provision requests to the cloud: names them, paces them, repeats those that stayed
-/// without an answer, and backs off from pools without capacity.
+/// Sends provision requests to the cloud: names them, limits their rate, retries those without an
+/// answer, and backs off from pools without capacity.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace elmstall::autoscaler {
 
-/// Runs on the controller's event loop.
+/// Provisions machines for pools. Runs on the controller's event loop.
 class Provisioning {
  public:
   /// `term`: the leader's term, part of the name of every request (rule 9).
@@ -23,18 +23,18 @@
                runtime::CommandQueue& queue, clients::Cloud& cloud, state::Model& model,
                std::uint64_t term);
 
-  /// Starts a new round of decisions: grants the number of requests that may be sent in it, so
+  /// Starts a new round of decisions: sets the number of requests that may be sent in it, so
   /// that the cloud's rate limit leaves room for lists and deletions.
   void begin_round();
 
   /// Requests `machines` more machines of the pool, in as many requests as that takes. Stops when
-  /// the round's requests are used up; a later round asks for what is still missing.
+  /// the round's requests are used up; a later round requests the machines still missing.
   void scale_out(const PoolKey& pool, int machines);
 
   /// Machines requested from the pool for which the cloud has not answered yet.
   [[nodiscard]] int pending_machines(const PoolKey& pool) const;
 
-  /// Whether the pool had no capacity so recently that it should not be asked again at `now`
+  /// Whether the pool had no capacity so recently that it should not be tried again at `now`
   /// (seconds on the event loop's steady clock).
   [[nodiscard]] bool backing_off(const PoolKey& pool, double now) const;
 
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -23,13 +23,13 @@
       continue;
     if (!update_idle_since(*machine, now)) continue;
     int& surplus_of_kind = machine->spot ? surplus.spot : surplus.ordinary;
-    // Work that waits for machines of another zone is no reason to keep this one. On the contrary:
-    // the cloud may only have capacity there once machines that stand idle here are returned.
+    // Work that waits for machines of another zone does not need this one, and the cloud may have
+    // no capacity there until idle machines elsewhere are deleted.
     int& returnable = surplus_of_kind > 0 ? surplus_of_kind : zone_plan.unobtainable_machines;
     if (reserve_for_zone(*machine, zone_plan)) continue;
     if (returnable <= 0 || now - machine->idle_since < idle_timeout) continue;
     --returnable;
-    spdlog::info("machine {} idle, returning it", machine->id);
+    spdlog::info("machine {} is idle; deleting it", machine->id);
     terminations_.mark(*machine);
   }
 }
--- a/src/autoscaler/scale_in.hpp
+++ b/src/autoscaler/scale_in.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Returns idle machines that the fleet does not need any more.
+/// Deletes idle machines that the fleet does not need any more.
 #pragma once
 
 #include <vector>
@@ -11,25 +11,26 @@
 
 namespace elmstall::autoscaler {
 
-/// Runs on the controller's event loop.
+/// Marks surplus idle machines for deletion. Runs on the controller's event loop.
 class ScaleIn {
  public:
   /// All arguments have to outlive this object.
   ScaleIn(const config::Settings& settings, state::Model& model, Terminations& terminations);
 
   /// Marks idle machines of the type for deletion: as many as the pools have beyond the demand,
-  /// and as many again as work bound to other zones is missing there. Machines that such work
-  /// waits for are kept. `now`: seconds on the event loop's steady clock.
+  /// and beyond that as many as zone-bound work lacks in zones without capacity.
+  /// Machines that zone-bound work waits for are kept. `now`: seconds on the event loop's steady
+  /// clock.
   void run(const wire::MachineType& machine_type, const std::vector<sched::Pool>& pools,
            const sched::Demand& demand, ZonePlan zone_plan, double now);
 
  private:
   /// Seconds for which an idle machine of the type is kept.
   [[nodiscard]] double idle_timeout_s(const wire::MachineType& machine_type) const;
-  /// Brings the machine's `idle_since` up to date. True when it is idle.
+  /// Updates the machine's `idle_since`. Returns whether the machine is idle.
   static bool update_idle_since(state::Machine& machine, double now);
   /// Keeps the machine for work that waits for its zone, unless that work has enough already.
-  /// True when it is kept.
+  /// Returns whether it is kept.
   static bool reserve_for_zone(const state::Machine& machine, ZonePlan& zone_plan);
 
   const config::Settings& settings_;
--- a/src/autoscaler/terminations.cpp
+++ b/src/autoscaler/terminations.cpp
@@ -52,7 +52,7 @@
 void Terminations::on_reply(const std::vector<std::string>& machine_ids, bool confirmed) {
   in_flight_ = false;
   if (!confirmed) {
-    // The machines stay marked, so a later batch takes them again.
+    // The machines stay marked, so a later batch contains them again.
     next_request_at_ = loop_.now() + k::kAutoscaleInterval;
     return;
   }
@@ -62,7 +62,7 @@
 void Terminations::remove_deleted(const std::string& machine_id) {
   auto* machine = model_.find_machine(machine_id);
   if (machine == nullptr) return;
-  spdlog::info("machine {} returned", machine_id);
+  spdlog::info("machine {} deleted", machine_id);
   machine_lost_(*machine);
   model_.remove_machine(machine_id);
 }
--- a/src/autoscaler/terminations.hpp
+++ b/src/autoscaler/terminations.hpp
@@ -13,11 +13,12 @@
 
 namespace elmstall::autoscaler {
 
-/// Runs on the controller's event loop. At most one request is in flight at a time.
+/// Sends deletion requests to the cloud, at most one at a time. Runs on the controller's event
+/// loop.
 class Terminations {
  public:
   /// `machine_lost` is called for each machine whose deletion the cloud has confirmed, before
-  /// the model forgets the machine: its tasks are certainly gone (rule 6).
+  /// the machine is removed from the model: its tasks are certainly gone (rule 6).
   Terminations(runtime::EventLoop& event_loop, runtime::CommandQueue& queue, clients::Cloud& cloud,
                state::Model& model, std::function<void(state::Machine&)> machine_lost);
 
@@ -30,7 +31,7 @@
   void send_if_due(double now);
 
  private:
-  /// The marked machines that the next request takes.
+  /// The marked machines that the next request names.
   [[nodiscard]] std::vector<std::string> next_batch() const;
   void on_reply(const std::vector<std::string>& machine_ids, bool confirmed);
   void remove_deleted(const std::string& machine_id);
--- a/src/autoscaler/zone_planner.cpp
+++ b/src/autoscaler/zone_planner.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// Machines. Sums of shares of machines are off in the last digits; a shortage below this is none.
+/// Machines. Smaller shortages are ignored, because sums of shares of machines have rounding
+/// errors.
 constexpr double kRoundingSlack = 1e-6;
 
 /// The first pool of the zone that the demand may use and that may have capacity.
@@ -59,7 +60,7 @@
   const auto& zones = zones_of(machine_type, settings_);
   std::map<std::string, ZoneDemand> demand;
   for (const auto& [id, job] : model_.jobs()) {
-    // A job that was submitted a moment ago may still find room on the machines that are there.
+    // The tasks of a job that was just submitted may still fit on existing machines.
     const bool just_submitted = now - job->submitted < k::kZonePatience;
     if (job->cancelled || job->failed_until > now || just_submitted) continue;
     const auto required = required_zones(*job, zones);
--- a/src/autoscaler/zone_planner.hpp
+++ b/src/autoscaler/zone_planner.hpp
@@ -2,8 +2,8 @@
 /// Plans machines for work that may run in certain zones only.
 ///
 /// The size of the fleet follows the sum of all demand, but a machine in one zone is of no use to
-/// work that may only run in another. This unit finds the zones where such work waits, and how
-/// many machines are missing there.
+/// work that may only run in another. The planner finds the zones where such work waits, and
+/// how many machines are missing there.
 #pragma once
 
 #include <map>
@@ -24,14 +24,15 @@
   bool spot_allowed = true;  ///< all of the work may use spot machines
 };
 
-/// What is to be done for the work that is bound to zones, for one machine type.
+/// Demand and missing machines of the work that is bound to zones, for one machine type.
 struct ZonePlan {
   std::map<std::string, ZoneDemand> demand;  ///< by zone, of the zones where work waits
   std::vector<PoolScaleOut> scale_outs;      ///< missing machines that can be provisioned
   int unobtainable_machines = 0;  ///< missing machines of which every pool is without capacity
 };
 
-/// Runs on the controller's event loop. Keeps no state between calls.
+/// Finds missing machines by zone. Runs on the controller's event loop; keeps no state between
+/// calls.
 class ZonePlanner {
  public:
   /// All arguments have to outlive this object.
