--- a/src/placement/direct_placement.hpp
+++ b/src/placement/direct_placement.hpp
@@ -26,12 +26,12 @@
         preemption_(preemption),
         gangs_(gangs) {}
 
-  /// Takes all open jobs of these kinds one step further, by precedence and then by age. Jobs with
+  /// Advances all open jobs of these kinds by one step, by precedence and then by age. Jobs with
   /// nothing left to place are no longer open afterwards.
   void place_open_jobs(double now);
 
  private:
-  /// What is to become of a job in the set of open jobs.
+  /// Whether a job remains in the set of open jobs.
   enum class Progress : std::uint8_t { still_open, nothing_to_place };
 
   [[nodiscard]] std::vector<state::Job*> open_jobs_by_precedence(double now);
--- a/src/placement/eligibility.hpp
+++ b/src/placement/eligibility.hpp
@@ -14,7 +14,7 @@
 
 /// Whether new tasks may be assigned to the machine now: it is synchronized (rule 3), responsive,
 /// recorded (rule 7), neither quarantined nor about to be terminated or interrupted, free of
-/// tasks of unknown jobs, and was heard of recently.
+/// tasks of unknown jobs, and has sent a heartbeat recently.
 [[nodiscard]] bool is_usable(const state::Machine& machine, double now,
                              const config::Settings& settings);
 
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -47,7 +47,7 @@
 bool GangAttempts::is_committed(state::Job& job) {
   auto& gang = job.gang;
   if (gang.committed) return true;
-  // All tasks are looked at until they are committed; from then on the result is remembered.
+  // All tasks are checked until they are committed; from then on the result is cached.
   const auto tasks = load_gang_tasks(model_, job);
   gang.committed = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
     return task->may_be_on_machine() && task->attempt() == gang.attempt &&
@@ -61,19 +61,19 @@
   if (std::all_of(tasks.begin(), tasks.end(), is_running))
     return change_gang_state(job, GangState::running, now);
   if (std::none_of(tasks.begin(), tasks.end(), is_lost)) return;
-  if (job.on_machines == 0) return end(job, "all its tasks are gone", now);
-  // A gang whose tasks have begun to run, or were told to end, can't take a replacement any more.
-  // Its remaining tasks are ended to make room for the next attempt.
-  if (job.gang.broken) return end(job, "a task is gone", now);
+  if (job.on_machines == 0) return end(job, "all its tasks were lost", now);
+  // A gang whose tasks have begun to run, or were told to end, accepts no replacement. Its
+  // remaining tasks are ended to make room for the next attempt.
+  if (job.gang.broken) return end(job, "a task was lost", now);
   if (others_still_waiting(job)) return replace_lost_tasks(job, with_room, now);
-  if (!time_for_replacement(job, kNoFetch, now)) end(job, "it can't be completed", now);
+  if (!time_for_replacement(job, kNoFetch, now)) end(job, "lost tasks not replaceable", now);
 }
 
 // --- replacement of lost tasks ---------------------------------------------------------------
 
 bool GangAttempts::others_still_waiting(state::Job& job) const {
-  // Heartbeats show the past. Therefore each of the other tasks must have been seen waiting in
-  // a heartbeat that was sent after the machine was told to run it.
+  // A heartbeat shows an earlier state. Therefore each of the other tasks must have been reported
+  // as waiting in a heartbeat that was sent after the machine was told to run it.
   const auto tasks = load_gang_tasks(model_, job);
   return std::all_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
     if (!task->may_be_on_machine() || !task->run_sent()) return true;
@@ -116,17 +116,17 @@
   if (now < gang.tried_at + constants::kGangRetryInterval) return;
   gang.tried_at = now;
   const auto lost_tasks = load_pending_gang_tasks(model_, job);
-  if (!time_for_replacement(job, kNoFetch, now)) return end(job, "time is short", now);
+  if (!time_for_replacement(job, kNoFetch, now)) return end(job, "too late to replace", now);
   for (auto* task : lost_tasks) {
     if (task->not_before() > now) return;
     auto* machine = machine_for_replacement(job, with_room, now);
     if (machine == nullptr) return;
-    spdlog::info("gang {}: task {} starts again on machine {}", job.id, task->index, machine->id);
+    spdlog::info("gang {}: task {} is replaced on machine {}", job.id, task->index, machine->id);
     model_.assign(*task, *machine, gang.attempt);
   }
 }
 
-// --- the end ---------------------------------------------------------------------------------
+// --- end of an attempt -----------------------------------------------------------------------
 
 void GangAttempts::end(state::Job& job, const char* reason, double now) {
   spdlog::info("gang {} ends attempt {}: {}", job.id, job.gang.attempt, reason);
--- a/src/placement/gang_attempts.hpp
+++ b/src/placement/gang_attempts.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The life of a gang's attempt: it starts, loses and replaces tasks while it is starting, ends,
-/// and completes. All tasks of one attempt share its number. Runs on the controller's event loop;
-/// times are seconds of its steady clock.
+/// The attempts of gangs: starting one, replacing tasks that are lost while it starts, ending it,
+/// and completing it. All tasks of one attempt share its number. Runs on the controller's event
+/// loop; times are seconds of its steady clock.
 #pragma once
 
 #include <vector>
@@ -12,7 +12,7 @@
 
 namespace elmstall::placement {
 
-/// Carries attempts from their start to their end.
+/// Starts, supervises and ends attempts.
 class GangAttempts {
  public:
   /// All arguments have to outlive this object.
@@ -23,8 +23,8 @@
   /// places.
   void start(state::Job& job, const std::vector<state::Task*>& tasks, const GangPlaces& places,
              double now);
-  /// Looks after an attempt in state `starting`: it is running once all its tasks run; tasks that
-  /// were lost are replaced, or else the attempt ends.
+  /// Advances an attempt in state `starting`: it is running once all its tasks run; lost tasks are
+  /// replaced, or else the attempt ends.
   void advance_start(state::Job& job, const state::MachineSet& with_room, double now);
   /// Whether machines may be told to run the attempt's tasks: the assignments of all of them are
   /// committed (rule 1).
@@ -41,7 +41,7 @@
   /// Whether lost tasks may be assigned anew under the same attempt.
   [[nodiscard]] bool others_still_waiting(state::Job& job) const;
   /// Whether a replacement that needs `fetch_s` seconds for the image can join the other tasks
-  /// before these give up waiting.
+  /// before their wait times out.
   [[nodiscard]] bool time_for_replacement(const state::Job& job, double fetch_s, double now) const;
   /// Seconds to allow for fetching the job's image on the machine.
   [[nodiscard]] double fetch_time_s(const state::Job& job, const state::Machine& machine) const;
--- a/src/placement/gang_candidates.cpp
+++ b/src/placement/gang_candidates.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Tasks. Bound of the slots counted on one machine, because the smallest task may need next to
-/// nothing.
+/// Slots. Limit of the slots counted on one machine, because the smallest task may need hardly
+/// any resources.
 constexpr std::size_t kMaxCountedSlots = 1000;
 /// Slots. What it costs to put the first task on an empty machine: half a slot, so that it decides
 /// only between machines that are otherwise alike.
@@ -66,8 +66,8 @@
   candidate.avoid = job.gang.avoided.contains(machine.id);
   candidate.cached = machine.caches(job.image);
   candidate.fetching = fetches_other_image(job, machine);
-  // Gangs should leave the room that arrays and services could use to them, and should not begin
-  // to use empty machines. Therefore the slots that such work would lose count as waste.
+  // Gangs should avoid room that arrays and services could use, and should not start on empty
+  // machines. Therefore the slots that such work would lose count as waste.
   const auto taken = std::min<std::size_t>(candidate.free_slots, job.spec.tasks);
   const auto room_left = room - job.need * static_cast<double>(taken);
   const double slots_left = slots_of_smallest_task(room_left);
@@ -148,7 +148,7 @@
                       const GangCandidates& candidates, double now) {
   if (!job.spec.together || job.spec.zone) return;
   auto& gang = job.gang;
-  // A new choice after each look would provision some machines in every zone and enough in none.
+  // A new choice in each round would provision some machines in every zone and enough in none.
   if (!job.zone_choice.empty() && now < gang.zone_chosen_at + constants::kGangZonePatience) return;
   auto zone = sched::zone_with_most_room(candidates.descriptions);
   if (zone.empty()) zone = settings.zones[job.serial % settings.zones.size()];
--- a/src/placement/gang_candidates.hpp
+++ b/src/placement/gang_candidates.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Finds machines for all tasks of a gang at once: describes the machines that come into question
-/// and hands them to the pure placement algorithm in sched/gang_placement.hpp. Runs on the
+/// Finds machines for all tasks of a gang at once: describes the candidate machines and passes
+/// them to the pure placement algorithm in sched/gang_placement.hpp. Runs on the
 /// controller's event loop; times are seconds of its steady clock.
 #pragma once
 
@@ -31,7 +31,7 @@
 /// Places for several tasks of one gang; each machine occurs once at most.
 using GangPlaces = std::vector<GangPlace>;
 
-/// Describes machines from a gang's point of view.
+/// Describes machines as candidates for the tasks of a gang.
 class GangCandidateFinder {
  public:
   /// All arguments have to outlive this object.
--- a/src/placement/gang_claims.cpp
+++ b/src/placement/gang_claims.cpp
@@ -83,7 +83,7 @@
     model_.plan(task, machine);
   });
   change_gang_state(job, GangState::claiming, now);
-  spdlog::info("gang {} takes the room of {} lesser tasks", job.id, victims.size());
+  spdlog::info("gang {} preempts {} tasks", job.id, victims.size());
   return true;
 }
 
@@ -113,7 +113,7 @@
     return;
   reservation_ = job.serial;
   change_gang_state(job, GangState::claiming, now);
-  spdlog::info("gang {} of {} tasks keeps what room there is", job.id, task_count);
+  spdlog::info("gang {} of {} tasks reserves the free room", job.id, task_count);
 }
 
 void GangClaims::extend_reservation(state::Job& job, const std::vector<state::Task*>& tasks,
--- a/src/placement/gang_claims.hpp
+++ b/src/placement/gang_claims.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Claims of gangs: places that are planned for a gang's tasks before an attempt starts there. A
-/// claim holds places for all tasks while preempted work leaves. A reservation is a claim that
-/// holds the places there are, though they do not suffice yet; at most one gang has one at a time.
-/// Nothing of a claim is recorded. Runs on the controller's event loop; times are seconds of its
+/// claim holds places for all tasks until the preempted tasks have ended. A reservation is a claim
+/// that holds the free places, though there are too few yet; at most one gang has one at a time.
+/// Claims are not recorded. Runs on the controller's event loop; times are seconds of its
 /// steady clock.
 #pragma once
 
@@ -28,18 +28,18 @@
         attempts_(attempts) {}
 
   /// Starts a new round of decisions, with a new budget of searches. The places of the reservation
-  /// are given up until its gang's turn comes, so that work of higher precedence chooses first.
+  /// are released until its gang is considered, so that work of higher precedence is placed first.
   void begin_round();
-  /// Claims places for all tasks of the gang by preempting lesser work; false if that is not
-  /// possible, or not to be tried now.
+  /// Claims places for all tasks of the gang by preempting other work; false if that is not
+  /// possible, or no search may be made now.
   bool claim_by_preemption(state::Job& job, const std::vector<state::Task*>& tasks, double now);
   /// Gives the reservation to the gang if it has waited long enough and the reservation is free.
   void reserve(state::Job& job, std::size_t task_count, const GangCandidates& candidates,
                double now);
-  /// Takes a gang in state `claiming` one step further: it starts when all its places have become
-  /// free, and gives its claim up when that takes too long or a place is lost.
+  /// Advances a gang in state `claiming` by one step: it starts when all its places have become
+  /// free, and its claim is released when that takes too long or a place is lost.
   void advance(state::Job& job, const state::MachineSet& with_room, double now);
-  /// Forgets the reservation if it belongs to this gang.
+  /// Ends the reservation if it belongs to this gang.
   void release_reservation(const state::Job& job);
 
  private:
@@ -49,11 +49,11 @@
   /// Whether the claim has lost a place, for example with its machine.
   [[nodiscard]] bool lost_place(const state::Job& job, const std::vector<state::Task*>& tasks,
                                 double now) const;
-  /// Whether the preempted work has left all places that are planned for the tasks.
+  /// Whether the preempted tasks have ended at all places that are planned for the tasks.
   [[nodiscard]] static bool places_are_free(const std::vector<state::Task*>& tasks);
   /// Starts the gang on the places it has claimed.
   void start_on_claimed_places(state::Job& job, const std::vector<state::Task*>& tasks, double now);
-  /// Starts the gang if there is room for all its tasks, else reserves the room there is.
+  /// Starts the gang if there is room for all its tasks, else reserves the free room.
   void extend_reservation(state::Job& job, const std::vector<state::Task*>& tasks,
                           const state::MachineSet& with_room, double now);
   void plan_reserved_places(const state::Job& job, const std::vector<state::Task*>& tasks,
--- a/src/placement/gang_coordinator.cpp
+++ b/src/placement/gang_coordinator.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// Share of the time for which tasks wait for each other that is assumed to be over at a takeover.
-/// When they began to wait is not recorded.
+/// Share of `gang_wait_s`, the time for which tasks wait for each other, that is assumed to have
+/// elapsed at a takeover. The time at which they began to wait is not recorded.
 constexpr double kAssumedElapsedWaitShare = 0.5;
 
-/// Whether the machine declined to run the task, so that it never began there.
+/// Whether the machine refused the task, so that it never began there.
 bool is_refusal(EndCause cause) {
   return cause == EndCause::no_room || cause == EndCause::in_use || cause == EndCause::unknown;
 }
@@ -54,8 +54,8 @@
     gang.broken = true;
     model_.open().insert(&job);
   } else if (state == TaskState::checkpointing && !task.is_stopping()) {
-    // A former leader has told this task to stop. The other tasks must be told in time to write
-    // their checkpoints, too.
+    // A former leader has sent this task a stop command. The other tasks must receive one in time
+    // to write their checkpoints, too.
     if (gang.state == GangState::starting) change_gang_state(job, GangState::running, now);
     stop_gang(model_, job, StopMode::with_checkpoint, now, state::kNever);
   }
@@ -91,9 +91,9 @@
   auto& gang = job.gang;
   if (job.cancelled || gang.state == GangState::done || gang.completed) return;
   gang.completed = true;
-  spdlog::info("gang {} is complete by an earlier attempt", job.id);
+  spdlog::info("gang {}: an earlier attempt completed", job.id);
   if (gang.state == GangState::starting || gang.state == GangState::running)
-    return attempts_.end(job, "an earlier one completed", now);
+    return attempts_.end(job, "an earlier attempt completed", now);
   if (job.on_machines == 0 || gang.state == GangState::claiming) attempts_.complete(job, now);
 }
 
@@ -112,7 +112,7 @@
       attempts_.advance_start(job, with_room, now);
       return gang.state != GangState::running;
     case GangState::running:
-      if (!load_pending_gang_tasks(model_, job).empty()) attempts_.end(job, "a task is gone", now);
+      if (!load_pending_gang_tasks(model_, job).empty()) attempts_.end(job, "a task was lost", now);
       return gang.state != GangState::running;
     case GangState::stopping:
     case GangState::ending:
--- a/src/placement/gang_coordinator.hpp
+++ b/src/placement/gang_coordinator.hpp
@@ -1,9 +1,9 @@
 /// @file
 /// The coordinator starts, stops and ends gangs: jobs whose tasks all run at the same time or not
 /// at all. Nothing else stops, moves or starts a single task of a gang, except that a cancellation
-/// stops the tasks of any job. Places are found in gang_candidates.hpp, kept in gang_claims.hpp,
-/// and used by attempts in gang_attempts.hpp. Runs on the controller's event loop; times are
-/// seconds of its steady clock.
+/// stops the tasks of any job. gang_candidates.hpp finds places, gang_claims.hpp holds them until
+/// an attempt starts, and gang_attempts.hpp runs the attempts. Runs on the controller's event
+/// loop; times are seconds of its steady clock.
 #pragma once
 
 #include "placement/gang_attempts.hpp"
@@ -35,19 +35,19 @@
   /// Derives the gang's state from its restored tasks, after a takeover.
   void recover(state::Job& job, double now) const;
 
-  /// A heartbeat shows the task of a gang in this state.
+  /// Handles the state of a gang's task that a heartbeat has reported.
   void on_task_state(state::Task& task, wire::TaskState state, double now);
-  /// The task is certainly not on its machine any more, for this cause.
+  /// Handles the end of a task, for this cause. It is certainly no longer on its machine.
   void on_exit(state::Task& task, wire::EndCause cause, double now);
-  /// A task of the current attempt has completed, and with it the whole gang.
+  /// Handles the completion of a task of the current attempt, which completes the whole gang.
   void on_done(state::Job& job, double now);
-  /// A task of an earlier attempt has completed. Its result counts, so the gang is complete as soon
-  /// as the current attempt has ended.
+  /// Handles the completion of a task of an earlier attempt. Its result counts, so the gang is
+  /// complete as soon as the current attempt has ended.
   void on_earlier_attempt_done(state::Job& job, double now);
 
   /// Starts a new round of decisions.
   void begin_round() { claims_.begin_round(); }
-  /// Takes the gang one step further. `with_room`: the usable machines with room for the smallest
+  /// Advances the gang by one step. `with_room`: the usable machines with room for the smallest
   /// task of a gang. Returns false when there is nothing to do until one of its tasks changes.
   bool advance(state::Job& job, const state::MachineSet& with_room, double now);
 
@@ -58,7 +58,7 @@
  private:
   /// Starts a waiting gang if there is room for all its tasks, or prepares for that.
   void place(state::Job& job, const state::MachineSet& with_room, double now);
-  /// Machines that were still fetching when the others gave up are avoided from now on.
+  /// Avoids, from now on, machines that were still fetching when the wait of the others timed out.
   static void avoid_slow_machines(state::Job& job);
 
   const config::Settings& settings_;
--- a/src/placement/gang_tasks.hpp
+++ b/src/placement/gang_tasks.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What all units that deal with gangs need: the tasks of a gang, and the change of its state.
+/// Functions shared by all units that handle gangs: listing tasks and changing the gang's state.
 /// Runs on the controller's event loop; times are seconds of its steady clock.
 #pragma once
 
@@ -10,7 +10,7 @@
 namespace elmstall::placement {
 
 /// Enters the new state and logs the change. A change that the state machine does not allow is
-/// logged as an error and carried out all the same.
+/// logged as an error and made nevertheless.
 void change_gang_state(state::Job& job, state::Gang::State state, double now);
 
 /// The gang's tasks whose blocks are in memory, by block and index.
--- a/src/placement/job_queues.hpp
+++ b/src/placement/job_queues.hpp
@@ -31,9 +31,9 @@
 
   /// The group that the machine belongs to; it is created when there is none.
   [[nodiscard]] sched::Group& group_of(const state::Machine& machine);
-  /// Takes the machine's queue away; its tasks return to the inbox of the group.
+  /// Removes the machine's queue; its tasks return to the shared queue of the group.
   void remove_worker(const state::Machine& machine);
-  /// Offers tasks that had no eligible machine to those that have come meanwhile.
+  /// Moves tasks that had no eligible machine to the queues of machines added since then.
   void distribute_shared_queues();
 
   /// Puts the pending tasks of all open jobs into the queues. Jobs with nothing left to put there
@@ -57,7 +57,7 @@
   [[nodiscard]] std::size_t moved_tasks() const { return moved_tasks_; }
 
  private:
-  /// What was found when a block or a job was put into the queues.
+  /// Result of putting a block or a job into the queues.
   struct EnqueueResult {
     std::size_t pending = 0;  ///< pending tasks, whether they are queued or not
     bool complete = true;     ///< all of them are queued
--- a/src/placement/machine_index.cpp
+++ b/src/placement/machine_index.cpp
@@ -38,7 +38,7 @@
 
 void MachineIndex::update(double now) {
   // Some conditions, such as a machine's silence, change with time alone. Therefore all machines
-  // are looked at from time to time, besides those that have changed.
+  // are examined periodically, besides those that have changed.
   if (now >= next_review_) {
     next_review_ = now + constants::kReviewInterval;
     model_.refresh_least_need();
--- a/src/placement/machine_index.hpp
+++ b/src/placement/machine_index.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Index of the usable machines that have room for more tasks, and the link between machines and
-/// the queues of their groups. Only machines whose state has changed are looked at, and all of
+/// the queues of their groups. Only machines whose state has changed are examined, and all of
 /// them once per `constants::kReviewInterval`. Runs on the controller's event loop.
 #pragma once
 
@@ -12,14 +12,14 @@
 
 namespace elmstall::placement {
 
-/// Knows which machines can receive tasks now.
+/// The machines that can receive tasks now.
 class MachineIndex {
  public:
   /// All arguments have to outlive this object.
   MachineIndex(const config::Settings& settings, state::Model& model, JobQueues& queues)
       : settings_(settings), model_(model), queues_(queues) {}
 
-  /// Looks again at all machines that have changed since the last call. `now` is in seconds of
+  /// Examines all machines that have changed since the last call. `now` is in seconds of
   /// the steady clock.
   void update(double now);
   /// Takes the machine out of the index; its queue returns to its group. To be called before the
@@ -34,7 +34,7 @@
   }
   /// The machines with room, in the order in which queued tasks should fill them.
   [[nodiscard]] std::vector<state::Machine*> in_filling_order() const;
-  /// Machines looked at by `update` so far: a measure of the cost of decisions.
+  /// Machines examined by `update` so far: a measure of the cost of decisions.
   [[nodiscard]] std::size_t machines_examined() const { return machines_examined_; }
 
  private:
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -28,8 +28,8 @@
   starter_.start_where_cached(now);
   starter_.start_on_machines_with_room(now);
   preemption_.preempt_for_queued(now);
-  // The decisions have changed the room on machines. The index and the queues show that at once, so
-  // that no reader gets outdated figures between two rounds.
+  // The decisions have changed the room on machines. The index and the queues are updated at once,
+  // so that no reader gets outdated figures between two rounds.
   machines_.update(now);
 }
 
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -50,7 +50,7 @@
   }
   /// Tasks that equation (1) has moved between machines so far.
   [[nodiscard]] std::size_t moved_tasks() const { return queues_.moved_tasks(); }
-  /// Machines looked at so far: what decisions cost, for tests and metrics.
+  /// Machines examined so far: the cost of decisions, for tests and metrics.
   [[nodiscard]] std::size_t machines_examined() const {
     return machines_.machines_examined() + starter_.machines_examined();
   }
--- a/src/placement/preemption.hpp
+++ b/src/placement/preemption.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <vector>
 
-// Callers outside the package find `stop_task` by this header.
+// Callers outside the package get `stop_task` through this header.
 #include "placement/task_stop.hpp"
 #include "state/model.hpp"
 
@@ -27,8 +27,8 @@
 /// of a gang the work of all its tasks counts.
 [[nodiscard]] double lost_work_s(const state::Task& victim, double now);
 
-/// The tasks on the machine that lose the least work and whose end leaves room for `need`. Empty
-/// when the job may not preempt enough there.
+/// The tasks on the machine that lose the least work and whose end leaves room for `need`. No
+/// value if the job may not preempt enough there.
 [[nodiscard]] std::optional<std::vector<state::Task*>> choose_victims(const state::Job& job,
                                                                       const state::Machine& machine,
                                                                       const sched::Amount& need,
--- a/src/placement/preemption_search.cpp
+++ b/src/placement/preemption_search.cpp
@@ -48,7 +48,7 @@
 }
 
 void PreemptionSearch::assign_planned(double now) {
-  // The loop changes the set of planned tasks, so it walks through a copy.
+  // The loop changes the set of planned tasks, so it iterates over a copy.
   const auto planned = model_.planned();
   for (auto* task : planned) {
     const auto& job = *task->job;
--- a/src/placement/preemption_search.hpp
+++ b/src/placement/preemption_search.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Makes room for one task of a job by preempting lesser work: finds the best machine, stops the
+/// Makes room for one task of a job by preempting other work: finds the best machine, stops the
 /// victims there, and plans the task on the machine until the room is free. Gangs have a search of
 /// their own, see gang_claims.hpp. Runs on the controller's event loop; times are seconds of its
 /// steady clock.
@@ -38,11 +38,11 @@
   /// Assigns the tasks planned before for which the room has become free. Tasks whose machine is
   /// no longer usable become pending again. Gangs are left out.
   void assign_planned(double now);
-  /// Preempts lesser work for queued tasks of guaranteed or higher-priority jobs.
+  /// Preempts other work for queued tasks of guaranteed or higher-priority jobs.
   void preempt_for_queued(double now);
 
  private:
-  /// The best plan among all machines; walks through all of them.
+  /// The best plan among all machines; iterates over all of them.
   [[nodiscard]] std::optional<PreemptionPlan> best_plan(const state::Job& job, double now) const;
   /// The first task of each job for which a search is due, in queue order.
   [[nodiscard]] std::vector<sched::QueuedTask> first_tasks_of_due_jobs(double now);
--- a/src/placement/preemption_search_budget.hpp
+++ b/src/placement/preemption_search_budget.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Limit on the searches for machines on which preemption could make room. Each search walks
-/// through all machines, so there are few in one round of decisions, and not often one for the
-/// same job. Runs on the controller's event loop.
+/// Limit on the searches for machines on which preemption could make room. Each search
+/// iterates over all machines, so the searches per round of decisions and the rate of searches for
+/// one job are limited. Runs on the controller's event loop.
 #pragma once
 
 #include "state/model.hpp"
--- a/src/placement/queue_position.cpp
+++ b/src/placement/queue_position.cpp
@@ -31,8 +31,8 @@
     return position;
   }
   if (!objective_s) return position;
-  // A job that can no longer meet its due time yields to those that still can. It gets a later
-  // due time, extended by a share of its objective, until that one can be met.
+  // A job that can no longer meet its due time goes after those that still can. Its due time is
+  // extended by shares of its objective until it can be met.
   while (position.tier < constants::kMaxTier && now + position.run_time_s > position.due) {
     ++position.tier;
     position.due += *objective_s * constants::kTierStep;
--- a/src/placement/queued_task_starter.cpp
+++ b/src/placement/queued_task_starter.cpp
@@ -67,7 +67,7 @@
       start(*task, **machine);
       continue;
     }
-    // Machines that have become full are not looked at again for the tasks that follow.
+    // Machines that have become full are not examined again for the tasks that follow.
     std::erase_if(machines, [&](const state::Machine* candidate) {
       return !model_.least_need().fits(candidate->room());
     });
--- a/src/placement/queued_task_starter.hpp
+++ b/src/placement/queued_task_starter.hpp
@@ -25,7 +25,7 @@
   void start_where_cached(double now);
   /// Fills every machine with room from the queues.
   void start_on_machines_with_room(double now);
-  /// Machines looked at so far: a measure of the cost of decisions.
+  /// Machines examined so far: a measure of the cost of decisions.
   [[nodiscard]] std::size_t machines_examined() const { return machines_examined_; }
 
  private:
--- a/src/placement/run_time_estimates.hpp
+++ b/src/placement/run_time_estimates.hpp
@@ -15,8 +15,8 @@
 /// Running average, for each class of jobs, of the actual to the expected run time.
 class RunTimeEstimates {
  public:
-  /// Takes in the run time of a completed task, in seconds. Nothing is learned unless both times
-  /// are positive.
+  /// Updates the average with the run time of a completed task, in seconds. Nothing is learned
+  /// unless both times are positive.
   void learn(const std::string& job_class, double expected_s, double actual_s) {
     if (expected_s <= 0 || actual_s <= 0) return;
     const double ratio = std::clamp(actual_s / expected_s, kMinRatio, kMaxRatio);
@@ -32,11 +32,11 @@
   }
 
  private:
-  /// Ratios. One measurement counts within these bounds only, so that a single absurd estimate
-  /// does not spoil the average.
+  /// Ratios. Each measurement is clamped to these bounds, so that a single wrong estimate does not
+  /// distort the average.
   static constexpr double kMinRatio = 0.1;
   static constexpr double kMaxRatio = 10.0;
-  /// Ratio. Estimates are believed as long as nothing is known of the class.
+  /// Ratio. Expected run times are used unchanged until a task of the class has completed.
   static constexpr double kInitialRatio = 1.0;
 
   std::map<std::string, double> average_ratios_;
--- a/src/placement/task_stop.cpp
+++ b/src/placement/task_stop.cpp
@@ -11,7 +11,7 @@
 
 using GangState = state::Gang::State;
 
-/// Whether the task's machine will receive a stop command soon enough, and will live long enough
+/// Whether the task's machine will receive a stop command soon enough, and will run long enough
 /// after that, for a checkpoint to be written.
 bool can_write_checkpoint(const state::Task& task, double silent_after_s, double now) {
   const auto& machine = *task.machine();
@@ -23,7 +23,7 @@
 }
 
 /// Whether every task of the gang can write a checkpoint. One that can't makes those of the others
-/// worthless, because a gang goes on from a checkpoint of all its tasks.
+/// worthless, because a gang resumes from a checkpoint of all its tasks.
 bool can_checkpoint_gang(const state::Model& model, const state::Job& job,
                          const std::vector<state::Task*>& tasks, double now) {
   if (job.gang.state != GangState::running || job.spec.checkpoint_every_s <= 0) return false;
--- a/src/sched/arrivals.hpp
+++ b/src/sched/arrivals.hpp
@@ -6,8 +6,8 @@
 
 namespace elmstall::sched {
 
-/// Exponentially weighted rate of arrivals: an arrival that lies `time_constant_s` seconds back has
-/// 1/e of the weight of a new one. All times are in seconds on one steady clock.
+/// Exponentially weighted rate of arrivals: an arrival `time_constant_s` seconds ago has 1/e
+/// of the weight of a new one. All times are in seconds on one steady clock.
 class ArrivalRate {
  public:
   /// `start` is the time from which arrivals are counted.
@@ -20,8 +20,8 @@
     weighted_sum_ += amount;
   }
 
-  /// The rate in units of `amount` per second. The sum of a counter that was started recently
-  /// covers less than its whole memory; the rate is corrected for that.
+  /// The rate in units of `amount` per second. Shortly after the start the sum covers
+  /// less than a full averaging window; the rate is corrected for that.
   [[nodiscard]] double per_second(double now) {
     decay(now);
     const double covered_share = 1 - std::exp(-(now - start_) / time_constant_s_);
--- a/src/sched/balance.hpp
+++ b/src/sched/balance.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The load balancing law of the paper that the design builds on (Tang et al., equation (1); see
+/// The load balancing rule of the paper that the design builds on (Tang et al., equation (1); see
 /// docs/design.md). Pure: no clock, no randomness, no I/O.
 ///
 /// The symbols of the paper, as they are used here:
 ///  - z_i is the anticipated wait of worker i: the seconds until the tasks that are queued there or
-///    are on their way to it have been worked off.
+///    are on their way to it have been completed.
 ///  - sat(x) is x for positive x and 0 otherwise.
 ///  - p_ij is the share of its excess that worker j sends to worker i. Equation (1) sets it to
 ///    sat(mean - z_i) divided by the sum of sat(mean - z_k) over all workers k other than j, where
@@ -16,7 +16,7 @@
 
 namespace elmstall::sched {
 
-/// One worker as the balancing law sees it.
+/// The load of one worker: input of the balancing rule.
 struct WorkerLoad {
   double anticipated_wait_s = 0;  ///< z, in seconds
   double wait_per_task_s = 1;     ///< seconds by which one more task raises z
@@ -46,7 +46,7 @@
 /// tasks sends its excess over the mean to others, in shares by equation (1) and in whole tasks.
 ///
 /// Tasks count at their receiver at once (the paper's anticipated load), so that senders later in
-/// the same round do not fill the same gap again.
+/// the same round do not send tasks for the same shortfall.
 [[nodiscard]] std::vector<Transfer> balance_round(std::vector<WorkerLoad> workers,
                                                   double threshold_tasks);
 
--- a/src/sched/gang_placement.cpp
+++ b/src/sched/gang_placement.cpp
@@ -28,7 +28,7 @@
   Cost cost;
 };
 
-/// How long the machine is likely to need until it has the image, from short to long.
+/// Expected time until the machine has the image, from shortest to longest.
 enum class FetchRank : std::uint8_t { cached, network_free, network_shared_soon, network_shared };
 
 FetchRank fetch_rank(const GangCandidate& candidate) {
@@ -64,7 +64,7 @@
   void take_free(std::size_t candidate) { take_free_up_to(candidate, unplaced_); }
   /// Takes one free slot of the candidate, if there is one.
   void take_one(std::size_t candidate) { take_free_up_to(candidate, 1); }
-  /// Takes as many extra slots of the candidate as there are tasks left.
+  /// Takes as many preemptible slots of the candidate as there are tasks left.
   void take_preemptible(std::size_t candidate) {
     const auto count =
         std::min({candidates_[candidate].preemptible_slots, unplaced_, zone_room(candidate)});
@@ -131,7 +131,7 @@
   return builder.placement();
 }
 
-/// Takes extra slots, those first whose preemption loses the least work.
+/// Takes preemptible slots, those first whose preemption loses the least work.
 void take_preemptible_slots(const std::vector<GangCandidate>& candidates, FillingOrder order,
                             PlacementBuilder& builder) {
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
@@ -143,7 +143,7 @@
 /// Places the gang when at least one of its machines has to fetch the image.
 ///
 /// The whole gang waits for the slowest fetch, so more fetches cost it nothing. One task each first
-/// goes to machines without the image on which other tasks lose nothing by it. The image thereby
+/// goes to machines without the image where this takes no slots from other tasks. The image thereby
 /// reaches many machines, and the remaining slots on machines that have it are left to a gang that
 /// can then start without a fetch.
 std::optional<Placement> place_with_fetch(const std::vector<GangCandidate>& candidates,
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Placement of gangs: finds machines for all tasks of a gang at once, or for none.
-/// Pure: no clock, no randomness, no I/O. Machines are numbers that the caller assigns.
+/// Pure: no clock, no randomness, no I/O. Machines are identified by numbers of the caller.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
   std::size_t machine = 0;            ///< the caller's number for the machine
   std::string zone;                   ///< name of the zone in which the machine is
   std::size_t free_slots = 0;         ///< slots that are free now
-  std::size_t preemptible_slots = 0;  ///< further slots that preemption of lesser tasks would free
+  std::size_t preemptible_slots = 0;  ///< further slots that preemption would free
   bool avoid = false;                 ///< an earlier attempt of the gang failed to start here
   bool cached = false;                ///< the machine has the gang's image, or is fetching it
   bool fetching = false;  ///< the machine is fetching another image, which slows a fetch
@@ -26,7 +26,7 @@
   /// Slots for other tasks that would be lost if the gang took this room; half a slot is added for
   /// a machine that is empty so far.
   double waste = 0;
-  double preemption_cost_s = 0;  ///< seconds of work that preemption would lose for each extra slot
+  double preemption_cost_s = 0;  ///< seconds of work that preemption would lose for each such slot
 };
 
 /// The tasks that are to be placed.
@@ -46,20 +46,20 @@
 /// Whether room may be made for a gang by preempting other tasks.
 enum class Preemption : std::uint8_t {
   forbidden,  ///< free slots only
-  allowed,    ///< extra slots too, where free slots do not suffice
+  allowed,    ///< preemptible slots too, where free slots do not suffice
 };
 
 /// Returns machines for all tasks, or nothing if there is not room for all.
 ///
 /// Machines that are not to be avoided are preferred; then those that have the image, those that
-/// can fetch it fastest, and those that other tasks have the least use for. Of several zones for a
+/// can fetch it fastest, and those where other tasks lose the fewest slots. Of several zones for a
 /// gang that must stay together, the one is chosen that requires the least preemption.
 [[nodiscard]] std::optional<std::vector<GangShare>> place_gang(
     const std::vector<GangCandidate>& candidates, const GangRequest& request,
     Preemption preemption);
 
-/// The zone with the most slots, free and extra ones together; empty without candidates. Of use for
-/// a gang that must stay together and finds no place yet.
+/// The zone with the most slots, free and preemptible ones together; empty without candidates. Used
+/// for a gang that must stay together and can't be placed yet.
 [[nodiscard]] std::string zone_with_most_room(const std::vector<GangCandidate>& candidates);
 
 }  // namespace elmstall::sched
--- a/src/sched/group.cpp
+++ b/src/sched/group.cpp
@@ -56,7 +56,7 @@
 }
 
 void Group::change_worker(Workers::value_type& worker, const std::function<void(Worker&)>& change) {
-  // The set is ordered by the length of the lists, so the worker must leave it before its list
+  // The set is ordered by the length of the queues, so the worker must be erased before its queue
   // changes.
   workers_with_tasks_.erase(&worker);
   total_load_ -= worker.second.load();
@@ -155,8 +155,8 @@
                      [](const QueuedTask& a, const QueuedTask& b) { return a.before(b); });
   };
   sort(shared_queue_);
-  // The lists are sorted in place, which is no change that `change_worker` would have to count:
-  // their lengths stay as they are.
+  // The queues are sorted in place without `change_worker`, because neither their lengths nor the
+  // loads of the workers change.
   for (auto* worker : workers_with_tasks_) sort(worker->second.queue);
 }
 
@@ -195,8 +195,8 @@
                               std::size_t limit, const Eligible& eligible) {
   std::vector<QueuedTask> moving;
   change_worker(sender, [&](Worker& worker) {
-    // Tasks are taken from the end of the list, because those at its front start soonest where
-    // they are.
+    // Tasks are taken from the back of the queue, because those at its front are the next to start
+    // where they are.
     for (std::size_t i = worker.queue.size(); i-- > 0 && moving.size() < limit;) {
       if (!eligible(worker.queue[i].id, receiver.first)) continue;
       moving.push_back(worker.queue[i]);
@@ -226,7 +226,7 @@
   const auto own = workers_.find(worker);
   if (own == workers_.end()) return std::nullopt;
   if (auto task = first_startable(own->second.queue, startable)) return task;
-  // An idle worker relieves the worker with the longest list.
+  // An idle worker steals from the longest queue.
   return first_of_longest_queue(&*own, startable);
 }
 
--- a/src/sched/resources.hpp
+++ b/src/sched/resources.hpp
@@ -13,7 +13,7 @@
 
 namespace elmstall::sched {
 
-/// An amount of each resource. The single resources are called dimensions below.
+/// An amount of each resource. Each resource is called a dimension below.
 struct Amount {
   double cpus = 0;       ///< processor cores
   double gpus = 0;       ///< graphics processors
--- a/src/sched/scaling_plan.cpp
+++ b/src/sched/scaling_plan.cpp
@@ -11,7 +11,7 @@
 
 Kind kind_of(const Pool& pool) { return pool.spot ? Kind::spot : Kind::ordinary; }
 
-/// Sums of demands are off in their last digits, which must not cost a machine.
+/// Machines. Rounding errors in sums of demands must not add a machine.
 constexpr double kRoundingSlack = 1e-6;
 
 int whole_machines(double machines) {
@@ -60,7 +60,7 @@
       std::max(0.0, std::max(ordinary_have, ordinary_want) - demand.ordinary);
   int missing = std::max(0, whole_machines(demand.flexible - ordinary_free) - spot_have);
   missing = distribute(pools, Kind::spot, missing, extra);
-  // Where no spot machines are to be had, the work is done by ordinary ones.
+  // Where no spot machines are available, ordinary ones are rented instead.
   distribute(pools, Kind::ordinary, missing, extra);
 
   std::vector<ScaleOut> scale_outs;
--- a/src/sched/scaling_plan.hpp
+++ b/src/sched/scaling_plan.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Fleet sizing: how many machines of which zone and kind to rent, and how many could be given
-/// back. Pure: no clock, no randomness, no I/O. All functions treat one machine type at a time.
+/// Fleet sizing: how many machines of which zone and kind to rent, and how many could be
+/// released. Pure: no clock, no randomness, no I/O. All functions treat one machine type at a time.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
   double price = 0;      ///< of one machine, as the cloud states it
   int alive = 0;         ///< machines that are up and usable
   int booting = 0;       ///< machines that are rented, or requested, and not up yet
-  bool blocked = false;  ///< the cloud had no capacity lately, so none is asked for at present
+  bool blocked = false;  ///< the cloud had no capacity lately, so none is requested at present
 };
 
 /// Demand for one machine type, in machines.
@@ -35,7 +35,7 @@
 
 /// The machines to rent now, so that the pools meet the demand. Flexible demand is met by free
 /// ordinary machines first, then by spot machines, and by further ordinary machines where no spot
-/// machines are to be had.
+/// machines are available.
 [[nodiscard]] std::vector<ScaleOut> plan_scale_out(const std::vector<Pool>& pools,
                                                    const Demand& demand);
 
@@ -45,7 +45,7 @@
   int spot = 0;      ///< number of spot machines
 };
 
-/// The machines that could be given back.
+/// The machines that could be released.
 [[nodiscard]] Surplus surplus(const std::vector<Pool>& pools, const Demand& demand);
 
 }  // namespace elmstall::sched
