--- a/src/sched/balance.hpp
+++ b/src/sched/balance.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The load balancing rule of the paper that the design builds on (Tang et al., equation (1); see
-/// docs/design.md). Pure: no clock, no randomness, no I/O.
+/// The load balancing algorithm of the paper that the design builds on (Tang et al., equation (1);
+/// see docs/design.md). Pure: no clock, no randomness, no I/O.
 ///
 /// The symbols of the paper, as they are used here:
 ///  - z_i is the anticipated wait of worker i: the seconds until the tasks that are queued there or
@@ -16,7 +16,7 @@
 
 namespace elmstall::sched {
 
-/// The load of one worker: input of the balancing rule.
+/// The load of one worker: input of the balancing algorithm.
 struct WorkerLoad {
   double anticipated_wait_s = 0;  ///< z, in seconds
   double wait_per_task_s = 1;     ///< seconds by which one more task raises z
--- a/tests/decision_cost_test.cpp
+++ b/tests/decision_cost_test.cpp
@@ -20,7 +20,8 @@
     const auto before = leader_of(world).planner().machines_examined();
     world.run_until(90);
     const double events = 20.0 * machines * (1 / 1.5 + 1);
-    EXPECT_LT(static_cast<double>(leader_of(world).planner().machines_examined() - before), 1.5 * events)
+    EXPECT_LT(static_cast<double>(leader_of(world).planner().machines_examined() - before),
+              1.5 * events)
         << machines;
   }
 }
