--- a/tests/soak/controller_child.cpp
+++ b/tests/soak/controller_child.cpp
@@ -26,7 +26,7 @@
   const pid_t parent = ::getpid();
   const pid_t pid = ::fork();
   if (pid == 0) {
-    // Not left running if this program is killed, also in the moment before this call.
+    // Killed together with this program; checks that it has not ended before this call.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(1);
     ::dup2(log, STDERR_FILENO);
--- a/tests/soak/controller_child.hpp
+++ b/tests/soak/controller_child.hpp
@@ -10,7 +10,7 @@
 
 namespace elmstall::soak {
 
-/// Starts the controller's program, kills and suspends it, and notices when it ends by itself. The
+/// Starts the controller's program, kills and suspends it, and detects when it exits by itself. The
 /// process is killed with this object, and by the kernel should this program end.
 class ControllerChild {
  public:
@@ -26,7 +26,7 @@
   void suspend() const;
   void resume() const;
   [[nodiscard]] bool running() const { return pid_ > 0; }
-  /// Whether it has ended without having been killed, since the last call; why, in words.
+  /// The reason, as text, if it has ended since the last call without having been killed.
   [[nodiscard]] std::optional<std::string> unexpected_exit();
   /// Whether it ended because it could not listen on its addresses.
   [[nodiscard]] bool could_not_listen() const { return could_not_listen_; }
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -15,7 +15,7 @@
 
 namespace fs = std::filesystem;
 
-/// A new folder for the files of one seed.
+/// Creates a folder for the files of one seed.
 fs::path make_folder(const Options& options, unsigned seed) {
   const auto name = fmt::format("elmstall-soak-{}-seed-{}", ::getpid(), seed);
   const auto folder = (options.logs ? fs::path(*options.logs) : fs::temp_directory_path()) / name;
@@ -32,7 +32,7 @@
   std::fflush(stdout);
 }
 
-/// Plays all seeds; returns the exit code.
+/// Runs all seeds; returns the exit code.
 int run_seeds(const Options& options) {
   unsigned failed = 0;
   for (unsigned seed = options.first_seed; seed < options.first_seed + options.seeds; ++seed) {
--- a/tests/soak/options.cpp
+++ b/tests/soak/options.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxControllers = 9;  // a worker knows them by their last digit
+constexpr std::size_t kMaxControllers = 9;  // workers identify them by their last digit
 constexpr int kMaxWorkers = 1000;
 
 std::string kind_names() {
--- a/tests/soak/options.hpp
+++ b/tests/soak/options.hpp
@@ -19,7 +19,7 @@
   interrupted = 130,
 };
 
-/// What is played.
+/// Options of the soak test.
 struct Options {
   std::string binary;               ///< path of the controller's program
   unsigned first_seed = 1;          ///< seeds are first_seed, first_seed + 1, ...
@@ -32,13 +32,13 @@
   int port_base = 0;                ///< first of the controllers' ports; 0: free ones
 };
 
-/// What the command line asks for: options, or an exit code if the program is to end.
+/// Result of parsing: options, or an exit code if the program must end.
 struct CommandLine {
   std::optional<Options> options;
   int exit_code = passed;
 };
 
-/// Reads the command line. Mistakes are told in one line on standard error.
+/// Reads the command line. Errors are printed in one line on standard error.
 [[nodiscard]] CommandLine parse_command_line(int argc, char** argv);
 
 }  // namespace elmstall::soak
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -58,7 +58,7 @@
     fault.start_s = at;
     fault.kind = kinds[pick(kinds.size())];
     const double longest = fault.kind == FaultKind::state_out ? kMaxOutageDuration : kMaxDuration;
-    // Short ones are as likely as long ones, whatever the scale.
+    // Log-uniform, so that short and long durations are equally likely.
     fault.duration_s = kMinDuration * std::pow(longest / kMinDuration, uniform(0, 1));
     fault.node = pick(input.controllers);
     fault.peer = (fault.node + 1 + pick(input.controllers - 1)) % input.controllers;
--- a/tests/soak/plan.hpp
+++ b/tests/soak/plan.hpp
@@ -11,31 +11,31 @@
 
 namespace elmstall::soak {
 
-/// A kind of fault. `node` is the controller that a fault strikes, `peer` another one.
+/// A kind of fault. `node` is the controller that a fault affects, `peer` another one.
 enum class FaultKind : std::uint8_t {
   kill,               ///< SIGKILL, started again after the fault's length
   restart,            ///< SIGKILL, started again at once
   pause,              ///< SIGSTOP, then SIGCONT
-  leader_series,      ///< the leader of the moment is killed three times in succession
+  leader_series,      ///< the current leader is killed three times in succession
   cut_peer,           ///< nothing passes between two controllers
   cut_to_peer,        ///< nothing passes from one controller to another
   cut_state,          ///< nothing passes between a controller and the state service
-  cut_from_state,     ///< requests reach the state service, answers don't come back
+  cut_from_state,     ///< requests reach the state service, responses are lost
   cut_workers,        ///< nothing passes between the workers and a controller
   cut_users,          ///< nothing passes between the users and a controller
   delay,              ///< what passes between a controller and the state service is delayed
   state_slow,         ///< the state service answers slowly
   state_refuses,      ///< the state service refuses one controller
   state_out,          ///< the state service refuses all
-  unanswered,         ///< transactions are executed and not answered
-  late,               ///< transactions are executed seconds later and not answered
-  watch_lag,          ///< a controller hears of changes late
+  unanswered,         ///< transactions are executed without a response
+  late,               ///< transactions are executed seconds later without a response
+  watch_lag,          ///< a controller receives changes late
   heartbeats_lost,    ///< heartbeats of some workers get lost
   heartbeats_copied,  ///< heartbeats of some workers arrive again, late
-  responses_lost,     ///< some workers hear no answer and no command
+  responses_lost,     ///< some workers receive no response and no command
   commands_late,      ///< direct commands are executed late, their replies are lost
   commands_lost,      ///< replies to direct commands are lost
-  machines_hang,      ///< some machines stand still
+  machines_hang,      ///< some machines hang
   cancel_wave,        ///< users cancel many jobs at the same time
 };
 
@@ -55,7 +55,7 @@
   std::size_t peer = 0;
 };
 
-/// What a plan is drawn from.
+/// Input of `draw_plan`.
 struct PlanInput {
   unsigned seed = 0;
   double begin_s = 0;
--- a/tests/soak/run.cpp
+++ b/tests/soak/run.cpp
@@ -13,7 +13,7 @@
 // Seconds.
 constexpr double kReadyTimeout = 20;
 constexpr double kWarmUp = 6;           ///< from readiness to the first fault
-constexpr double kAnswerDeadline = 75;  ///< within which every job must be answered for
+constexpr double kAnswerDeadline = 75;  ///< for a response on every job after the faults
 constexpr double kSubmissionInterval = 0.4;
 constexpr double kPollInterval = 0.2;
 constexpr double kTimeStep = 0.05;
@@ -66,7 +66,7 @@
   auto& world = site_.world();
   world.users.cross_check_states();
   world.on_last_task_end = [this](const std::string& job) {
-    // Cancelled in the very moment of its end.
+    // Cancelled at the same time as its last task ends.
     if (site_.world().random() < kCancelAtEndShare) site_.world().cancel(job);
   };
   submit_base_load();
@@ -97,7 +97,7 @@
 }
 
 bool Run::wait_until_ready() {
-  // Shared, for the answer may come after the wait.
+  // Shared, because the response may arrive after the wait.
   auto ready = std::make_shared<bool>(false);
   while (!*ready) {
     if (now() > kReadyTimeout) {
--- a/tests/soak/run.hpp
+++ b/tests/soak/run.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One run of the soak test: one seed, from the start of the controllers to the verdict.
+/// One run of the soak test: one seed, from the start of the controllers to its result.
 #pragma once
 
 #include <asio.hpp>
@@ -12,37 +12,38 @@
 
 namespace elmstall::soak {
 
-/// What a run showed.
+/// Result of a run.
 struct RunResult {
-  /// What was broken, the first first: a rule of the protocol page, or `exited`, `withheld`
-  /// (a controller held back a contradicting answer) or `unanswered` (75 s after the faults).
+  /// Violations in order of occurrence: a rule of the protocol page, or `exited`, `withheld`
+  /// (a controller withheld a contradicting response) or `unanswered` (75 s after the faults).
   std::vector<std::string> violations;
   std::string not_run;  ///< why the run could not be made; empty if it was
   bool interrupted = false;
   std::size_t jobs = 0;      ///< accepted jobs
-  std::size_t finished = 0;  ///< of those, called done
+  std::size_t finished = 0;  ///< of those, reported as done
   std::size_t starts = 0;    ///< starts of tasks
   std::size_t faults = 0;    ///< faults that were begun
 };
 
-/// Plays one seed. What users and workers saw is written to `history` in the folder, with the plan.
+/// Runs one seed. The plan and the events of users and workers are written to `history` in the
+/// folder.
 class Run {
  public:
   Run(const Options& options, unsigned seed, const std::filesystem::path& folder);
-  /// Plays until the verdict, or until SIGINT or SIGTERM.
+  /// Runs until the result is known, or until SIGINT or SIGTERM.
   [[nodiscard]] RunResult execute();
 
  private:
   void write_plan(const Options& options, unsigned seed);
-  /// Lets the run go on until `end`, in seconds since the start; false if it must stop.
+  /// Continues the run until `end`, in seconds since the start; false if it must stop.
   bool run_until(double end);
   /// Waits until a controller is ready; false if it must stop.
   bool wait_until_ready();
   void submit_base_load();
   void submit_next_job();
-  /// Users submit, cancel and ask until `end`.
+  /// Users submit, cancel and poll jobs until `end`.
   void run_user_load(double end);
-  /// After the faults: every accepted job must be answered for in time.
+  /// After the faults: every accepted job must be polled with success in time.
   void verify_recovery();
   [[nodiscard]] std::vector<std::string> jobs_without_answer_since(double begin);
   void check_controllers();
--- a/tests/soak/site.cpp
+++ b/tests/soak/site.cpp
@@ -22,7 +22,7 @@
 constexpr double kAffectedWorkerShare = 0.3;  // share
 constexpr std::size_t kCancelWaveSize = 8;    // jobs
 
-/// Short times, so that many leases and cancellations fit into a run.
+/// Short intervals, so that many leases and cancellations fit into a run.
 void configure_world(test::World& world, const Options& options) {
   auto& settings = world.settings;
   const bool many = options.workers >= kManyWorkers;
@@ -180,7 +180,7 @@
   client.request(request.method, request.path, request.body,
                  from_worker ? kWorkerTimeout : kUserTimeout,
                  [this, respond](const net::Reply& reply) {
-                   // Before the answer counts as received: see `RealTime::advance`.
+                   // Before the response counts as received, see `RealTime::advance`.
                    real_time_.advance();
                    constexpr int unavailable = 503;
                    respond({reply.status == 0 ? unavailable : reply.status, reply.body, 0});
--- a/tests/soak/site.hpp
+++ b/tests/soak/site.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A deployment of real controllers on loopback addresses, with proxies between all parties.
+/// A deployment of real controllers on loopback addresses, with proxies on all connections.
 #pragma once
 
 #include <filesystem>
--- a/tests/soak/tcp_proxy.cpp
+++ b/tests/soak/tcp_proxy.cpp
@@ -10,7 +10,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// How often held bytes are looked at again.
+/// Polling interval while bytes are held.
 constexpr auto kHoldInterval = std::chrono::milliseconds(10);
 constexpr std::size_t kBufferBytes = 16 * 1024;
 
--- a/tests/soak/tcp_proxy.hpp
+++ b/tests/soak/tcp_proxy.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A TCP proxy on a loopback address that can hold up or delay what passes through it.
+/// A TCP proxy on a loopback address that can hold or delay the traffic.
 #pragma once
 
 #include <asio.hpp>
@@ -11,7 +11,7 @@
 /// Passes connections on to one address. Runs on the loop of `io`.
 class TcpProxy {
  public:
-  /// What happens to the bytes. May change at any time, also for open connections.
+  /// Faults of the traffic. May change at any time, also for open connections.
   struct Faults {
     bool hold_requests = false;   ///< nothing passes from the client to the server
     bool hold_responses = false;  ///< nothing passes from the server to the client
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The parts of the soak test: its plan, its command line, its proxy and its processes.
+/// Tests of the soak test: its plan, command line, proxy and controller processes.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
--- a/tests/support/fake_cloud.cpp
+++ b/tests/support/fake_cloud.cpp
@@ -73,7 +73,7 @@
   std::snprintf(buffer.data(), buffer.size(), "host-%06zu", world_.workers.size());
   std::string id = buffer.data();
   auto& worker = world_.workers[id] = std::make_unique<FakeWorker>(world_, id, type, zone, spot);
-  // One in ten is up almost at once.
+  // One machine in ten boots ten times faster.
   const double boot_factor = world_.random() < 0.1 ? 0.1 : 0.67 + 0.67 * world_.random();
   world_.loop.after(world_.machine_types.front().ready_s * boot_factor, [raw = worker.get()] {
     if (!raw->dead()) raw->start();
--- a/tests/support/fake_cloud.hpp
+++ b/tests/support/fake_cloud.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The cloud, simulated: it rents and takes back the machines of the test world.
+/// Simulated cloud: provisions and terminates the machines of the test world.
 #pragma once
 
 #include <functional>
@@ -14,8 +14,8 @@
 
 class World;
 
-/// Provisions machines with a limited capacity. Its list of machines lags behind what is rented,
-/// and a provisioning request is carried out once per name, as the protocol page says.
+/// Provisions machines with a limited capacity. Its list of machines lags behind the actual state,
+/// and provisioning requests are idempotent by name, as in the protocol page.
 class FakeCloud : public clients::Cloud {
  public:
   explicit FakeCloud(World& world) : world_(world) {}
@@ -31,13 +31,13 @@
   bool down = false;
   /// Machines that can still be rented.
   int capacity = 12;
-  /// So many provisioning requests are carried out without a response.
+  /// Number of coming provisioning requests that are executed without a response.
   int lost_responses = 0;
 
  private:
   /// All machines that are rented now.
   [[nodiscard]] wire::CloudPage current_page() const;
-  /// What the list showed at this time.
+  /// The list as it was at this time.
   [[nodiscard]] wire::CloudPage page_at(double time) const;
   /// Rents one machine, which boots after a random time; returns its id.
   std::string rent_one(const std::string& type, const std::string& zone, bool spot);
--- a/tests/support/fake_http_servers.cpp
+++ b/tests/support/fake_http_servers.cpp
@@ -172,7 +172,7 @@
 void StateStoreServer::watch(const std::string& prefix, std::uint64_t since, double left_s,
                              net::Responder respond) {
   constexpr double step = 0.01;
-  const bool stalled = state_.down || faults.refused;  // open watches wait
+  const bool stalled = state_.down || faults.refused;  // open watches report nothing
   if (!stalled) {
     const auto changes = state_.changes(prefix, since);
     if (!changes) return respond({410, {}, 0});
@@ -265,7 +265,7 @@
     const bool done = result.outcome == clients::CommandResult::Outcome::done;
     return net::Response{done ? 200 : 409, wire::encode_heartbeat(*result.heartbeat), 0};
   };
-  // Without a reply the caller can't tell whether the commands are executed, or will be.
+  // Without a reply the caller cannot tell whether the commands were or will be executed.
   if (worker->dead() || worker->cut || worker->responses_dropped) return;
   if (worker->hung()) return world_.loop.at(worker->hung_until(), [execute] { (void)execute(); });
   if (world_.network.command_delay_s > 0)
--- a/tests/support/fake_http_servers.hpp
+++ b/tests/support/fake_http_servers.hpp
@@ -17,19 +17,20 @@
 /// serve the same state, each with faults of its own.
 class StateStoreServer {
  public:
-  /// What goes wrong between this front and its clients.
+  /// Faults between this server and its clients.
   struct Faults {
-    bool refused = false;  ///< every request is answered 503, and open watches see no changes
+    bool refused = false;  ///< every request gets 503, and open watches report no changes
     double max_added_delay_s =
         0;  ///< at most so many seconds are added before a request is executed
-    double unanswered_share = 0;  ///< share of transactions that are executed and never answered
-    double late_share = 0;   ///< share of transactions that are executed seconds later, unanswered
+    double unanswered_share = 0;  ///< share of transactions that are executed without a response
+    double late_share =
+        0;  ///< share of transactions that are executed seconds later, without a response
     double watch_lag_s = 0;  ///< watches report changes so many seconds later
   };
   StateStoreServer(asio::io_context& io, World& world);
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
   Faults faults;
-  /// Entries in a page of a listing; the protocol's limit unless a test wants more pages.
+  /// Entries per page of a listing; the default is the limit of the protocol.
   std::size_t page_size = 1000;
 
  private:
--- a/tests/support/fake_state.cpp
+++ b/tests/support/fake_state.cpp
@@ -7,7 +7,7 @@
 using store::Outcome;
 
 namespace {
-// Far fewer changes than the real one keeps, so that 410 comes up.
+// Far fewer changes than the real store keeps, so that tests also see compacted logs (410).
 constexpr std::size_t kLogLength = 300;
 }  // namespace
 
@@ -174,7 +174,7 @@
   if (chance(faults.lost_share)) {
     respond(1.5, std::move(lost));
     if (chance(0.5))
-      loop_.after(0.002, [execute] { (void)execute(); });  // carried out, the answer lost
+      loop_.after(0.002, [execute] { (void)execute(); });  // executed, response lost
     else if (may_be_late && chance(faults.late_lost_share))
       loop_.after(20 + 60 * std::uniform_real_distribution<double>(0, 1)(random_),
                   [execute] { (void)execute(); });
@@ -195,7 +195,7 @@
 
 void FakeStore::list(const std::string& prefix, const std::string& since,
                      std::function<void(store::ListResult)> done) {
-  // Small pages, so that loading takes several and changes fall in between.
+  // Small pages, so that loading takes several requests and changes happen between them.
   exchange<store::ListResult>([this, prefix, since] { return state_.list(prefix, since, 7); },
                               std::move(done), {Outcome::unavailable, {}}, {}, false);
 }
@@ -231,7 +231,8 @@
 
 void FakeStore::poll_watch(std::string prefix, std::uint64_t since, double until,
                            std::function<void(store::WatchResult)> done) {
-  const bool stalled = state_.down || faults.refused || faults.watch_stalled;  // open watches wait
+  const bool stalled =
+      state_.down || faults.refused || faults.watch_stalled;  // open watches report nothing
   if (!stalled) {
     auto changes = state_.changes(prefix, since);
     if (!changes) return done({Outcome::compacted, {}});
--- a/tests/support/fake_state.hpp
+++ b/tests/support/fake_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The state store, simulated in memory: revisions, preconditions, leases and watches, as the
+/// Simulated in-memory state store: revisions, preconditions, leases and watches, as the
 /// protocol page describes them.
 #pragma once
 
@@ -27,15 +27,15 @@
   store::CommitResult commit(const wire::Transaction& transaction);
   store::GetResult get(const std::string& key);
   store::ListResult list(const std::string& prefix, const std::string& since, std::size_t most);
-  /// What changed after the revision `since`; nothing if the log no longer reaches back to it.
+  /// Changes after the revision `since`; nothing if the log is compacted beyond it.
   std::optional<wire::Changes> changes(const std::string& prefix, std::uint64_t since);
-  /// Grants a lease, and returns its number.
+  /// Grants a lease and returns its id.
   std::uint64_t grant(double life_s);
   /// False if the lease has expired.
   bool renew(std::uint64_t lease);
   /// Deletes the items of all leases that have run out.
   void expire();
-  /// Gives every lease its full time again, as after an outage.
+  /// Restarts the duration of every lease, as after an outage.
   void refresh_leases();
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
   [[nodiscard]] const std::map<std::string, Item>& items() const { return items_; }
@@ -43,7 +43,7 @@
   bool down = false;
   /// Transactions that exceed these limits are rejected as malformed.
   std::optional<config::StateLimits> limits;
-  /// Writes beyond the rate of `limits` are refused; a burst may be as large as one second allows.
+  /// Writes beyond the rate of `limits` are refused; the burst size is one second of that rate.
   bool enforce_write_rate = false;
   /// Number of transactions that were rejected as malformed.
   std::size_t rejected_transactions = 0;
@@ -61,13 +61,13 @@
 
   VirtualLoop& loop_;
   std::uint64_t revision_ = 1;
-  double write_tokens_ = 0;  ///< changes that may be made at once
+  double write_tokens_ = 0;  ///< token bucket: writes allowed now
   double write_tokens_updated_at_ = 0;
   std::uint64_t next_lease_ = 1;
   std::map<std::string, Item> items_;
   std::map<std::uint64_t, Lease> leases_;
   std::deque<wire::Change> log_;
-  std::uint64_t compacted_revision_ = 0;  ///< revision of the newest change not kept
+  std::uint64_t compacted_revision_ = 0;  ///< revision of the newest dropped change
 };
 
 /// The connection of one node to the state store, with its own faults.
@@ -76,14 +76,14 @@
   struct Faults {
     bool refused = false;        ///< the store responds 503 to this node alone
     double lost_share = 0;       ///< share of requests without a response
-    double late_lost_share = 0;  ///< share of lost commits applied much later
+    double late_lost_share = 0;  ///< share of lost commits that are applied 20 to 80 s later
     double late_write_share =
         0;  ///< share of commits without a response that are applied seconds later
     double late_write_delay_s = 0;  ///< how many seconds later; 0: between 2 and 12
     bool watch_stalled = false;     ///< open watches report no changes
     double max_added_delay_s = 0;   ///< at most so many seconds are added to each response
   };
-  std::size_t get_count = 0;  ///< single keys asked for
+  std::size_t get_count = 0;  ///< number of single-key reads
   FakeStore(VirtualLoop& loop, FakeState& state, unsigned seed)
       : loop_(loop), state_(state), random_(seed) {}
 
@@ -96,7 +96,7 @@
               std::function<void(store::CommitResult)> done) override;
   void grant(double life_s, std::function<void(store::GrantResult)> done) override;
   void renew(std::uint64_t lease, std::function<void(store::Outcome)> done) override;
-  /// The process of this node died: no response reaches it any more.
+  /// The process of this node has ended: it receives no further responses.
   void disconnect() { alive_.reset(); }
   Faults faults;
 
--- a/tests/support/fake_transport.cpp
+++ b/tests/support/fake_transport.cpp
@@ -26,7 +26,7 @@
 void FakeTransport::deliver(std::size_t to, const peer::Message& message) {
   if (!world_.network.peers_connected(self_, to)) return;
   if (!world_.reachable(to, processes_.at(self_).settings.zone)) return;
-  // This transport may be gone when the message arrives, the processes are not.
+  // The transport may be destroyed before the message arrives; the processes outlive it.
   world_.loop.after(0.002, [to, bytes = peer::encode(message), &processes = processes_] {
     if (processes.at(to).alive()) processes.at(to).receive(bytes);
   });
--- a/tests/support/fake_transport.hpp
+++ b/tests/support/fake_transport.hpp
@@ -13,7 +13,7 @@
 class Processes;
 class World;
 
-/// How much the controllers sent each other so far.
+/// Number of messages and writes between the controllers so far.
 struct PeerTraffic {
   std::size_t messages = 0;
   std::size_t flushes = 0;  ///< writes in which the messages were sent
--- a/tests/support/fake_worker_rpc.hpp
+++ b/tests/support/fake_worker_rpc.hpp
@@ -26,14 +26,14 @@
 
  private:
   using Done = std::function<void(clients::CommandResult)>;
-  /// Executes the commands on the worker; nothing if the machine is gone.
+  /// Executes the commands on the worker; no result if the machine is lost.
   using Execute = std::function<std::optional<clients::CommandResult>()>;
 
   /// The RPC fails after its time limit with this outcome.
   void time_out(const Done& done, clients::CommandResult::Outcome outcome);
-  /// The machine hangs: its network takes the request, which is executed when it goes on.
+  /// The machine hangs: the request is accepted and executed when the machine resumes.
   void execute_after_hang(const FakeWorker& worker, const Execute& execute);
-  /// The request is lost, or held on the way and executed up to a minute later.
+  /// The request is lost, or delayed in the network and executed up to a minute later.
   void lose(const Execute& execute, const Done& done);
   void execute_now(const Execute& execute, const Done& done);
   [[nodiscard]] bool request_lost(const FakeWorker& worker);
--- a/tests/support/faults.cpp
+++ b/tests/support/faults.cpp
@@ -134,7 +134,7 @@
   after(world, length, [&world, node] { world.store(node).faults = {}; });
 }
 
-/// Back at once, and again in the middle of the election that follows.
+/// Controllers restart at once, and again during the following election.
 void quick_restarts(World& world, std::size_t node, double) {
   for (std::size_t i = 0; i < 3; ++i) world.crash(i, 0.05 + world.random() * 0.4);
   after(world, 0.1 + world.random() * 0.6, [&world, node] { world.crash(node, 0.05); });
@@ -147,7 +147,7 @@
   peer_links_cut(world, node, length);
 }
 
-/// Heartbeats arrive, answers and commands don't.
+/// Heartbeats arrive, but responses and commands do not reach the worker.
 void machine_unresponsive(World& world, std::size_t, double length) {
   auto* worker = random_worker(world);
   if (worker == nullptr) return;
@@ -167,7 +167,7 @@
   after(world, length, [&world] { world.network.command_rpcs_blocked = false; });
 }
 
-/// A zone without anything outside it.
+/// Cuts off a zone from everything outside it.
 void zone_cut(World& world, std::size_t node, double length) {
   const auto zone = world.settings.zones[world.pick(2)];
   world.cut_zone(zone);
@@ -177,7 +177,6 @@
   after(world, length * 2, [&world, zone] { world.restore_zone(zone); });
 }
 
-/// On a cloud that notices late or not.
 void machines_lost(World& world, std::size_t, double) {
   for (auto& [id, worker] : world.workers) {
     if (worker->dead() || world.random() > 0.3) continue;
@@ -197,7 +196,7 @@
   if (world.random() < 0.3) world.freeze((node + 1) % 3, length * world.random());
 }
 
-// --- those that meet ------------------------------------------------------------------
+// --- faults that overlap --------------------------------------------------------------
 
 void late_writes(World& world, std::size_t, double length) {
   const auto share = [](World& all, double value) {
@@ -242,7 +241,7 @@
   after(world, length, [&world] { world.network.command_replies_lost = false; });
 }
 
-/// Users call off jobs that run, all at once; sometimes their machines hang.
+/// Users cancel up to four running jobs at once; in half of the cases machines hang.
 void cancel_running_jobs(World& world, std::size_t, double length) {
   int left = 4;
   for (const auto& id : world.rules.accepted_jobs()) {
--- a/tests/support/faults.hpp
+++ b/tests/support/faults.hpp
@@ -12,7 +12,7 @@
 
 /// One kind of fault.
 struct Fault {
-  const char* name;  ///< for the story of a history
+  const char* name;  ///< for the failure messages of a test
   /// Begins the fault and schedules its end, about `length` seconds later. Some faults take `node`.
   std::function<void(World&, std::size_t node, double length)> begin;
 };
--- a/tests/support/gangs.cpp
+++ b/tests/support/gangs.cpp
@@ -107,7 +107,7 @@
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
   if (attempt.members.erase(index) == 0) return;
-  // Before it has begun the others go on waiting.
+  // If the attempt has not started, the other tasks keep waiting.
   if (attempt.started) fail(name, attempt, world_.settings.gang_peer_s);
 }
 
--- a/tests/support/gangs.hpp
+++ b/tests/support/gangs.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gangs as workers run them: the tasks of an attempt wait for each other, run together, and end
+/// Gang execution on workers: the tasks of an attempt wait for each other, run together, and end
 /// together.
 #pragma once
 
@@ -13,31 +13,31 @@
 class FakeWorker;
 class World;
 
-/// Decides for the tasks of each gang what its workers then show. Progress is kept between attempts
-/// as far as checkpoints were saved.
+/// Decides the states of the tasks of each gang, which their workers then report. Progress carries
+/// over to the next attempt as far as checkpoints were saved.
 class FakeGangs {
  public:
   explicit FakeGangs(World& world) : world_(world) {}
 
-  /// A task of the attempt on a worker; `serial` tells one start from another.
+  /// A task of the attempt on a worker; `serial` distinguishes successive starts.
   struct Member {
     FakeWorker* worker = nullptr;
     std::uint64_t serial = 0;
-    bool stop_requested = false;  ///< it was told to stop with a grace period
+    bool stop_requested = false;  ///< it was asked to stop with a grace period
     bool saved = false;
   };
 
-  /// The task has its image and waits for the others.
+  /// The task has fetched its image and waits for the others.
   void join(const std::string& job, std::uint32_t index, std::uint64_t attempt, Member member);
   /// The task has exited or was killed, or its machine is lost.
   void leave(const std::string& job, std::uint32_t index, std::uint64_t attempt);
-  /// The task was told to stop with a grace period; false if the gang is not running.
+  /// The task was asked to stop with a grace period; false if the gang is not running.
   bool stop(const std::string& job, std::uint32_t index, std::uint64_t attempt);
   [[nodiscard]] bool completed(const std::string& job) const { return completed_.contains(job); }
 
-  // What happened so far, for tests.
+  // Counters for tests.
 
-  /// Attempts that ran, that failed, and that were saved whole.
+  /// Attempts that ran, that failed, and whose tasks all saved a checkpoint.
   [[nodiscard]] std::size_t attempts_started() const { return attempts_started_; }
   [[nodiscard]] std::size_t attempts_failed() const { return attempts_failed_; }
   [[nodiscard]] std::size_t attempts_saved() const { return attempts_saved_; }
@@ -61,13 +61,13 @@
   void fail(const AttemptKey& name, Attempt& attempt, double within_s);
   void check_saved(const AttemptKey& name, Attempt& attempt);
   [[nodiscard]] double run_time(const std::string& job);
-  /// Of the whole job, up to now or to the first stop.
+  /// Progress of the job in seconds, up to now or to the first stop request.
   [[nodiscard]] double total_progress(const AttemptKey& name, const Attempt& attempt);
 
   World& world_;
   std::map<AttemptKey, Attempt> attempts_;
   std::map<std::string, double> run_times_;
-  std::map<std::string, double> saved_progress_;  ///< safe
+  std::map<std::string, double> saved_progress_;  ///< seconds saved in checkpoints
   std::map<std::string, bool> completed_;
   std::size_t attempts_started_ = 0, attempts_failed_ = 0, attempts_saved_ = 0;
 };
--- a/tests/support/heartbeats.hpp
+++ b/tests/support/heartbeats.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Heartbeats for tests that speak for a worker.
+/// Heartbeats for tests that send them in place of a worker.
 #pragma once
 
 #include <optional>
@@ -9,14 +9,14 @@
 
 namespace elmstall::test {
 
-/// What this worker would send if it had no task.
+/// The heartbeat of this worker without any task.
 inline wire::WorkerHeartbeat heartbeat_of(const FakeWorker& worker, std::uint64_t epoch,
                                           std::uint64_t sequence, std::uint64_t token) {
   return {worker.id(), worker.id(), worker.type(), worker.zone(), worker.spot(),
           epoch,       sequence,    token,         std::nullopt,  {}};
 }
 
-/// Adds all tasks that the leader knows on the machine, in this state.
+/// Adds all tasks that the leader has on the machine, in this state.
 inline void show_tasks(wire::WorkerHeartbeat& heartbeat, const state::Machine& machine,
                        wire::TaskState state, wire::EndCause cause) {
   for (const auto* task : machine.tasks)
--- a/tests/support/histories.hpp
+++ b/tests/support/histories.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Steps and checks that the tests with random histories share.
+/// Steps and checks shared by the tests with random histories.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,16 +15,16 @@
 namespace elmstall::test {
 
 /// Limits that the state store announces in some histories. A block of the test world and the
-/// record of a job just fit.
+/// record of a job fit only just.
 inline constexpr config::StateLimits kLowerLimits{120, 18, 0.8, 4};
 
-/// Last seed to play: `usual`, or for longer searches the environment's ELMSTALL_CHAOS_SEEDS.
+/// Last seed to run: `usual`, or for longer searches the environment's ELMSTALL_CHAOS_SEEDS.
 inline unsigned last_seed(unsigned usual) {
   const char* wanted = std::getenv("ELMSTALL_CHAOS_SEEDS");
   return wanted == nullptr ? usual : static_cast<unsigned>(std::max(1, std::atoi(wanted)));
 }
 
-/// Begins a random fault of `concurrent_faults`; returns its line for the fault_log of the history.
+/// Begins a random fault of `concurrent_faults`; returns its entry for the fault log.
 inline std::string begin_random_fault(World& world, double now) {
   const auto& faults = concurrent_faults();
   const auto& fault = faults[world.pick(faults.size())];
@@ -56,11 +56,11 @@
     });
     for (const auto& id : waiting) {
       const double since = waiting_since.try_emplace(id, t).first->second;
-      ASSERT_LT(t - since, 90) << id << " waits beside room" << fault_log;
+      ASSERT_LT(t - since, 90) << id << " waits despite free capacity" << fault_log;
     }
     for (const auto& id : world.rules.accepted_jobs())
       ASSERT_TRUE(t < faults_end + 75 || world.last_response_at(id) > t - 75)
-          << id << " is not answered for" << fault_log;
+          << id << " had no successful poll" << fault_log;
     ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << fault_log;
   }
 }
--- a/tests/support/jobs.hpp
+++ b/tests/support/jobs.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs that several tests submit.
+/// Job specs shared by several tests.
 #pragma once
 
 #include <string>
--- a/tests/support/leader_view.hpp
+++ b/tests/support/leader_view.hpp
@@ -1,6 +1,5 @@
 /// \file
-/// What the leading controller knows, as tests look at it. Accesses to the internals of the
-/// controller stand here, as far as several tests share them.
+/// Read access of tests to the state of the leading controller, as far as several tests share it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +16,7 @@
 /// The leader's model of jobs and machines; a controller must lead.
 inline state::Model& leader_model(World& world) { return leader_of(world).model(); }
 
-/// The job in the leader's model; null if nobody leads or the leader does not know it.
+/// The job in the leader's model; null if there is no leader or the leader does not know it.
 inline state::Job* job_at_leader(World& world, const std::string& id) {
   return world.leader() == nullptr ? nullptr : leader_model(world).job(id);
 }
@@ -27,7 +26,7 @@
   return leader_model(world).find_machine(worker.id());
 }
 
-/// Number of the job's tasks that are or may be on machines, as the leader sees it.
+/// Number of the job's tasks that are or may be on machines, according to the leader.
 inline std::size_t placed_tasks(World& world, const std::string& id) {
   const auto* job = job_at_leader(world, id);
   return job == nullptr ? 0 : job->on_machines;
@@ -45,7 +44,7 @@
   return count;
 }
 
-/// A worker that has a task of this job, as the leader sees it, or null.
+/// A worker that has a task of this job, according to the leader, or null.
 inline FakeWorker* worker_of(World& world, const std::string& job) {
   if (world.leader() == nullptr) return nullptr;
   for (const auto& [id, machine] : leader_model(world).machines()) {
@@ -61,7 +60,7 @@
   for (std::size_t i = 0; i < world.node_count(); ++i) {
     if (world.node(i) != nullptr && world.node(i) == world.leader()) return i;
   }
-  ADD_FAILURE() << "nobody leads";
+  ADD_FAILURE() << "no leader";
   return 0;
 }
 
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -10,9 +10,9 @@
 
 namespace elmstall::test {
 
-/// Chooses free addresses of a loopback host that no other process uses. On 127.0.0.1 another
-/// process, or the local end of a connection, once took a port before the controller listened on
-/// it. So the host part is this process's own.
+/// Chooses free addresses on a loopback host that is derived from the process id: on 127.0.0.1
+/// another process, or the local end of a connection, can take the port before the controller
+/// listens on it.
 class LoopbackAddresses {
  public:
   explicit LoopbackAddresses(asio::io_context& io) : io_(io) {}
@@ -22,7 +22,7 @@
     const auto pid = static_cast<unsigned>(::getpid());
     const auto host = "127." + std::to_string(1 + (pid >> 16) % 250) + "." +
                       std::to_string((pid >> 8) % 256) + "." + std::to_string(pid % 256);
-    // Those that were chosen stay open while further ones are chosen.
+    // Chosen ports stay open, so that none is chosen twice.
     probes_.emplace_back(io_, asio::ip::tcp::endpoint{asio::ip::make_address(host), 0});
     return host + ":" + std::to_string(probes_.back().local_endpoint().port());
   }
--- a/tests/support/network_faults.hpp
+++ b/tests/support/network_faults.hpp
@@ -9,10 +9,10 @@
 namespace elmstall::test {
 
 /// Which links are cut, and how messages on the others get lost. Tests change this while virtual
-/// time runs; each simulated component asks it before it delivers a message.
+/// time runs; each simulated component checks it before it delivers a message.
 class NetworkFaults {
  public:
-  /// Cuts what crosses between two zones; the messages are lost.
+  /// Loses all messages between the two zones.
   void partition_zones() { zones_partitioned_ = true; }
   void heal_partition() { zones_partitioned_ = false; }
   /// Cuts a zone off from the other zones. `World::cut_zone` also cuts it off from the state store.
--- a/tests/support/other_version.hpp
+++ b/tests/support/other_version.hpp
@@ -26,7 +26,7 @@
   [[nodiscard]] virtual bool leads() const = 0;
 };
 
-/// What a controller of another version is connected to.
+/// Dependencies of a controller of another version.
 struct OtherNodePorts {
   const config::Settings& settings;
   VirtualEventLoop& event_loop;
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -84,8 +84,8 @@
   process.store->disconnect();
   process.node.reset();
   process.other.reset();
-  // The store and the transport stay until the restart: requests that are under way may still be
-  // carried out on the other side.
+  // The store and the transport stay until the restart: requests in flight may still be executed by
+  // the receiver.
   process.event_loop = std::make_unique<VirtualEventLoop>(world_.loop, 1);
   world_.loop.after(restart_after_s, [this, index] { start_process(index); });
 }
--- a/tests/support/processes.hpp
+++ b/tests/support/processes.hpp
@@ -82,7 +82,7 @@
   World& world_;
   OtherNodeFactory other_factory_;
   std::vector<Process> nodes_;
-  /// Connections of dead processes: what they sent may still be under way.
+  /// Connections of ended processes: their requests may still be in flight.
   std::vector<std::unique_ptr<FakeStore>> retired_stores_;
   std::map<std::size_t, double> clock_rates_;
 };
--- a/tests/support/production_node.hpp
+++ b/tests/support/production_node.hpp
@@ -1,5 +1,6 @@
-// A controller of the version that is in production, built from the repository's
-// history, behind plain types: its own are of another version than the test's.
+/// \file
+/// Interface to a controller of the production version, built from the repository's history. It
+/// uses plain types, because the types of that version differ from those of the tests.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-// Not below the project's namespace, which the other version's build renames.
+// Outside the project's namespace, which the build of the production version renames.
 namespace production {
 
 struct Peer {
@@ -25,7 +26,7 @@
   std::string kind, job_class;
   double within_s = 0, share = 0;
 };
-/// The part of the settings that a controller decides by.
+/// The settings that affect decisions of a controller.
 struct Settings {
   std::string node, zone;
   std::vector<Peer> peers;
@@ -78,7 +79,7 @@
 using RentDone = std::function<void(int outcome, std::vector<std::string> hosts)>;
 using OrderDone = std::function<void(int outcome, std::optional<std::string> report)>;
 
-/// What the controller asks of the world.
+/// Operations that the controller calls.
 struct Ports {
   std::function<double()> now, wall, random;
   std::function<void(double, std::function<void()>)> after;
--- a/tests/support/real_time.hpp
+++ b/tests/support/real_time.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Lets the virtual time of a world pass with real time, for tests with real processes.
+/// Advances the virtual time of a world with real time, for tests with real processes.
 #pragma once
 
 #include <asio.hpp>
@@ -14,8 +14,8 @@
  public:
   RealTime(asio::io_context& io, VirtualLoop& loop) : loop_(loop), timer_(io) { step(); }
 
-  /// Brings virtual time up to the present. To be called before what arrives from outside is
-  /// handled, so that it is not taken to have come earlier than it did.
+  /// Advances virtual time to the current time. Must be called before an external message is
+  /// handled, so that it does not get an earlier time of arrival.
   void advance() {
     const auto passed = std::chrono::steady_clock::now() - started_;
     loop_.run_until(std::chrono::duration<double>(passed).count());
--- a/tests/support/requests.hpp
+++ b/tests/support/requests.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests of users and workers to a controller, and what its responses say.
+/// Requests of users and workers to a controller, and decoding of its responses.
 #pragma once
 
 #include <string>
@@ -32,7 +32,7 @@
   return {"POST", "/v1/report", wire::encode_heartbeat(heartbeat)};
 }
 
-// What responses with status 200 say.
+// Contents of responses with status 200.
 
 /// The state of the job, in the response to any request of a user.
 [[nodiscard]] inline wire::JobState job_state_in(const net::Response& response) {
--- a/tests/support/rules.cpp
+++ b/tests/support/rules.cpp
@@ -23,7 +23,7 @@
 
 void RuleChecker::record_status(double now, const std::string& id, JobState state,
                                 double requested_at) {
-  report_event(now, id + " told " + std::string(wire::to_text(state)) + ", asked at " +
+  report_event(now, id + " reported as " + std::string(wire::to_text(state)) + ", requested at " +
                         std::to_string(requested_at));
   if (!submitted_.contains(id)) fail("invented", id);
   accepted_at_.try_emplace(id, now);
@@ -93,7 +93,7 @@
                                   const std::string& machine) {
   if (placements_[{job, index}].erase(machine) == 0) return;
   report_event(now, wire::task_name(job, index) + " is off " + machine);
-  // To the moment, not to the half second of `check_cancel_deadlines`.
+  // Checked exactly here, without the half-second steps of `check_cancel_deadlines`.
   const auto reported = cancel_reported_at_.find(job);
   if (reported != cancel_reported_at_.end() && now > reported->second + settings_.cancel_s)
     fail("ran_cancelled", wire::task_name(job, index) + " was there too long");
--- a/tests/support/rules.hpp
+++ b/tests/support/rules.hpp
@@ -14,7 +14,7 @@
 
 namespace elmstall::test {
 
-/// Sees what really happens on machines and what users are told, and notes each violation.
+/// Records what happens on machines and the responses to users, and reports each violation.
 class RuleChecker {
  public:
   explicit RuleChecker(const config::Settings& settings) : settings_(settings) {}
@@ -27,18 +27,18 @@
     bool spot = false;
   };
 
-  /// Called with each event that the checker sees, in words, for a test that keeps a history.
+  /// Called with a description of each recorded event, for tests that write a history.
   std::function<void(double now, const std::string& event)> on_event;
 
-  // What users do and hear.
+  // Requests of users and the responses to them.
   void record_submitted(const wire::JobSpec& spec) {
     submitted_.insert(spec.id);
     specs_.emplace(spec.id, spec);
   }
   void record_cancel_request(const std::string& id) { cancel_requested_.insert(id); }
   void record_accepted(double now, const std::string& id);
-  /// `requested_at`: when the request was sent. Only what users were told before then binds the
-  /// response.
+  /// `requested_at`: when the request was sent. The response must agree with the responses that
+  /// users had received by then.
   void record_status(double now, const std::string& id, wire::JobState state, double requested_at);
   void record_status(double now, const std::string& id, wire::JobState state) {
     record_status(now, id, state, now);
@@ -46,13 +46,13 @@
   void record_not_found(const std::string& id, double requested_at);
   void record_rejected(const std::string& id);
 
-  /// A controller held back an answer that contradicts an earlier one of its own: no user was told
-  /// anything wrong, but it should not have come to that.
+  /// A controller withheld a response that contradicts an earlier one of its own: no user received
+  /// it, but it indicates a fault.
   void record_withheld_response(const std::string& node) {
     fail("withheld", "an answer of " + node);
   }
 
-  // What happens on machines.
+  // Events on machines.
   void record_task_start(double now, const std::string& job, std::uint32_t index,
                          const Place& place);
   void record_task_end(double now, const std::string& job, std::uint32_t index,
@@ -68,13 +68,13 @@
     return violations_.empty() ? "" : violations_.front();
   }
   [[nodiscard]] std::size_t starts() const { return starts_; }
-  /// Starts after the user was told that the job is cancelled. Within `cancel_s` they break no
-  /// rule, but they are not wanted.
+  /// Starts after the job was reported as cancelled. Within `cancel_s` they break no rule, but are
+  /// undesired.
   [[nodiscard]] std::size_t late_starts() const { return late_starts_; }
   /// Tasks of the job that are on a machine now.
   [[nodiscard]] std::size_t tasks_on_machines(const std::string& job) const;
   [[nodiscard]] std::size_t completed_tasks(const std::string& job) const;
-  /// A user was told that the job is done or cancelled.
+  /// The job was reported to a user as done or cancelled.
   [[nodiscard]] bool final_state_reported(const std::string& job) const {
     return final_states_.contains(job);
   }
@@ -94,9 +94,9 @@
   const config::Settings& settings_;
   std::map<std::string, wire::JobSpec> specs_;
   std::set<std::string> submitted_;
-  std::map<std::string, double> accepted_at_;  ///< when the user was told
+  std::map<std::string, double> accepted_at_;  ///< time of the response
   std::set<std::string> cancel_requested_;
-  std::map<std::string, double> cancel_reported_at_;  ///< when the user was told
+  std::map<std::string, double> cancel_reported_at_;  ///< time of the response
   std::map<std::string, std::pair<wire::JobState, double>> final_states_;
   std::map<std::string, std::set<std::uint32_t>> completed_tasks_;
   std::map<Task, std::map<std::string, Place>> placements_;
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Steps that many tests of the world share: polls, faults of all nodes or workers, checks.
+/// Steps shared by many tests of the world: polls, faults of all nodes or workers, checks.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
 
 // Users.
 
-/// What a user who polls the job now is told within 2 s.
+/// The last reported state of the job, after a poll with 2 s to respond.
 inline std::optional<wire::JobState> poll_reported_state(World& world, const std::string& id) {
   world.poll(id);
   world.run_for(2);
@@ -82,8 +82,8 @@
 
 // Faults of all workers.
 
-/// No message passes between the workers and the nodes. Tests that then speak for a worker use
-/// `heartbeat_of`.
+/// No message passes between the workers and the nodes. Tests that then send heartbeats in place of
+/// a worker use `heartbeat_of`.
 inline void cut_all_workers(World& world) {
   for (auto& [id, worker] : world.workers) worker->cut = true;
 }
--- a/tests/support/users.cpp
+++ b/tests/support/users.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+// Seconds.
 constexpr double kOneWayDelay = 0.002;
 constexpr double kRequestTimeout = 5;
 constexpr double kPollTimeout = 2;
@@ -58,7 +59,7 @@
        [this, spec, requested_at,
         on_failure = std::move(on_failure)](const std::optional<net::Response>& response) {
          const int status = response ? response->status : 0;
-         // A 201 carries a state like any other answer: it once escaped the check of went_back.
+         // A 201 also carries a state, which the went_back check must cover.
          if (status == 200 || status == 201)
            return record_state(spec.id, job_state_in(*response), requested_at);
          if (status == 400 || status == 422) return world_.rules.record_rejected(spec.id);
@@ -107,7 +108,7 @@
 bool Users::cancel_at(std::size_t node, const std::string& id, double wait_s) {
   world_.rules.record_cancel_request(id);
   const double requested_at = world_.loop.now();
-  // Shared, for the response may come after the wait.
+  // Shared, because the response may arrive after the wait.
   auto cancelled = std::make_shared<bool>(false);
   world_.send_to_node(node, cancel_request(id),
                       [this, id, requested_at, cancelled](const net::Response& response) {
--- a/tests/support/users.hpp
+++ b/tests/support/users.hpp
@@ -17,8 +17,8 @@
 
 class World;
 
-/// Sends the users' requests to random nodes, repeats them until they are answered, and passes the
-/// responses to the rule checker.
+/// Sends the users' requests to random nodes, retries them until there is a response, and passes
+/// the responses to the rule checker.
 class Users {
  public:
   explicit Users(World& world) : world_(world) {}
@@ -29,11 +29,10 @@
   void submit(const wire::JobSpec& spec);
   /// Cancels a job; without a response the request is repeated for a minute.
   void cancel(const std::string& id);
-  /// Asks once for the state of the job.
+  /// Requests the state of the job once.
   void poll(const std::string& id);
-  /// From now on users ask at all nodes, within milliseconds and again some seconds later, and
-  /// repeat the submission there, whenever they were told for the first time that a job is
-  /// accepted, done or cancelled.
+  /// From now on, whenever a state of a job is reported for the first time, users poll the job and
+  /// submit it again at all nodes, within 10 ms and again within 3 s.
   void cross_check_states() { cross_check_enabled_ = true; }
   /// Cancels through this node, once, and lets `wait_s` pass; true if the response said that
   /// the job is cancelled.
@@ -53,14 +52,14 @@
   void send(std::size_t node, net::Request request, double timeout_s, Done done);
   void deliver(std::size_t node, const net::Request& request, const Done& done);
   void poll_at(std::size_t node, const std::string& id);
-  /// Submits the job once; `on_failure` is called when that did not end it.
+  /// Submits the job once; `on_failure` is called if the request has to be retried.
   void submit_at(std::size_t node, const wire::JobSpec& spec, std::function<void()> on_failure);
   void submit_with_retries(const wire::JobSpec& spec, double until);
   void cancel_with_retries(const std::string& id, double until);
   /// `requested_at`: when the request was sent.
   void record_status_response(const std::string& id, const net::Response& response,
                               double requested_at);
-  /// Passes what a user was told of the job's state to the rule checker.
+  /// Passes the reported state of the job to the rule checker.
   void record_state(const std::string& id, wire::JobState state, double requested_at);
   void cross_check_at_all_nodes(const std::string& id);
 
@@ -70,7 +69,7 @@
   std::map<std::string, double> last_response_at_;
   bool cross_check_enabled_ = false;
   std::set<std::pair<std::string, wire::JobState>>
-      cross_checked_;  ///< states that were told before
+      cross_checked_;  ///< states that were reported before
 };
 
 }  // namespace elmstall::test
--- a/tests/support/virtual_time.hpp
+++ b/tests/support/virtual_time.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Time that passes only when the test lets it.
+/// Virtual time, which advances only when the test runs the loop.
 #pragma once
 
 #include <functional>
@@ -49,13 +49,13 @@
     loop_.after(seconds / rate_,
                 [this, alive = std::weak_ptr<char>(alive_), fn = std::move(fn)]() mutable {
                   if (alive.expired()) return;
-                  // Clocks run on while the process stands still; its timers run when it goes on.
+                  // Clocks continue while the process is frozen; its timers run when it resumes.
                   if (loop_.now() < frozen_until_)
                     return after((frozen_until_ - loop_.now()) * rate_, std::move(fn));
                   fn();
                 });
   }
-  /// The process stands still for so many seconds.
+  /// Freezes the process for so many seconds.
   void freeze(double seconds) { frozen_until_ = loop_.now() + seconds; }
   void defer(std::function<void()> fn) override { after(0.0002, std::move(fn)); }
 
--- a/tests/support/worker.cpp
+++ b/tests/support/worker.cpp
@@ -62,7 +62,7 @@
 
 void FakeWorker::check_lease() {
   if (dead_) return;
-  expire();  // a hanging machine's tasks end with its lease, too
+  expire();  // the tasks of a hanging machine also end with its lease
   world_.loop.after(0.1, [this] { check_lease(); });
 }
 
@@ -142,7 +142,7 @@
   const auto sequence = last_sent_sequence_ = sequence_;
   world_.loop.after(4.0, [this, sequence, node] {
     if (dead_ || !in_flight_ || sequence != last_sent_sequence_) return;
-    in_flight_ = false;  // a hanging machine finds out when it goes on
+    in_flight_ = false;  // a hanging machine notices this when it resumes
     node_ = (node + 1) % world_.node_count();
     schedule_heartbeat(1.0);
   });
@@ -150,7 +150,7 @@
                     world_.random() < world_.network.loss;
   net::Request request{"POST", "/v1/report", wire::encode_heartbeat(heartbeat)};
   if (lost) {
-    // Half of what gets stuck arrives much later, when nobody waits for it.
+    // Half of the lost requests arrive 5 to 45 s later; their responses are ignored.
     if (world_.random() < 0.5) {
       world_.loop.after(5 + 40 * world_.random(), [this, node, request] {
         world_.send_to_node(node, request, [](const net::Response&) {});
@@ -209,7 +209,7 @@
   switch (command.verb) {
     case wire::Verb::run:
       if (found != tasks_.end() && found->second.attempt == command.attempt) return;
-      if (found != tasks_.end()) return;  // in use: it stays with the other attempt
+      if (found != tasks_.end()) return;  // another attempt of the task is still there
       return run(name, command.attempt);
     case wire::Verb::stop:
       if (found == tasks_.end() || found->second.attempt != command.attempt ||
@@ -263,7 +263,7 @@
     task.cause = EndCause::no_room;
     return send_heartbeat_soon();
   }
-  // Without an image to fetch it runs at once.
+  // Without an image to fetch the task runs at once.
   world_.loop.after(spec->image_gb > 0 ? 0.5 + spec->image_gb : 0,
                     [this, name, serial = serial_] { start_task(name, serial); });
 }
--- a/tests/support/worker.hpp
+++ b/tests/support/worker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A worker as the protocol page describes it, in virtual time.
+/// Simulated worker in virtual time, as the protocol page describes it.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
  public:
   /// Picks a random node to send heartbeats to; `start` begins.
   FakeWorker(World& world, std::string id, std::string type, std::string zone, bool spot);
-  /// The machine is up: sends the first heartbeat.
+  /// The machine has booted: sends the first heartbeat.
   void start();
   /// The machine is lost with all its tasks.
   void die();
@@ -32,10 +32,10 @@
   [[nodiscard]] const std::string& type() const { return type_; }
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] bool spot() const { return spot_; }
-  /// Executes a command RPC, at the moment in which it arrives.
+  /// Executes a command RPC on arrival.
   clients::CommandResult on_command_rpc(std::uint64_t token, std::uint64_t epoch,
                                         const std::vector<wire::WorkerCommand>& commands);
-  /// The machine and its tasks stand still, and go on after so many seconds.
+  /// Stops the machine and its tasks for so many seconds.
   void hang(double seconds);
   [[nodiscard]] bool hung() const;
   // Called by `FakeGangs`, which decides for all tasks of a gang.
@@ -48,7 +48,7 @@
   [[nodiscard]] bool has_sent_heartbeat() const { return sequence_ > 0; }
   /// The resources of its tasks that wait for their image.
   [[nodiscard]] sched::Amount fetching() const;
-  /// When the machine goes on, in virtual time.
+  /// When the machine resumes, in virtual time.
   [[nodiscard]] double hung_until() const { return hung_until_; }
   bool cut = false;  ///< no message passes in either direction
   bool responses_dropped =
@@ -83,7 +83,7 @@
   void end(const Name& name, wire::EndCause cause, bool saved);
   void check_lease();
   void expire();
-  /// True while it hangs; `fn` then follows once it goes on.
+  /// True while the machine hangs; `fn` then runs when it resumes.
   bool defer_while_hung(std::function<void()> fn);
   void drop_all_tasks();
   void send_heartbeat_soon();
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -57,7 +57,7 @@
 
 std::optional<net::Response> World::response_of(std::size_t node, net::Request request,
                                                 double wait_s) {
-  // Shared, for the response may come after the wait.
+  // Shared, because the response may arrive after the wait.
   auto response = std::make_shared<std::optional<net::Response>>();
   send_to_node(node, std::move(request),
                [response](net::Response received) { *response = std::move(received); });
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// A small deployment in virtual time: controllers of the real code, and simulations of the state
-/// store, cloud, workers, network and users around them. This class puts the parts together.
+/// store, cloud, workers, network and users around them. This class connects them.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
 namespace elmstall::test {
 
 /// Everything runs on one virtual event loop, and every random draw comes from one generator: a
-/// seed plays the same history each time, as long as the order of draws and events is kept.
+/// seed gives the same history each time, as long as the order of draws and events is kept.
 class World {
  public:
   /// \param nodes number of controllers; 0 for tests that run their own
@@ -33,9 +33,9 @@
                  std::optional<config::StateLimits> next = std::nullopt,
                  OtherNodeFactory other = {});
 
-  // Time and chance.
+  // Time and randomness.
 
-  /// Lets virtual time pass up to `end`, in seconds since the start.
+  /// Advances virtual time to `end`, in seconds since the start.
   void run_until(double end) { loop.run_until(end); }
   void run_for(double seconds) { run_until(loop.now() + seconds); }
   /// Uniform in [0, 1).
@@ -62,7 +62,7 @@
   /// The node's next process, and all after that, are of this version.
   void upgrade(std::size_t node) { processes.at(node).upgraded = true; }
   [[nodiscard]] bool upgraded(std::size_t node) const { return processes.at(node).upgraded; }
-  /// The node's process stands still while its clocks run on.
+  /// Freezes the node's process while its clocks continue.
   void freeze(std::size_t node, double seconds) { processes.at(node).event_loop->freeze(seconds); }
   /// The steady clock of the node's processes from now on runs at this rate.
   void set_clock_rate(std::size_t node, double rate) { processes.set_clock_rate(node, rate); }
@@ -75,7 +75,7 @@
 
   /// Passes a request to a node unless it is down or cut off from the workers.
   void send_to_node(std::size_t node, net::Request request, net::Responder respond);
-  /// Sends a request and lets `wait_s` pass; what the node responded, if anything.
+  /// Sends a request and advances time by `wait_s`; returns the response, if there was one.
   std::optional<net::Response> response_of(std::size_t node, net::Request request, double wait_s);
 
   // Users; see `Users`.
@@ -97,19 +97,19 @@
 
   // The state store, the zones and the fleet.
 
-  /// For a large fleet: rare heartbeats, long leases, a state store with more room.
-  /// To be called before anything runs.
+  /// Settings for a large fleet: rare heartbeats, long leases, higher limits of the state store.
+  /// Must be called before virtual time advances.
   void use_large_fleet_settings();
   void stop_state_store() { state.down = true; }
   void restore_state_store();
-  /// From now on the announced limits hold.
+  /// From now on the state store enforces the announced limits.
   void lower_state_limits();
   /// Cuts a zone off from everything outside it, the state store too.
   void cut_zone(const std::string& zone);
   void restore_zone(const std::string& zone);
   /// No message is lost between this node and that zone.
   [[nodiscard]] bool reachable(std::size_t node, const std::string& zone) const;
-  /// The cloud takes back so many spot machines, without notice.
+  /// The cloud reclaims so many spot machines without notice.
   void reclaim_spot_machines(std::size_t count);
 
   std::mt19937 generator;
@@ -130,12 +130,12 @@
   std::size_t external_node_count = 0;  ///< number of those controllers
   /// Set by tests with real connections: the address at which a machine's worker takes commands.
   std::function<std::string(const std::string& machine)> worker_address;
-  /// Called when the last task of a job has just ended on its machine.
+  /// Called when the last task of a job has ended on its machine.
   std::function<void(const std::string& job)> on_last_task_end;
   /// Called when a machine has executed a command RPC, before it replies.
   std::function<void()> on_commands;
 
-  /// Last, so that the controllers end before what they are connected to.
+  /// Declared last, so that the controllers are destroyed before their dependencies.
   Processes processes;
 
  private:
