--- a/tests/support/faults.cpp
+++ b/tests/support/faults.cpp
@@ -177,6 +177,7 @@
   after(world, length * 2, [&world, zone] { world.restore_zone(zone); });
 }
 
+/// About a third of the machines are lost; the cloud's list, which lags, shows this late.
 void machines_lost(World& world, std::size_t, double) {
   for (auto& [id, worker] : world.workers) {
     if (worker->dead() || world.random() > 0.3) continue;
