--- a/src/autoscaler/demand_estimator.cpp
+++ b/src/autoscaler/demand_estimator.cpp
@@ -15,20 +15,21 @@
     : settings_(settings), model_(model), estimates_(estimates), term_start_(term_start) {}
 
 sched::Demand DemandEstimator::estimate(const wire::MachineType& machine_type, double now) {
-  auto& arrivals = arrivals_.try_emplace(machine_type.name, k::kArrivalMemory, now).first->second;
+  auto& arrivals =
+      arrivals_.try_emplace(machine_type.name, k::kArrivalRateWindow, now).first->second;
   sched::Demand demand;
   TeamDemand team_demand;
-  double machines_ending = 0;
+  double machines_freed = 0;
   std::uint64_t newest_serial = newest_counted_serial_;
   for (const auto& [id, job] : model_.jobs()) {
-    if (!wants_machine_type(*job, machine_type, now)) continue;
+    if (!needs_machine_type(*job, machine_type, now)) continue;
     const auto* team = settings_.team(job->spec.team);
     if (team == nullptr) continue;
     const auto packed = tasks_per_machine(job->need, machine_type);
     if (!packed) continue;
     const double machines_per_task = 1.0 / *packed;
     if (job->spec.spot)
-      machines_ending += machines_per_task * tasks_ending_soon(*job, machine_type.ready_s, now);
+      machines_freed += machines_per_task * tasks_ending_soon(*job, machine_type.ready_s, now);
     newest_serial = std::max(newest_serial, job->serial);
     if (counts_as_arrival(*job, machine_type))
       arrivals.add(now, machines_per_task * std::min<double>(job->spec.tasks, k::kWindowTasks));
@@ -36,14 +37,14 @@
     (job->spec.spot ? demand.flexible : demand.ordinary) += machines_per_task * tasks;
   }
   newest_counted_serial_ = newest_serial;
-  const double change = expected_change(machine_type, arrivals, machines_ending, now);
-  demand.flexible = std::max(0.0, demand.flexible + settings_.tuning.foresight * change);
+  const double change = expected_change(machine_type, arrivals, machines_freed, now);
+  demand.flexible = std::max(0.0, demand.flexible + settings_.tuning.forecast_share * change);
   demand.headroom =
       settings_.tuning.headroom_machines + settings_.tuning.headroom_share * demand.ordinary;
   return demand;
 }
 
-bool DemandEstimator::wants_machine_type(const state::Job& job,
+bool DemandEstimator::needs_machine_type(const state::Job& job,
                                          const wire::MachineType& machine_type, double now) {
   if (job.cancelled || job.failed_until > now || job.all_done()) return false;
   const auto& types = job.spec.types;
@@ -54,7 +55,7 @@
                                            TeamDemand& team_demand) {
   auto& demand = team_demand[job.spec.team];
   const double tasks =
-      sched::within_limit_count(team, demand, job.need, job.spec.tasks - job.finished_tasks);
+      sched::max_tasks_within_limit(team, demand, job.need, job.spec.tasks - job.finished_tasks);
   demand += job.need * tasks;
   return tasks;
 }
@@ -62,9 +63,9 @@
 bool DemandEstimator::counts_as_arrival(const state::Job& job,
                                         const wire::MachineType& machine_type) const {
   // Jobs taken over from a former leader did not arrive just now, and right after a takeover users
-  // catch up with submissions that were refused before. Neither shows the usual rate.
+  // repeat submissions that were refused before. Neither represents the usual arrival rate.
   return job.spec.spot && urgent(job, machine_type) && job.serial > newest_counted_serial_ &&
-         job.submitted > term_start_.at + k::kArrivalSettle;
+         job.submitted > term_start_.at + k::kArrivalIgnoredAfterTakeover;
 }
 
 bool DemandEstimator::urgent(const state::Job& job, const wire::MachineType& machine_type) const {
@@ -74,7 +75,7 @@
       machine_type.fetch_gb_per_s > 0 ? job.spec.image_gb / machine_type.fetch_gb_per_s : 0;
   const double run_s = estimates_.run_time(job.spec.job_class, job.spec.expect_s);
   const double slack_s = *objective_s - run_s - fetch_s;
-  return slack_s < k::kUrgentBoots * machine_type.ready_s;
+  return slack_s < k::kUrgentBootTimes * machine_type.ready_s;
 }
 
 double DemandEstimator::tasks_ending_soon(const state::Job& job, double within_s,
@@ -92,14 +93,15 @@
 }
 
 double DemandEstimator::expected_change(const wire::MachineType& machine_type,
-                                        sched::ArrivalRate& arrivals, double machines_ending,
+                                        sched::ArrivalRate& arrivals, double machines_freed,
                                         double now) const {
   // After a takeover the arrival rate is not known at first. Work that ends must then not be
-  // subtracted either, because nothing would stand for the work that replaces it.
+  // subtracted either, because the work that replaces it is not counted.
   const bool rate_known =
-      term_start_.first_term() || now > term_start_.at + k::kArrivalSettle + k::kArrivalLearn;
+      term_start_.first_term() ||
+      now > term_start_.at + k::kArrivalIgnoredAfterTakeover + k::kArrivalRateMinWindow;
   if (!rate_known) return 0;
-  return arrivals.per_second(now) * machine_type.ready_s - machines_ending;
+  return arrivals.per_second(now) * machine_type.ready_s - machines_freed;
 }
 
 }  // namespace elmstall::autoscaler
--- a/src/autoscaler/demand_estimator.hpp
+++ b/src/autoscaler/demand_estimator.hpp
@@ -2,8 +2,9 @@
 /// Estimates how many machines of a type the jobs will need one boot time from now.
 ///
 /// A machine that is provisioned now can serve only the demand of one boot time later. The demand
-/// of flexible work is therefore taken as what is there, plus what arrives within a boot time at
-/// the measured rate, less what will have ended by then ("Fleet size" in docs/design.md).
+/// of flexible work is therefore the present work, plus the work that arrives within a boot time at
+/// the recent arrival rate, less the work that will have ended by then ("Fleet size" in
+/// docs/design.md).
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 
 namespace elmstall::autoscaler {
 
-/// Runs on the controller's event loop.
+/// Estimates the demand for each machine type. Runs on the controller's event loop.
 class DemandEstimator {
  public:
   /// `term_start`: when the present leadership began. The references have to outlive this object.
@@ -36,7 +37,7 @@
   using TeamDemand = std::map<std::string, sched::Amount>;
 
   /// Whether the job needs machines now, and may use this type.
-  [[nodiscard]] static bool wants_machine_type(const state::Job& job,
+  [[nodiscard]] static bool needs_machine_type(const state::Job& job,
                                                const wire::MachineType& machine_type, double now);
   /// How many of the job's unfinished tasks its team's hard limit allows to run beside the rest
   /// of the team's demand. Adds them to that demand.
@@ -51,7 +52,7 @@
   [[nodiscard]] double tasks_ending_soon(const state::Job& job, double within_s, double now) const;
   /// The likely change of flexible demand, in machines, until a machine requested now is up.
   [[nodiscard]] double expected_change(const wire::MachineType& machine_type,
-                                       sched::ArrivalRate& arrivals, double machines_ending,
+                                       sched::ArrivalRate& arrivals, double machines_freed,
                                        double now) const;
 
   const config::Settings& settings_;
--- a/src/autoscaler/machine_list.cpp
+++ b/src/autoscaler/machine_list.cpp
@@ -55,13 +55,13 @@
   const bool known = model_.find_machine(entry.id) != nullptr;
   auto& machine = model_.machine(entry.id);
   if (machine.type.empty())
-    model_.describe(machine, entry.type, entry.zone, entry.spot, entry.addr);
+    model_.update_attributes(machine, entry.type, entry.zone, entry.spot, entry.addr);
   if (!known) machine.provisioned_at = now - entry.age_s;
   machine.listed = true;
   if (entry.state == wire::CloudMachine::State::failed && !machine.reported_failed) {
     // A failed machine never comes back, so this holds however late the list is (rule 6).
     machine.reported_failed = true;
-    spdlog::info("machine {} failed, as the cloud lists it", machine.id);
+    spdlog::info("machine {} is listed as failed by the cloud", machine.id);
     machine_lost_(machine);
   }
 }
--- a/src/autoscaler/pool_survey.cpp
+++ b/src/autoscaler/pool_survey.cpp
@@ -21,7 +21,7 @@
   return pool;
 }
 
-bool takes_work(const state::Machine& machine) {
+bool is_schedulable(const state::Machine& machine) {
   return !machine.terminating && !machine.quarantined && !machine.interruption_at &&
          !machine.reported_failed;
 }
@@ -32,9 +32,9 @@
     return other.spot == machine.spot && other.zone == machine.zone;
   });
   if (pool == pools.end()) return;
-  if (!machine.heard) {
+  if (!machine.heartbeat_received) {
     ++pool->booting;
-  } else if (machine.quiet(now) < silent_after_s) {
+  } else if (machine.silent_for(now) < silent_after_s) {
     ++pool->alive;
   }
 }
@@ -52,8 +52,8 @@
     }
   }
   for (const auto& [id, machine] : model.machines()) {
-    if (machine->type == machine_type.name && takes_work(*machine))
-      count_machine(pools, *machine, settings.silent_after_s(), now);
+    if (machine->type == machine_type.name && is_schedulable(*machine))
+      count_machine(pools, *machine, settings.heartbeat_timeout_s(), now);
   }
   return pools;
 }
--- a/src/autoscaler/provisioning.cpp
+++ b/src/autoscaler/provisioning.cpp
@@ -42,8 +42,8 @@
 }
 
 void Provisioning::scale_out(const PoolKey& pool, int machines) {
-  // A fleet that has far to grow sends many requests at once: a machine that is requested later
-  // also boots later.
+  // Requests are spread over several rounds only where the rate limit requires it: a machine that
+  // is requested later also boots later.
   while (machines > 0 && requests_left_ >= 1) {
     const Request request{pool, next_request_name(),
                           std::min(machines, k::kMaxMachinesPerProvision)};
@@ -93,7 +93,8 @@
                                 double now) {
   for (const auto& id : machine_ids) {
     auto& machine = model_.machine(id);
-    if (machine.type.empty()) model_.describe(machine, pool.machine_type, pool.zone, pool.spot, "");
+    if (machine.type.empty())
+      model_.update_attributes(machine, pool.machine_type, pool.zone, pool.spot, "");
     if (machine.provisioned_at == state::kNever) machine.provisioned_at = now;
   }
 }
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -23,13 +23,13 @@
       continue;
     if (!update_idle_since(*machine, now)) continue;
     int& surplus_of_kind = machine->spot ? surplus.spot : surplus.ordinary;
-    // Work that waits for machines of another zone is no reason to keep this one. On the contrary:
-    // the cloud may only have capacity there once machines that stand idle here are returned.
+    // Work that waits for machines of another zone does not need this one, and the cloud may have
+    // no capacity there until idle machines elsewhere are deleted.
     int& returnable = surplus_of_kind > 0 ? surplus_of_kind : zone_plan.unobtainable_machines;
     if (reserve_for_zone(*machine, zone_plan)) continue;
     if (returnable <= 0 || now - machine->idle_since < idle_timeout) continue;
     --returnable;
-    spdlog::info("machine {} idle, returning it", machine->id);
+    spdlog::info("machine {} is idle; deleting it", machine->id);
     terminations_.mark(*machine);
   }
 }
@@ -37,7 +37,8 @@
 double ScaleIn::idle_timeout_s(const wire::MachineType& machine_type) const {
   // In a large fleet random changes of demand even out, so idle machines are kept for less time.
   const double fleet_size = std::max<double>(1, static_cast<double>(model_.machines().size()));
-  const double scale = std::clamp(std::sqrt(k::kIdleFleet / fleet_size), k::kIdleScaleMin, 1.0);
+  const double scale =
+      std::clamp(std::sqrt(k::kIdleShareFleetSize / fleet_size), k::kIdleScaleMin, 1.0);
   return settings_.tuning.idle_share * scale * machine_type.ready_s;
 }
 
--- a/src/autoscaler/terminations.cpp
+++ b/src/autoscaler/terminations.cpp
@@ -52,17 +52,17 @@
 void Terminations::on_reply(const std::vector<std::string>& machine_ids, bool confirmed) {
   in_flight_ = false;
   if (!confirmed) {
-    // The machines stay marked, so a later batch takes them again.
+    // The machines stay marked, so a later batch contains them again.
     next_request_at_ = loop_.now() + k::kAutoscaleInterval;
     return;
   }
-  for (const auto& id : machine_ids) forget(id);
+  for (const auto& id : machine_ids) remove_deleted(id);
 }
 
-void Terminations::forget(const std::string& machine_id) {
+void Terminations::remove_deleted(const std::string& machine_id) {
   auto* machine = model_.find_machine(machine_id);
   if (machine == nullptr) return;
-  spdlog::info("machine {} returned", machine_id);
+  spdlog::info("machine {} deleted", machine_id);
   machine_lost_(*machine);
   model_.remove_machine(machine_id);
 }
--- a/src/autoscaler/zone_planner.cpp
+++ b/src/autoscaler/zone_planner.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// Machines. Sums of shares of machines are off in the last digits; a shortage below this is none.
+/// Machines. Smaller shortages are ignored, because sums of shares of machines have rounding
+/// errors.
 constexpr double kRoundingSlack = 1e-6;
 
 /// The first pool of the zone that the demand may use and that may have capacity.
@@ -59,8 +60,8 @@
   const auto& zones = zones_of(machine_type, settings_);
   std::map<std::string, ZoneDemand> demand;
   for (const auto& [id, job] : model_.jobs()) {
-    // A job that was submitted a moment ago may still find room on the machines that are there.
-    const bool just_submitted = now - job->submitted < k::kZonePatience;
+    // The tasks of a job that was just submitted may still fit on existing machines.
+    const bool just_submitted = now - job->submitted < k::kZoneMaxWait;
     if (job->cancelled || job->failed_until > now || just_submitted) continue;
     const auto required = required_zones(*job, zones);
     if (required.empty()) continue;
@@ -92,14 +93,14 @@
 std::optional<std::string> ZonePlanner::zone_with_spread_room(
     const state::Job& job, const std::vector<std::string>& zones) {
   if (!job.spec.spread) return std::nullopt;
-  const auto full = [&](const std::string& zone) {
+  const auto is_full = [&](const std::string& zone) {
     return tasks_in_zone(job, zone) >= sched::spread_limit(job.spec.tasks);
   };
-  if (std::none_of(zones.begin(), zones.end(), full)) return std::nullopt;
-  const auto emptiest = std::min_element(
+  if (std::none_of(zones.begin(), zones.end(), is_full)) return std::nullopt;
+  const auto least_used = std::min_element(
       zones.begin(), zones.end(),
       [&](const auto& a, const auto& b) { return tasks_in_zone(job, a) < tasks_in_zone(job, b); });
-  return full(*emptiest) ? std::nullopt : std::optional(*emptiest);
+  return is_full(*least_used) ? std::nullopt : std::optional(*least_used);
 }
 
 double ZonePlanner::machines_for_waiting_tasks(const state::Job& job,
--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -29,10 +29,10 @@
   if (heartbeat.zone == context_.settings.zone) return false;
   const double now = context_.event_loop.now();
   auto& last = redirects_[heartbeat.machine];
-  // A worker that comes back so soon could not reach the node that it was sent to.
-  if (!last.node.empty() && now - last.at < k::kRedirectMemory) return false;
+  // A worker that returns so soon could not reach the node that it was redirected to.
+  if (!last.node.empty() && now - last.at < k::kRedirectRetention) return false;
   for (const auto& peer : context_.settings.peers) {
-    if (peer.zone != heartbeat.zone || !context_.peers.heard(peer.name)) continue;
+    if (peer.zone != heartbeat.zone || !context_.peers.reachable(peer.name)) continue;
     last = {peer.name, now};
     respond({kMisdirected, wire::encode_redirect(peer.name), 0});
     return true;
@@ -42,7 +42,7 @@
 
 void HeartbeatRouter::forward(election::PendingHeartbeat heartbeat) {
   const auto& leader = context_.terms.leader();
-  if (context_.zone_delegate.active() || !leader_heard()) {
+  if (context_.zone_delegate.active() || !leader_reachable()) {
     if (leader.empty()) return heartbeat.respond({kServiceUnavailable, {}, 0});
     return context_.zone_delegate.on_heartbeat(std::move(heartbeat), context_.connectivity());
   }
@@ -67,17 +67,17 @@
 void HeartbeatRouter::tick() {
   const double now = context_.event_loop.now();
   std::erase_if(redirects_,
-                [&](const auto& entry) { return now - entry.second.at > k::kRedirectMemory; });
-  // Heartbeats that waited for a delegation while no leader was heard.
+                [&](const auto& entry) { return now - entry.second.at > k::kRedirectRetention; });
+  // Heartbeats that waited for a delegation while no leader was reachable.
   const bool leader_available =
-      context_.leader() != nullptr || (leader_heard() && !context_.zone_delegate.active());
+      context_.leader() != nullptr || (leader_reachable() && !context_.zone_delegate.active());
   if (leader_available) {
     for (auto& pending : context_.zone_delegate.take_waiting()) route_again(std::move(pending));
   }
   auto forwarded = std::exchange(forwarded_, {});
   for (auto& [id, entry] : forwarded) {
-    const bool leader_changed =
-        context_.leader() != nullptr || entry.leader != context_.terms.leader() || !leader_heard();
+    const bool leader_changed = context_.leader() != nullptr ||
+                                entry.leader != context_.terms.leader() || !leader_reachable();
     if (now >= entry.heartbeat.deadline) {
       entry.heartbeat.respond({kServiceUnavailable, {}, 0});
     } else if (leader_changed) {
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The leading controller's view of the deployment. It exists from an election
-/// until the end of that term and coordinates the units that decide: it rebuilds
+/// until the end of that term and coordinates the units that make decisions: it rebuilds
 /// their state from the records, hands them heartbeats and changes of records, and
 /// lets them decide, commit and command once per batch. Runs on the controller's event loop; times
 /// are seconds of its steady clock.
@@ -36,12 +36,12 @@
     clients::WorkerRpc& worker_rpc;         ///< sends command RPCs to workers
     const store::Mirror& mirror;            ///< local replica of the records
     const election::ReadIndex& read_index;  ///< tells how recent the mirror is
-    /// Returns what another controller has said of its copy of the records.
+    /// Returns what another controller has reported of its copy of the records.
     reconcile::LeaseExpiry::PeerStates peer_read_state;
-    /// Returns whether every controller is heard and none reaches the state store.
+    /// Returns whether every controller is reachable and none reaches the state store.
     election::LeaderLease::CommonOutage common_outage;
     /// Called when a commit shows that the term is over.
-    std::function<void()> deposed;
+    std::function<void()> term_ended;
   };
 
   /// Rebuilds the model from the mirror. `term_revision`: modification revision of the record
@@ -54,7 +54,7 @@
   /// Reads a worker's heartbeat and replies to it. Without a valid leader lease it is refused with
   /// 503 (rule 5).
   void on_heartbeat(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
-  /// To be called when another controller says that it has recorded the job as cancelled.
+  /// To be called when another controller reports that it has recorded the job as cancelled.
   void on_cancellation(const std::string& job_id);
   /// To be called when the mirror has changed; `keys` are those of the changed records.
   void on_change(const std::vector<store::Key>& keys);
@@ -80,8 +80,8 @@
   [[nodiscard]] state::GroupCommit::Events commit_events();
   /// Whether the heartbeat was overtaken by the newer reply to a command RPC, so that the worker
   /// still waits for the reply to the heartbeat.
-  [[nodiscard]] bool crossed_command_rpc(const state::Machine& machine,
-                                         const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool overtaken_by_rpc_reply(const state::Machine& machine,
+                                            const wire::WorkerHeartbeat& heartbeat) const;
   void remove_all_tasks(state::Machine& machine, std::string_view reason);
   void decide_if_due();
   void log_whether_tasks_may_start();
@@ -102,7 +102,7 @@
   reconcile::HeartbeatReader heartbeat_reader_;
   dispatch::CommandComposer command_composer_;
   dispatch::CommandDispatcher dispatcher_;
-  bool may_start_logged_ = true;  ///< what the last log line on it said
+  bool may_start_logged_ = true;  ///< value in the last log line on it
   /// Set when something has happened that may lead to new decisions. Users' polls and replies of
   /// the state store do not.
   bool decision_due_ = true;
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Seconds. Pause between two synchronizing RPCs to one machine, and the time for
-/// which the reply to its heartbeat is taken to be on its way.
+/// which the reply to its heartbeat is assumed to be in transit.
 constexpr double kSynchronizationPause = 1;
 
 /// Whether the commands start or stop a task. Commands that clear exited tasks do neither.
@@ -26,7 +26,7 @@
   });
 }
 
-/// Whether a task on the machine waits to be started or stopped.
+/// Whether a task on the machine has yet to be started or stopped.
 bool awaits_commands(const state::Machine& machine) {
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const state::Task* task) {
     const bool awaits_start = !task->in_last_heartbeat() && !task->job->cancelled;
@@ -40,13 +40,13 @@
 
 void CommandDispatcher::log_commands(const state::Machine& machine,
                                      const std::vector<wire::WorkerCommand>& commands,
-                                     std::string_view way) const {
+                                     std::string_view channel) const {
   if (!spdlog::should_log(spdlog::level::debug)) return;
   for (const auto& command : commands) {
     spdlog::debug(
         "command: verb={} task={} attempt={} machine={} by={} token={} records_age={:.2f}s",
         wire::to_text(command.verb), wire::task_name(command.job, command.index), command.attempt,
-        machine.id, way, context_.fencing.token(machine), context_.lease.age());
+        machine.id, channel, context_.fencing.token(machine), context_.lease.age());
   }
 }
 
@@ -57,8 +57,8 @@
   std::vector<wire::WorkerCommand> commands;
   if (machine.rpc_in_flight) {
     // The reply to the RPC would not show the effect of commands in this reply (rule 2). Only
-    // cancelled tasks are stopped both ways, because this reply renews their lease and an RPC can
-    // hang (docs/design.md, rule 8).
+    // cancelled tasks are stopped over both channels, because this reply renews their lease and an
+    // RPC can hang (docs/design.md, rule 8).
     machine.reply_carried_commands = false;
     commands = CommandComposer::cancellations(machine);
   } else {
@@ -73,7 +73,7 @@
   respond({200, wire::encode_heartbeat_reply(context_.fencing.token(machine), commands), 0});
 }
 
-void CommandDispatcher::reply_to_crossed(state::Machine& machine, const net::Responder& respond) {
+void CommandDispatcher::reply_to_outdated(state::Machine& machine, const net::Responder& respond) {
   machine.last_reply = context_.event_loop.now();
   const auto commands = CommandComposer::cancellations(machine);
   log_commands(machine, commands, "heartbeat_reply");
@@ -91,17 +91,17 @@
 void CommandDispatcher::deliver() {
   if (!std::exchange(due_, false) || !context_.lease.valid()) return;
   const double now = context_.event_loop.now();
-  const bool may_start = context_.lease.may_start_tasks();
-  auto& attention = context_.model.attention();
+  const bool may_start_tasks = context_.lease.may_start_tasks();
+  auto& attention = context_.model.machines_to_command();
   for (auto it = attention.begin(); it != attention.end();) {
     auto& machine = **it;
-    const bool waits = machine.synchronized && awaits_commands(machine);
-    if (!waits) {
+    const bool needs_commands = machine.synchronized && awaits_commands(machine);
+    if (!needs_commands) {
       it = attention.erase(it);  // its next heartbeat, or a change, adds it again
       continue;
     }
     if (rpc_possible(machine)) {
-      const auto commands = context_.composer.compose(machine, now, may_start);
+      const auto commands = context_.composer.compose(machine, now, may_start_tasks);
       // Commands that only clear tasks can wait for the reply to the next heartbeat.
       if (starts_or_stops(commands)) start_rpc(machine, commands);
     }
@@ -135,14 +135,14 @@
   const double now = context_.event_loop.now();
   machine->rpc_in_flight = false;
   machine->rpc_completed_at = now;
-  context_.model.attention().insert(machine);
+  context_.model.machines_to_command().insert(machine);
   const bool replied = result.outcome == Outcome::done || result.outcome == Outcome::refused;
   if (!replied) {
     machine->rpc_backoff_until = now + k::kCommandRpcBackoff;
     // The commands may still be carried out, minutes later. From now on every
-    // message to the machine carries a higher token, which makes them void. Until
-    // the machine has shown that token, nothing that they name is assigned to
-    // another machine (docs/design.md, rule 3).
+    // message to the machine carries a higher token, which voids them. Until a
+    // heartbeat carries that token, no task that they name is assigned to another
+    // machine (docs/design.md, rule 3).
     if (result.outcome == Outcome::unknown && carried_commands) context_.fencing.raise(*machine);
     return;
   }
@@ -157,8 +157,9 @@
   if (!machine.recorded() || machine.epoch_known || machine.terminating) return false;
   if (machine.addr.empty() || machine.rpc_in_flight || now < machine.rpc_backoff_until)
     return false;
-  const bool reply_on_its_way = machine.heard && now - machine.last_reply < kSynchronizationPause;
-  return !reply_on_its_way;
+  const bool reply_in_transit =
+      machine.heartbeat_received && now - machine.last_reply < kSynchronizationPause;
+  return !reply_in_transit;
 }
 
 void CommandDispatcher::synchronize_machines() {
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -40,21 +40,22 @@
     spdlog::error(
         "the state service holds records of an earlier layout below {}block/ or host/: not "
         "standing for leadership",
-        store::kLive);
+        store::kLivePrefix);
   }
   return true;
 }
 
-void Election::consider() {
+void Election::evaluate() {
   if (role_ == Role::leader || !context_.mirror.loaded() || layout_unreadable()) return;
   if (const auto candidacy = won_candidacy()) return become_leader(*candidacy);
   if (!leadership_open() || role_ == Role::candidate) {
-    start_at_.reset();
+    candidacy_due_at_.reset();
     return;
   }
   const double now = context_.event_loop.now();
-  if (!start_at_) start_at_ = now + context_.event_loop.random() * k::kElectionJitter;
-  if (now >= *start_at_) start_candidacy();
+  if (!candidacy_due_at_)
+    candidacy_due_at_ = now + context_.event_loop.random() * k::kElectionJitter;
+  if (now >= *candidacy_due_at_) start_candidacy();
 }
 
 void Election::become_leader(const Candidacy& candidacy) {
@@ -67,7 +68,7 @@
 
 void Election::start_candidacy() {
   role_ = Role::candidate;
-  start_at_.reset();
+  candidacy_due_at_.reset();
   context_.store.grant(k::kLeadLease, scope_.wrap([this](const store::GrantResult& granted) {
     // Another node may have won while the lease was being granted.
     const bool still_open = role_ != Role::leader && leadership_open();
@@ -93,8 +94,8 @@
                         scope_.wrap([this](const store::CommitResult& result) {
                           // The candidacy counts as won only when the mirror shows it, because the
                           // mirror must then hold everything that was committed before this term.
-                          // If it shows it too late, the lease has ended, and this node stands
-                          // again.
+                          // If it shows it too late, the lease has expired, and this node
+                          // starts another candidacy.
                           back_off(result.outcome == Outcome::ok ? k::kLeadLease : k::kStateRetry);
                         }));
 }
@@ -102,7 +103,7 @@
 void Election::back_off(double delay_s) {
   context_.event_loop.after(delay_s, scope_.wrap([this] {
     if (role_ != Role::leader) role_ = Role::follower;
-    consider();
+    evaluate();
   }));
 }
 
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// Keeps the leases of a zone's workers alive while they and their leader can't
-/// reach each other.
+/// Renews the leases of a zone's workers while they and their leader can't reach
+/// each other.
 ///
-/// A follower that receives heartbeats of its zone while it does not hear the leader
+/// A follower that receives heartbeats of its zone while the leader is unreachable
 /// records that it is the delegate of its zone. It then renews worker leases, starts
 /// nothing, and stops only tasks of cancelled jobs. The record is attached to a
 /// lease of the state store, and the delegate replies to heartbeats only while that
 /// lease has certainly not ended (docs/design.md, "Zone delegates").
 ///
-/// Where the zone is cut off from the state store too, nothing can be recorded. The
+/// If the zone is partitioned from the state store too, nothing can be recorded. The
 /// delegation is then unrecorded: the node replies in the same way, for as long as a
 /// leader may without the state store (rule 5), and only to machines that are not
 /// recorded as retired. A leader that gives up a machine takes that into account
@@ -43,15 +43,15 @@
     const ReadIndex& read_index;       ///< tells how recent the mirror is
   };
 
-  /// Without a delegation at first.
+  /// Starts without a delegation.
   explicit ZoneDelegate(Context context);
 
   /// Replies to a heartbeat of this zone, now or as soon as a delegation permits it. A heartbeat
   /// that waits beyond its deadline is refused, or its worker is sent to another controller.
   void on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity);
-  /// Hands over all heartbeats that still wait, so that a leader can reply to them instead.
+  /// Removes and returns the waiting heartbeats, so that a leader can reply to them instead.
   [[nodiscard]] std::vector<PendingHeartbeat> take_waiting() { return std::exchange(waiting_, {}); }
-  /// Renews the delegation, or ends it when the leader is heard again.
+  /// Renews the delegation, or ends it when the leader is reachable again.
   void tick(const Connectivity& connectivity);
   /// Ends the delegation: replies to no more heartbeats and removes the record. Does nothing if
   /// there is no delegation. `reason` is for the log.
@@ -71,9 +71,9 @@
   void renew();
   void remove_record();
   void reply_to_waiting(const Connectivity& connectivity);
-  void send_elsewhere(const PendingHeartbeat& heartbeat, const Connectivity& connectivity);
+  void refuse_or_redirect(const PendingHeartbeat& heartbeat, const Connectivity& connectivity);
   void reply(const wire::WorkerHeartbeat& heartbeat, const net::Responder& respond);
-  void track_leader(bool leader_heard, double now);
+  void track_leader(bool leader_reachable, double now);
   /// Whether the lease of the recorded delegation has certainly not ended, and the copy of the
   /// records is recent enough.
   [[nodiscard]] bool delegation_valid() const;
@@ -82,7 +82,7 @@
   [[nodiscard]] bool may_reply(const std::string& machine, const Connectivity& connectivity) const;
   /// Whether the records place a task of a cancelled job on this machine that its
   /// heartbeat does not show, so that a `run` for it may still be on its way.
-  [[nodiscard]] bool may_start_cancelled(const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool cancelled_run_may_be_in_flight(const wire::WorkerHeartbeat& heartbeat) const;
   [[nodiscard]] std::vector<wire::WorkerCommand> stops_of_cancelled(
       const wire::WorkerHeartbeat& heartbeat) const;
 
@@ -94,10 +94,10 @@
   std::uint64_t recorded_at_revision_ = 0;  ///< the mirror must have reached it
   std::optional<double> renewed_at_;        ///< when the last successful renewal was sent
   double next_renewal_ = 0;
-  std::optional<double> leader_heard_since_;
+  std::optional<double> leader_reachable_since_;
   double replied_at_;
   std::vector<PendingHeartbeat> waiting_;
-  std::map<std::string, double> sent_elsewhere_;  ///< by machine: when it was sent
+  std::map<std::string, double> last_refused_at_;  ///< by machine; seconds of the steady clock
 };
 
 }  // namespace elmstall::election
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -35,7 +35,7 @@
   for (const auto* task : tasks) last_attempt = std::max(last_attempt, task->attempt());
   gang.attempt = last_attempt + 1;
   gang.committed = false;
-  gang.broken = false;
+  gang.replacement_disabled = false;
   gang.gathering_since = std::numeric_limits<double>::infinity();
   put_tasks_in_places(job, tasks, places, [&](state::Task& task, state::Machine& machine) {
     model_.assign(task, machine, gang.attempt);
@@ -47,7 +47,7 @@
 bool GangAttempts::is_committed(state::Job& job) {
   auto& gang = job.gang;
   if (gang.committed) return true;
-  // All tasks are looked at until they are committed; from then on the result is remembered.
+  // All tasks are checked until they are committed; from then on the result is cached.
   const auto tasks = load_gang_tasks(model_, job);
   gang.committed = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
     return task->may_be_on_machine() && task->attempt() == gang.attempt &&
@@ -56,24 +56,24 @@
   return gang.committed;
 }
 
-void GangAttempts::watch_start(state::Job& job, const state::MachineSet& with_room, double now) {
+void GangAttempts::advance_start(state::Job& job, const state::MachineSet& with_room, double now) {
   const auto tasks = load_gang_tasks(model_, job);
   if (std::all_of(tasks.begin(), tasks.end(), is_running))
     return change_gang_state(job, GangState::running, now);
   if (std::none_of(tasks.begin(), tasks.end(), is_lost)) return;
-  if (job.on_machines == 0) return end(job, "all its tasks are gone", now);
-  // A gang whose tasks have begun to run, or were told to end, can't take a replacement any more.
-  // Its remaining tasks are ended to make room for the next attempt.
-  if (job.gang.broken) return end(job, "a task is gone", now);
-  if (others_still_wait(job)) return replace_lost_tasks(job, with_room, now);
-  if (!time_for_replacement(job, kNoFetch, now)) end(job, "it can't be completed", now);
+  if (job.on_machines == 0) return end(job, "all its tasks were lost", now);
+  // A gang whose tasks have begun to run, or were told to end, accepts no replacement. Its
+  // remaining tasks are ended to make room for the next attempt.
+  if (job.gang.replacement_disabled) return end(job, "a task was lost", now);
+  if (others_still_waiting(job)) return replace_lost_tasks(job, with_room, now);
+  if (!time_for_replacement(job, kNoFetch, now)) end(job, "lost tasks not replaceable", now);
 }
 
 // --- replacement of lost tasks ---------------------------------------------------------------
 
-bool GangAttempts::others_still_wait(state::Job& job) const {
-  // Heartbeats show the past. Therefore each of the other tasks must have been seen waiting in
-  // a heartbeat that was sent after the machine was told to run it.
+bool GangAttempts::others_still_waiting(state::Job& job) const {
+  // A heartbeat shows an earlier state. Therefore each of the other tasks must have been reported
+  // as waiting in a heartbeat that was sent after the machine was told to run it.
   const auto tasks = load_gang_tasks(model_, job);
   return std::all_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
     if (!task->may_be_on_machine() || !task->run_sent()) return true;
@@ -84,8 +84,8 @@
 }
 
 bool GangAttempts::time_for_replacement(const state::Job& job, double fetch_s, double now) const {
-  const double others_give_up_at = job.gang.gathering_since + settings_.gang_wait_s;
-  return now + fetch_s + constants::kGangReplaceMargin < others_give_up_at;
+  const double others_wait_until = job.gang.gathering_since + settings_.gang_wait_s;
+  return now + fetch_s + constants::kGangReplaceMargin < others_wait_until;
 }
 
 double GangAttempts::fetch_time_s(const state::Job& job, const state::Machine& machine) const {
@@ -101,7 +101,7 @@
   state::Machine* best = nullptr;
   for (auto* machine : with_room) {
     const bool suitable = job.need.fits(machine->room()) && state::Model::allowed(job, *machine) &&
-                          !job.gang.avoided.contains(machine->id) &&
+                          !job.gang.avoided_machines.contains(machine->id) &&
                           state::Model::within_quota(job) &&
                           time_for_replacement(job, fetch_time_s(job, *machine), now);
     if (!suitable) continue;
@@ -113,20 +113,20 @@
 void GangAttempts::replace_lost_tasks(state::Job& job, const state::MachineSet& with_room,
                                       double now) {
   auto& gang = job.gang;
-  if (now < gang.tried_at + constants::kGangRetryInterval) return;
-  gang.tried_at = now;
+  if (now < gang.placement_tried_at + constants::kGangRetryInterval) return;
+  gang.placement_tried_at = now;
   const auto lost_tasks = load_pending_gang_tasks(model_, job);
-  if (!time_for_replacement(job, kNoFetch, now)) return end(job, "time is short", now);
+  if (!time_for_replacement(job, kNoFetch, now)) return end(job, "too late to replace", now);
   for (auto* task : lost_tasks) {
     if (task->not_before() > now) return;
     auto* machine = machine_for_replacement(job, with_room, now);
     if (machine == nullptr) return;
-    spdlog::info("gang {}: task {} starts again on machine {}", job.id, task->index, machine->id);
+    spdlog::info("gang {}: task {} is replaced on machine {}", job.id, task->index, machine->id);
     model_.assign(*task, *machine, gang.attempt);
   }
 }
 
-// --- the end ---------------------------------------------------------------------------------
+// --- end of an attempt -----------------------------------------------------------------------
 
 void GangAttempts::end(state::Job& job, const char* reason, double now) {
   spdlog::info("gang {} ends attempt {}: {}", job.id, job.gang.attempt, reason);
@@ -139,8 +139,8 @@
   auto& gang = job.gang;
   if (gang.completed) return complete(job, now);
   gang.committed = false;
-  gang.broken = false;
-  gang.tried_at = state::kNever;
+  gang.replacement_disabled = false;
+  gang.placement_tried_at = state::kNever;
   change_gang_state(job, GangState::waiting, now);
 }
 
--- a/src/placement/gang_coordinator.cpp
+++ b/src/placement/gang_coordinator.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// Share of the time for which tasks wait for each other that is assumed to be over at a takeover.
-/// When they began to wait is not recorded.
-constexpr double kWaitAssumedOver = 0.5;
+/// Share of `gang_wait_s`, the time for which tasks wait for each other, that is assumed to have
+/// elapsed at a takeover. The time at which they began to wait is not recorded.
+constexpr double kAssumedElapsedWaitShare = 0.5;
 
-/// Whether the machine declined to run the task, so that it never began there.
+/// Whether the machine refused the task, so that it never began there.
 bool is_refusal(EndCause cause) {
   return cause == EndCause::no_room || cause == EndCause::in_use || cause == EndCause::unknown;
 }
@@ -41,21 +41,21 @@
   // began to do so at an unknown time before the takeover.
   gang.state = GangState::starting;
   gang.since = now;
-  gang.gathering_since = now - settings_.gang_wait_s * kWaitAssumedOver;
+  gang.gathering_since = now - settings_.gang_wait_s * kAssumedElapsedWaitShare;
 }
 
-void GangCoordinator::on_state(state::Task& task, TaskState state, double now) {
+void GangCoordinator::on_task_state(state::Task& task, TaskState state, double now) {
   auto& job = *task.job;
   auto& gang = job.gang;
   if (task.attempt() != gang.attempt || job.cancelled) return;
   if (state == TaskState::gathering) {
     gang.gathering_since = std::min(gang.gathering_since, now);
-  } else if (state == TaskState::running && !gang.broken) {
-    gang.broken = true;
-    model_.open().insert(&job);
+  } else if (state == TaskState::running && !gang.replacement_disabled) {
+    gang.replacement_disabled = true;
+    model_.jobs_with_unqueued_tasks().insert(&job);
   } else if (state == TaskState::checkpointing && !task.is_stopping()) {
-    // A former leader has told this task to stop. The other tasks must be told in time to write
-    // their checkpoints, too.
+    // A former leader has sent this task a stop command. The other tasks must receive one in time
+    // to write their checkpoints, too.
     if (gang.state == GangState::starting) change_gang_state(job, GangState::running, now);
     stop_gang(model_, job, StopMode::with_checkpoint, now, state::kNever);
   }
@@ -64,7 +64,7 @@
 void GangCoordinator::avoid_slow_machines(state::Job& job) {
   for (const auto* task : gang_tasks_in_memory(job)) {
     if (task->may_be_on_machine() && task->reported_state() == TaskState::fetching)
-      job.gang.avoided.insert(task->machine()->id);
+      job.gang.avoided_machines.insert(task->machine()->id);
   }
 }
 
@@ -72,12 +72,12 @@
   auto& job = *task.job;
   auto& gang = job.gang;
   const bool refused = is_refusal(cause);
-  if (refused || cause == EndCause::error) gang.avoided.insert(task.machine()->id);
+  if (refused || cause == EndCause::error) gang.avoided_machines.insert(task.machine()->id);
   if (refused) {
     // The other tasks may still be waiting, so a replacement can complete the attempt.
     task.postpone(now + constants::kGangRefusedPause);
   } else {
-    gang.broken = true;
+    gang.replacement_disabled = true;
   }
   if (cause == EndCause::incomplete) avoid_slow_machines(job);
   model_.unassign(task);
@@ -87,13 +87,13 @@
   if (!job.cancelled && job.gang.state != GangState::done) attempts_.complete(job, now);
 }
 
-void GangCoordinator::on_late_done(state::Job& job, double now) {
+void GangCoordinator::on_earlier_attempt_done(state::Job& job, double now) {
   auto& gang = job.gang;
   if (job.cancelled || gang.state == GangState::done || gang.completed) return;
   gang.completed = true;
-  spdlog::info("gang {} is complete by an earlier attempt", job.id);
+  spdlog::info("gang {}: an earlier attempt completed", job.id);
   if (gang.state == GangState::starting || gang.state == GangState::running)
-    return attempts_.end(job, "an earlier one completed", now);
+    return attempts_.end(job, "an earlier attempt completed", now);
   if (job.on_machines == 0 || gang.state == GangState::claiming) attempts_.complete(job, now);
 }
 
@@ -109,10 +109,10 @@
       claims_.advance(job, with_room, now);
       return true;
     case GangState::starting:
-      attempts_.watch_start(job, with_room, now);
+      attempts_.advance_start(job, with_room, now);
       return gang.state != GangState::running;
     case GangState::running:
-      if (!load_pending_gang_tasks(model_, job).empty()) attempts_.end(job, "a task is gone", now);
+      if (!load_pending_gang_tasks(model_, job).empty()) attempts_.end(job, "a task was lost", now);
       return gang.state != GangState::running;
     case GangState::stopping:
     case GangState::ending:
@@ -127,21 +127,21 @@
 
 void GangCoordinator::place(state::Job& job, const state::MachineSet& with_room, double now) {
   auto& gang = job.gang;
-  if (now < gang.tried_at + constants::kGangRetryInterval) return;
+  if (now < gang.placement_tried_at + constants::kGangRetryInterval) return;
   const auto tasks = load_pending_gang_tasks(model_, job);
   const bool may_start_now = std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
     return task->not_before() <= now;
   });
   if (!may_start_now || !gang_within_quota(job, tasks.size())) return;
-  gang.tried_at = now;
-  const auto sites = sites_.free_sites(job, with_room);
-  if (const auto places = place_gang_in_free_room(job, tasks.size(), sites)) {
+  gang.placement_tried_at = now;
+  const auto candidates = candidate_finder_.free_candidates(job, with_room);
+  if (const auto places = place_gang_in_free_room(job, tasks.size(), candidates)) {
     claims_.release_reservation(job);
     return attempts_.start(job, tasks, *places, now);
   }
   if (claims_.claim_by_preemption(job, tasks, now)) return;
-  choose_gang_zone(settings_, job, sites, now);
-  claims_.reserve(job, tasks.size(), sites, now);
+  choose_gang_zone(settings_, job, candidates, now);
+  claims_.reserve(job, tasks.size(), candidates, now);
 }
 
 bool GangCoordinator::may_run(const state::Task& task) {
--- a/src/placement/task_stop.cpp
+++ b/src/placement/task_stop.cpp
@@ -11,7 +11,7 @@
 
 using GangState = state::Gang::State;
 
-/// Whether the task's machine will receive a stop command soon enough, and will live long enough
+/// Whether the task's machine will receive a stop command soon enough, and will run long enough
 /// after that, for a checkpoint to be written.
 bool can_write_checkpoint(const state::Task& task, double silent_after_s, double now) {
   const auto& machine = *task.machine();
@@ -23,19 +23,19 @@
 }
 
 /// Whether every task of the gang can write a checkpoint. One that can't makes those of the others
-/// worthless, because a gang goes on from a checkpoint of all its tasks.
+/// worthless, because a gang resumes from a checkpoint of all its tasks.
 bool can_checkpoint_gang(const state::Model& model, const state::Job& job,
                          const std::vector<state::Task*>& tasks, double now) {
   if (job.gang.state != GangState::running || job.spec.checkpoint_every_s <= 0) return false;
-  const double silent_after_s = model.settings().silent_after_s();
+  const double silent_after_s = model.settings().heartbeat_timeout_s();
   return std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
     return task->may_be_on_machine() && can_write_checkpoint(*task, silent_after_s, now);
   });
 }
 
-void tell_to_stop(state::Model& model, state::Task& task, double grace_period_s) {
+void request_stop(state::Model& model, state::Task& task, double grace_period_s) {
   task.begin_stop(grace_period_s);
-  model.attention().insert(task.machine());
+  model.machines_to_command().insert(task.machine());
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
   const bool checkpoint_is_useful = mode == StopMode::with_checkpoint &&
                                     spec.checkpoint_every_s > 0 &&
                                     task.reported_state() == wire::TaskState::running;
-  tell_to_stop(model, task, checkpoint_is_useful ? spec.checkpoint_s : 0);
+  request_stop(model, task, checkpoint_is_useful ? spec.checkpoint_s : 0);
 }
 
 void end_gang_task(state::Model& model, state::Task& task) {
@@ -61,7 +61,7 @@
   if (!task.may_be_on_machine()) return;
   // Without a command to run it the task can't be on the machine (rule 1).
   if (!task.run_sent()) return model.unassign(task);
-  tell_to_stop(model, task, 0);
+  request_stop(model, task, 0);
 }
 
 void stop_gang(state::Model& model, state::Job& job, StopMode mode, double now, double not_before) {
@@ -78,7 +78,7 @@
       return;  // The gang is on no machine, or is being stopped already.
   }
   if (mode == StopMode::with_checkpoint && can_checkpoint_gang(model, job, tasks, now)) {
-    for (auto* task : tasks) tell_to_stop(model, *task, job.spec.checkpoint_s);
+    for (auto* task : tasks) request_stop(model, *task, job.spec.checkpoint_s);
     return change_gang_state(job, GangState::stopping, now);
   }
   for (auto* task : tasks) end_gang_task(model, *task);
--- a/src/reconcile/heartbeat_reader.cpp
+++ b/src/reconcile/heartbeat_reader.cpp
@@ -16,13 +16,14 @@
 
 bool HeartbeatReader::is_newer(const state::Machine& machine,
                                const wire::WorkerHeartbeat& heartbeat) {
-  return !machine.heard ||
+  return !machine.heartbeat_received ||
          std::tie(heartbeat.epoch, heartbeat.sequence) > std::tie(machine.epoch, machine.sequence);
 }
 
 void HeartbeatReader::read(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                            HeartbeatSource source, double now) {
-  context_.model.describe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot, heartbeat.addr);
+  context_.model.update_attributes(machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
+                                   heartbeat.addr);
   record_if_new(machine);
   update_machine(machine, heartbeat, source, now);
   state::Model::clear_heartbeat_content(machine);
@@ -32,7 +33,7 @@
   // (docs/design.md, rule 2).
   if (machine.synchronized && !machine.rpc_in_flight) unassign_absent_tasks(machine);
   if (machine.interruption_at) stop_for_interruption(machine, now);
-  context_.model.attention().insert(&machine);
+  context_.model.machines_to_command().insert(&machine);
   context_.model_changed();
 }
 
@@ -46,23 +47,24 @@
 void HeartbeatReader::update_machine(state::Machine& machine,
                                      const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source,
                                      double now) {
-  // A later epoch knows nothing of the tasks of an earlier one, and commands of
-  // that epoch are void in this one, however late they come. This holds only for a
-  // machine that was synchronized in this term: of others, two late heartbeats may
-  // show two epochs that were both over before its tasks began (rule 3).
+  // A worker keeps no tasks of an earlier epoch and rejects commands of that epoch, however late
+  // they arrive. This holds only for a machine that was synchronized in this term: for others, two
+  // delayed heartbeats may show two epochs that both ended before its tasks began (rule 3).
   if (machine.epoch_known && heartbeat.epoch > machine.epoch)
     remove_all_tasks(context_.model, context_.planner, machine, "its epoch ended");
-  context_.lease_expiry.revive(machine);
+  context_.lease_expiry.cancel_retirement(machine);
   // Command RPCs also reach machines that can't reach any controller. They renew no lease, so
-  // what they start ends with the machine's lease. The reply to an RPC therefore does not count as
-  // a heartbeat, except as the first contact in a term, when the next heartbeat may take long.
-  if (source == HeartbeatSource::worker || !machine.heard) machine.last_heartbeat = now;
+  // tasks that they start end with the machine's lease. The reply to an RPC therefore does not
+  // count as a heartbeat, except as the first contact in a term, when the next heartbeat may take
+  // long.
+  if (source == HeartbeatSource::worker || !machine.heartbeat_received)
+    machine.last_heartbeat = now;
   machine.last_contact = now;
-  machine.heard = true;
+  machine.heartbeat_received = true;
   machine.epoch = heartbeat.epoch;
   machine.sequence = heartbeat.sequence;
   context_.model.mark_dirty(machine);
-  // Only this leader can have told the worker this token. So the heartbeat was sent
+  // Only this leader can have sent this token to the worker. So the heartbeat was sent
   // after the takeover, or after the fence was raised, and older commands are void.
   machine.synchronized = heartbeat.token >= context_.fencing.token(machine);
   machine.epoch_known = machine.epoch_known || machine.synchronized;
@@ -79,7 +81,7 @@
   task->mark_listed();
   if (status.state == TaskState::ended) return on_exit(*task, machine, status, now);
   task->observe(status.state, now);
-  if (job->is_gang()) context_.gangs.on_state(*task, status.state, now);
+  if (job->is_gang()) context_.gangs.on_task_state(*task, status.state, now);
 }
 
 void HeartbeatReader::read_unrecorded_task(state::Machine& machine, state::Job* job,
@@ -88,7 +90,7 @@
   if (status.state == TaskState::ended) {
     machine.exited.push_back(attempt);
     if (job != nullptr && job->is_gang() && status.cause == EndCause::done)
-      context_.gangs.on_late_done(*job, now);
+      context_.gangs.on_earlier_attempt_done(*job, now);
     return;
   }
   machine.unrecorded_tasks.push_back(attempt);
@@ -124,13 +126,13 @@
 }
 
 void HeartbeatReader::unassign_absent_tasks(state::Machine& machine) {
-  // The heartbeat of a synchronized machine shows everything: commands sent earlier were carried
+  // The heartbeat of a synchronized machine is complete: commands sent earlier were carried
   // out before the heartbeat was sent, or will never be carried out (rules 2 and 3).
   const auto tasks = machine.tasks;  // unassigning changes the machine's own set
   for (auto* task : tasks) {
     if (!task->may_be_on_machine() || task->in_last_heartbeat()) continue;
     // Once a gang has begun, no task can join it any more.
-    const bool attempt_over = task->job->is_gang() && task->job->gang.broken;
+    const bool attempt_over = task->job->is_gang() && task->job->gang.replacement_disabled;
     if (task->is_stopping() || task->job->cancelled || attempt_over) context_.model.unassign(*task);
     // Otherwise `run` will be sent again. The worker still accepts it, since the attempt was never
     // cleared there.
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -16,7 +16,7 @@
 double LeaseExpiry::inherited_until() const {
   // The former leader may have replied to heartbeats until its leader lease ran out. Its last
   // reply may have renewed a worker lease, which then lasts for its full length.
-  return started_ + settings_.leader_lease_s() + settings_.lease_over_s();
+  return started_ + settings_.leader_lease_s() + settings_.lease_expired_after_s();
 }
 
 void LeaseExpiry::update_delegations(double now) {
@@ -29,7 +29,7 @@
     // This also holds when the delegation has just ended: the delegate may have replied until now.
     if (delegated || machine->delegated) machine->delegated_at = now;
     machine->delegated = delegated;
-    if (delegated) revive(*machine);
+    if (delegated) cancel_retirement(*machine);
   }
 }
 
@@ -39,62 +39,64 @@
   // becomes a delegate of the machine's zone later sees the retirement in the records, and an
   // existing delegation makes the transaction fail. Delegates of other zones do not reply to this
   // machine, so they are no precondition: while a zone is cut off, its delegation would otherwise
-  // hold up all other changes that are written in the same transaction.
-  const auto exclude = [&](const std::string& node, const std::string& zone) {
+  // block all other changes that are written in the same transaction.
+  const auto require_absent = [&](const std::string& node, const std::string& zone) {
     if (may_be_delegate(zone, machine))
-      machine.record->absent.push_back(store::delegation_key(node));
+      machine.record->absent_keys.push_back(store::delegation_key(node));
   };
-  machine.record->absent.clear();
-  exclude(settings_.node, settings_.zone);
-  for (const auto& peer : settings_.peers) exclude(peer.name, peer.zone);
+  machine.record->absent_keys.clear();
+  require_absent(settings_.node, settings_.zone);
+  for (const auto& peer : settings_.peers) require_absent(peer.name, peer.zone);
   group_commit_.mark_dirty(*machine.record);
 }
 
-void LeaseExpiry::revive(state::Machine& machine) {
+void LeaseExpiry::cancel_retirement(state::Machine& machine) {
   if (!machine.retired || machine.record == nullptr) return;
   machine.retired = false;
   machine.retired_at = state::kNever;
-  machine.record->absent.clear();
+  machine.record->absent_keys.clear();
   group_commit_.mark_dirty(*machine.record);
 }
 
-bool LeaseExpiry::excluded(const state::Machine& machine, double now) const {
-  const double lease = settings_.lease_over_s();
+bool LeaseExpiry::other_renewals_ruled_out(const state::Machine& machine, double now) const {
+  const double lease = settings_.lease_expired_after_s();
   // A controller that proved its records current just before the retirement was written may have
   // replied as an unrecorded delegate until its leader lease ran out. After that and one worker
   // lease more, no controller can have kept the machine's lease alive.
   if (now >= machine.retired_at + settings_.leader_lease_s() + lease) return true;
   return std::all_of(settings_.peers.begin(), settings_.peers.end(), [&](const config::Peer& peer) {
     if (!may_be_delegate(peer.zone, machine)) return true;
-    // The time is shorter if the controller says that its mirror holds the retirement, and a
-    // lease has passed since it last replied on its own.
+    // The wait is shorter if the controller reports that its mirror contains the retirement, and
+    // a lease has passed since it last replied on its own.
     const auto read_state = read_state_(peer.name);
     return read_state.revision >= machine.record->revision && now >= read_state.replied_at + lease;
   });
 }
 
 void LeaseExpiry::expire(double now) {
-  const double lease = settings_.lease_over_s();
+  const double lease = settings_.lease_expired_after_s();
   for (auto& [id, machine] : model_.machines()) {
     if (machine->tasks.empty()) continue;
     // An epoch may have begun just before its heartbeat was received, and command RPCs start
     // tasks in an epoch to which no reply was sent. Therefore the last contact counts as well as
     // the last reply.
-    const double last_touched =
+    const double latest_renewal =
         std::max({machine->last_reply, machine->last_contact, machine->delegated_at});
-    const double alive_until = std::max(machine->inherited_until, last_touched + lease);
-    if (alive_until == state::kNever || machine->delegated || machine->record == nullptr) continue;
+    const double latest_lease_end = std::max(machine->inherited_until, latest_renewal + lease);
+    if (latest_lease_end == state::kNever || machine->delegated || machine->record == nullptr)
+      continue;
     if (!machine->retired) {
       // The machine is retired before its lease ends, so that all controllers that might reply to
       // it know of the retirement by then.
-      const double silent_since = std::max(last_touched, started_);
-      if (now >= std::min(alive_until, silent_since + settings_.silent_after_s())) retire(*machine);
+      const double silent_since = std::max(latest_renewal, started_);
+      if (now >= std::min(latest_lease_end, silent_since + settings_.heartbeat_timeout_s()))
+        retire(*machine);
       continue;
     }
     // Go on only when the retirement is committed and the mirror has reached its revision.
     if (!machine->record->clean() || mirror_.revision() < machine->record->revision) continue;
     if (machine->retired_at == state::kNever) machine->retired_at = now;
-    if (now < alive_until || !excluded(*machine, now)) continue;
+    if (now < latest_lease_end || !other_renewals_ruled_out(*machine, now)) continue;
     expired_(*machine);
     machine->synchronized = false;
   }
--- a/src/reconcile/responsiveness.cpp
+++ b/src/reconcile/responsiveness.cpp
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-bool Responsiveness::shows_our_replies(const state::Machine& machine,
-                                       const wire::WorkerHeartbeat& heartbeat) const {
+bool Responsiveness::acknowledges_replies(const state::Machine& machine,
+                                          const wire::WorkerHeartbeat& heartbeat) const {
   if (heartbeat.token < fencing_.token(machine)) return false;
   if (!machine.reply_carried_commands) return true;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const state::Task* task) {
-    const bool just_ordered =
+    const bool run_unacknowledged =
         task->may_be_on_machine() && task->run_sent() && !task->in_last_heartbeat();
-    return !just_ordered || lists_task(heartbeat, *task);
+    return !run_unacknowledged || lists_task(heartbeat, *task);
   });
 }
 
@@ -36,7 +36,7 @@
                                         const wire::WorkerHeartbeat& heartbeat, double now) const {
   // If this leader's last reply had arrived, the lease could not have run out by now.
   return machine.epoch_known && heartbeat.epoch > machine.epoch &&
-         now - machine.last_reply < settings_.lease_s * (1 - k::kDrift);
+         now - machine.last_reply < settings_.lease_s * (1 - k::kMaxClockDrift);
 }
 
 bool Responsiveness::unacknowledged_too_long(const state::Machine& machine, double now) const {
@@ -46,19 +46,19 @@
 
 void Responsiveness::check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                            double now) {
-  // A heartbeat proves that a machine works, not that it receives replies. They may be lost on
-  // the way, and then its lease runs out.
-  if (shows_our_replies(machine, heartbeat)) {
-    if (machine.unresponsive) spdlog::info("machine {} hears us again", machine.id);
+  // A heartbeat proves that a machine works, not that it receives replies. If the replies are
+  // lost in transit, its lease runs out.
+  if (acknowledges_replies(machine, heartbeat)) {
+    if (machine.unresponsive) spdlog::info("machine {} responds to replies again", machine.id);
     machine.unresponsive = false;
     machine.unacknowledged_since = state::kNever;
   }
   if (machine.unresponsive) return;
   const bool lapsed = lease_lapsed_early(machine, heartbeat, now);
   if (!lapsed && !unacknowledged_too_long(machine, now)) return;
-  spdlog::info("machine {} does not hear us: {}", machine.id,
-               lapsed ? "its lease ran out while its heartbeats were answered"
-                      : "it shows no effect of our answers");
+  spdlog::info("machine {} is unresponsive: {}", machine.id,
+               lapsed ? "its lease expired although its heartbeats were replied to"
+                      : "its heartbeats show no effect of the replies");
   machine.unresponsive = true;
   machine.unacknowledged_since = now;
   fencing_.raise(machine);
--- a/src/state/commit_record.hpp
+++ b/src/state/commit_record.hpp
@@ -2,7 +2,7 @@
 /// A record that the leader keeps in the ledger log of the state store.
 ///
 /// The model holds one commit record for each block of tasks and for each machine. The
-/// record knows how to pack the present state of that block or machine, and counts which
+/// record packs the present state of that block or machine on request, and counts which
 /// of its versions are stored. See group_commit.hpp for how records are written.
 ///
 /// All of this runs on the controller's event loop.
@@ -30,7 +30,7 @@
     machine  ///< a machine
   };
   /// Packs the present state of the block or machine.
-  using PackFunction = std::function<store::Packed()>;
+  using PackFunction = std::function<store::PackedEntry()>;
 
   /// Creates a record that is clean and not in the log. RecordTable gives it its serial number.
   CommitRecord(Kind record_kind, std::string job_id, PackFunction pack_function,
@@ -58,7 +58,7 @@
   bool remove = false;
   /// Keys that must not exist when the newest version is written. The record of a retired
   /// machine names the zone delegations that would contradict it (rule 6).
-  std::vector<std::string> absent;
+  std::vector<std::string> absent_keys;
 
   /// Whether the newest version is in the state store.
   [[nodiscard]] bool clean() const { return written == version; }
--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -44,13 +44,13 @@
   /// The final state of a job that is to be written.
   using Finalization = state::Finalization;
 
-  /// What the group commit tells its owner. All handlers must be set.
+  /// Callbacks to the owner of the group commit. All must be set.
   struct Events {
     /// The final state of the job is stored. Its block records no longer exist.
     std::function<void(const std::string& job)> finished;
     /// Another controller has won a later term. The handler must not destroy the group commit
     /// before it returns.
-    std::function<void()> deposed;
+    std::function<void()> term_ended;
     /// A transaction was applied, so the term was still the latest one at some time after the
     /// transaction was sent (rule 5). `sent_at` is in seconds, by the clock of the event loop.
     std::function<void(double sent_at)> confirmed;
@@ -72,7 +72,7 @@
   void mark_dirty(Record& record);
   /// The block or machine is gone. `last` is the packed entry that says so; once it is written
   /// the record is dropped. The caller must not use the record again.
-  void discard(Record& record, store::Packed last);
+  void discard(Record& record, store::PackedEntry last);
   /// The job is over: its final state must be written. Has no effect if the job is finishing
   /// already.
   void finish(Finalization finalization);
@@ -119,7 +119,7 @@
   Finalizations finalizations_;
   CommitLimits limits_;
   bool busy_ = false;  ///< a transaction is in flight or read back, or a pause lasts
-  runtime::CoalescingTimer wake_;
+  runtime::CoalescingTimer commit_timer_;
   std::optional<double> next_commit_at_;  ///< not before this time; seconds of the event loop
   /// No transaction is built before the mirror has reached this revision.
   std::uint64_t required_mirror_revision_ = 0;
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -39,7 +39,7 @@
   std::string addr;        ///< address of its worker; empty if not known yet
   std::string type;        ///< name of its machine type; empty if not known yet
   std::string zone;        ///< zone in which it is
-  bool spot = false;       ///< the cloud may take it back at any time
+  bool spot = false;       ///< the cloud may reclaim it at any time
   sched::Amount capacity;  ///< resources of its type; zero until the type is known
 
   // --- worker's status; set by reconcile::HeartbeatReader unless said otherwise ---
@@ -66,18 +66,18 @@
   /// until the next heartbeat, which shows their effect (rule 2).
   bool reply_carried_commands = false;
   double rpc_backoff_until = kNever;  ///< no command RPC is sent before this time
-  /// Since when the machine has shown no effect of what it was told. kNever if no effect is
+  /// Since when the machine has shown no effect of its commands. kNever if no effect is
   /// outstanding. reconcile::Responsiveness changes it too.
   double unacknowledged_since = kNever;
   /// The worker sends heartbeats, but they show no effect of commands. Set by
   /// reconcile::Responsiveness.
   bool unresponsive = false;
 
-  // --- leases: times of contact, and what rule 6 asks of a silent machine ---
-  // reconcile::HeartbeatReader sets what is heard from the machine, dispatch::CommandDispatcher
+  // --- leases: times of contact, and what rule 6 requires for a silent machine ---
+  // reconcile::HeartbeatReader sets what heartbeats contain, dispatch::CommandDispatcher
   // sets `last_reply`, and reconcile::LeaseExpiry sets the rest unless said otherwise.
 
-  bool heard = false;  ///< a heartbeat was received from the machine in this term
+  bool heartbeat_received = false;  ///< a heartbeat was received from the machine in this term
   /// When the worker last sent a heartbeat on its own. Replies to command RPCs do not count, except
   /// as the first contact in a term, because they also come from machines that reach no controller.
   double last_heartbeat = kNever;
@@ -96,7 +96,7 @@
   /// When the mirror was first seen to have passed the revision at which the retirement was
   /// written, which is R of rule 6.
   double retired_at = kNever;
-  /// When the cloud takes the machine back, if a heartbeat has brought an interruption notice.
+  /// When the cloud reclaims the machine, if a heartbeat has brought an interruption notice.
   std::optional<double> interruption_at;
 
   // --- tasks and room; set by Model unless said otherwise ---
@@ -124,8 +124,8 @@
 
   // --- fleet and health; set by the autoscaler unless said otherwise ---
 
-  /// Identifiers of jobs of which tasks failed on the machine, except for jobs that were held to
-  /// blame themselves. Set by reconcile::TaskFailures.
+  /// Identifiers of jobs of which tasks failed on the machine, except for jobs to which the
+  /// failures were attributed. Set by reconcile::TaskFailures.
   std::set<std::string> failed_jobs;
   /// The machine gets no new tasks, because tasks of several jobs failed on it. Set by
   /// reconcile::TaskFailures.
@@ -154,7 +154,7 @@
   /// Seconds for which the machine has been silent. It is 0 while a zone delegate may answer the
   /// machine, and counts from the end of the delegation at the earliest, because the machine then
   /// needs some time to find the leader again.
-  [[nodiscard]] double quiet(double now) const {
+  [[nodiscard]] double silent_for(double now) const {
     return delegated ? 0 : now - std::max(last_heartbeat, delegated_at);
   }
 };
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the leader knows of jobs, tasks and machines, and the only place that changes where a task
-/// is. Runs on the controller's event loop; times are seconds of its steady clock.
+/// The leader's model of jobs, tasks and machines, and the only place that changes where a task
+/// is placed. Runs on the controller's event loop; times are seconds of its steady clock.
 #pragma once
 
 #include <array>
@@ -35,9 +35,9 @@
   // --- jobs ---
 
   /// Adds a job whose record exists. `submitted` is the time of the submission by this controller's
-  /// steady clock. None of its blocks is brought into memory.
+  /// steady clock. None of its blocks is loaded.
   Job& add_job(const std::string& id, const store::JobRecord& record, double submitted);
-  /// Forgets a job whose final state is stored. Has no effect if the job is not known.
+  /// Removes a job whose final state is stored. Has no effect if the job is not known.
   void remove_job(const std::string& id);
   /// The job with this identifier, or null.
   [[nodiscard]] Job* job(const std::string& id);
@@ -48,12 +48,12 @@
   /// The settings of the platform.
   [[nodiscard]] const config::Settings& settings() const { return settings_; }
   /// The task with this Task::id. Null if its job has been removed, or if all tasks of its block
-  /// are completed. Brings the block into memory if necessary.
+  /// are completed. Loads the block if necessary.
   [[nodiscard]] Task* task(sched::TaskId id);
   /// The task with this index in the job. Null if the job has no such task, or if all tasks of its
-  /// block are completed. Brings the block into memory if necessary.
+  /// block are completed. Loads the block if necessary.
   [[nodiscard]] Task* task(Job& job, std::uint32_t index);
-  /// Returns the block with this number of the job, and brings it into memory if it is not there
+  /// Returns the block with this number of the job, and loads it if it is not in memory
   /// yet. `stored` is the block as the mirror has it, or null if the block was never recorded. Done
   /// bits and attempt numbers are taken from it; assignments are taken over by restore().
   Block& load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored);
@@ -64,7 +64,7 @@
   Machine& machine(const std::string& id);
   /// The machine with this identifier, or null.
   [[nodiscard]] Machine* find_machine(const std::string& id);
-  /// Forgets a machine whose deletion the cloud has confirmed, and has its removal recorded. Its
+  /// Removes a machine whose deletion the cloud has confirmed, and has its removal recorded. Its
   /// tasks must have been taken off before. Has no effect if the machine is not known.
   void remove_machine(const std::string& id);
   /// Whether the machine was removed by this leader. Heartbeats and entries of the cloud's machine
@@ -75,10 +75,10 @@
   void set_machine_types(std::vector<wire::MachineType> machine_types);
   /// The machine type with this name, or null.
   [[nodiscard]] const wire::MachineType* machine_type(const std::string& type) const;
-  /// Sets what heartbeats, the cloud or the records say of a machine. Its zone is kept while it has
-  /// tasks, and its address is kept if `addr` is empty.
-  void describe(Machine& machine, const std::string& type, const std::string& zone, bool spot,
-                const std::string& addr) const;
+  /// Sets a machine's attributes from a heartbeat, the cloud or the records. Its zone is kept
+  /// while it has tasks, and its address is kept if `addr` is empty.
+  void update_attributes(Machine& machine, const std::string& type, const std::string& zone,
+                         bool spot, const std::string& addr) const;
 
   // --- placement of tasks; see TaskPhase ---
 
@@ -104,7 +104,7 @@
   void add_unrecorded(Machine& machine, const Job& job);
   /// Ends the effect of all calls of add_unrecorded() for the machine.
   static void clear_unrecorded(Machine& machine);
-  /// Forgets what the last heartbeat listed apart from recorded tasks that run: exited attempts,
+  /// Clears what the last heartbeat listed apart from recorded tasks that run: exited attempts,
   /// unrecorded tasks and tasks of unknown jobs.
   static void clear_heartbeat_content(Machine& machine);
   /// Has a machine recorded that has no record yet.
@@ -129,16 +129,16 @@
     return machine_types_;
   }
 
-  // --- what has changed, so that no decision has to walk through all jobs and machines ---
+  // --- change tracking, so that no decision has to iterate over all jobs and machines ---
 
   /// Jobs that may have pending tasks that are in no queue. placement::JobQueues and
   /// placement::DirectPlacement remove a job once it needs nothing more from them.
-  [[nodiscard]] JobSet& open() { return open_; }
+  [[nodiscard]] JobSet& jobs_with_unqueued_tasks() { return jobs_with_unqueued_tasks_; }
   /// Jobs that may be over, because one of their tasks was completed or has left its machine, or
   /// because they are new or cancelled. reconcile::JobLifecycle takes them out.
   [[nodiscard]] JobSet& finalizable() { return finalizable_; }
   /// Machines for which there may be commands to send. dispatch::CommandDispatcher takes them out.
-  [[nodiscard]] MachineSet& attention() { return attention_; }
+  [[nodiscard]] MachineSet& machines_to_command() { return machines_to_command_; }
   /// All planned tasks.
   [[nodiscard]] const TaskSet& planned() const { return planned_; }
   /// Returns the machines whose room, tasks or status have changed since the last call, ordered by
@@ -195,13 +195,13 @@
   std::vector<wire::MachineType> machine_types_;
   std::uint64_t next_serial_ = 1;
   std::map<std::string, std::unique_ptr<Job>> jobs_;
-  std::unordered_map<std::uint64_t, Job*> by_serial_;
+  std::unordered_map<std::uint64_t, Job*> jobs_by_serial_;
   std::unordered_map<std::string, std::uint32_t> image_numbers_;  ///< by the image's name
-  JobSet open_;
+  JobSet jobs_with_unqueued_tasks_;
   JobSet finalizable_;
   TaskSet planned_;
   MachineSet dirty_;
-  MachineSet attention_;
+  MachineSet machines_to_command_;
   sched::Amount least_need_;
   std::optional<sched::Amount> least_gang_need_;
   std::array<std::size_t, 4> on_machines_{};  ///< by priority
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -22,9 +22,9 @@
 /// least one value.
 constexpr std::size_t kWritesKeptForLog = 1;
 
-void add_entry(SlotValue& value, const CommitRecord& record, store::Packed packed) {
-  value.json_bytes += packed.json;
-  value.entries.push_back({record.serial(), record.version, packed.json});
+void add_entry(SlotValue& value, const CommitRecord& record, store::PackedEntry packed) {
+  value.json_bytes += packed.json_bytes;
+  value.entries.push_back({record.serial(), record.version, packed.json_bytes});
   auto& entries = record.kind == CommitRecord::Kind::machine ? value.machines : value.blocks;
   entries.push_back(std::move(packed.bytes));
 }
@@ -94,7 +94,7 @@
 }
 
 bool TransactionBuilder::must_be_kept(const CommitRecord& record) const {
-  // The blocks of a job mean nothing once its record is removed. They are kept until then, for
+  // The blocks of a job are obsolete once its record is removed. They are kept until then, for
   // a new leader that found no blocks of a job would use its attempt numbers again (rule 1).
   if (record.job.empty()) return true;
   if (mirror_.job(record.job) == nullptr) return false;
@@ -136,8 +136,8 @@
     if (carried || !must_be_kept(record) || finalizations_.contains(record.job)) continue;
     auto packed = record.pack();
     // A record that is larger than any value may be must not hold up the others.
-    if (packed.json > limit) continue;
-    if (value.json_bytes + packed.json > limit) return next;
+    if (packed.json_bytes > limit) continue;
+    if (value.json_bytes + packed.json_bytes > limit) return next;
     require_absent_keys(record);
     add_entry(value, record, std::move(packed));
   }
@@ -149,7 +149,7 @@
   // that is stored already has met its preconditions.
   if (record.clean()) return;
   auto& preconditions = pending_.transaction.preconditions;
-  for (const auto& key : record.absent) {
+  for (const auto& key : record.absent_keys) {
     const bool known = std::any_of(preconditions.begin(), preconditions.end(),
                                    [&](const auto& one) { return one.key == key; });
     if (!known) preconditions.push_back({key, 0});
--- a/tests/decision_cost_test.cpp
+++ b/tests/decision_cost_test.cpp
@@ -16,11 +16,12 @@
     world.cloud.capacity = machines;
     world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 2000));
     world.run_until(70);
-    ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
-    const auto before = leader_of(world).planner().steps();
+    ASSERT_EQ(placed_tasks(world, "job-1"), static_cast<std::size_t>(machines) * 2);
+    const auto before = leader_of(world).planner().machines_examined();
     world.run_until(90);
     const double events = 20.0 * machines * (1 / 1.5 + 1);
-    EXPECT_LT(static_cast<double>(leader_of(world).planner().steps() - before), 1.5 * events)
+    EXPECT_LT(static_cast<double>(leader_of(world).planner().machines_examined() - before),
+              1.5 * events)
         << machines;
   }
 }
@@ -34,7 +35,7 @@
     world.cloud.capacity = machines;
     world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 5000));
     world.run_until(80);
-    ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
+    ASSERT_EQ(placed_tasks(world, "job-1"), static_cast<std::size_t>(machines) * 2);
     auto& leader = leader_of(world);
     auto* worker = worker_of(world, "job-1");
     ASSERT_NE(worker, nullptr);
@@ -44,7 +45,7 @@
     auto heartbeat =
         heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
     show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
-    const auto before = leader.planner().steps();
+    const auto before = leader.planner().machines_examined();
     constexpr int kHeartbeats = 18;  // in less than a second, each with a decision of its own
     for (int i = 0; i < kHeartbeats; ++i) {
       ++heartbeat.sequence;
@@ -56,7 +57,7 @@
       world.run_for(0.051);
     }
     // And one review of all machines, which is due every second.
-    EXPECT_LE(leader.planner().steps() - before,
+    EXPECT_LE(leader.planner().machines_examined() - before,
               static_cast<std::size_t>(kHeartbeats * 5 + machines * 2))
         << machines;
   }
@@ -73,7 +74,7 @@
     world.cloud.capacity = machines;
     world.submit(array(1, static_cast<std::uint32_t>(machines) * 2, 5000));
     world.run_until(80);
-    ASSERT_EQ(placed(world, "job-1"), static_cast<std::size_t>(machines) * 2);
+    ASSERT_EQ(placed_tasks(world, "job-1"), static_cast<std::size_t>(machines) * 2);
     const auto messages = world.peer_traffic.messages;
     const auto writes = world.peer_traffic.flushes;
     constexpr double kSeconds = 20;
--- a/tests/group_commit_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -42,7 +42,7 @@
 
   void refresh() {
     mirror_.restart();
-    mirror_.load(state_.list(std::string(store::kLive), "", 1'000'000).listing);
+    mirror_.load(state_.list(std::string(store::kLivePrefix), "", 1'000'000).listing);
   }
   Block& add_block(int job) {
     const std::string id = "job-" + std::to_string(job);
@@ -118,7 +118,7 @@
   }
   // 40 entries of about 70 bytes are three values' worth.
   EXPECT_LE(slots, 16U);
-  EXPECT_GE(slots, constants::kSlotsFirst);
+  EXPECT_GE(slots, constants::kInitialSlots);
 }
 
 /// Answers lost, transactions applied seconds later, one version overtaking
@@ -190,7 +190,7 @@
   std::mt19937 random(4);
   for (int round = 0; round < 150; ++round) {
     mirror_.restart();
-    const auto page = state_.list(std::string(store::kLive), "", 20).listing;
+    const auto page = state_.list(std::string(store::kLivePrefix), "", 20).listing;
     ASSERT_TRUE(page.truncated);
     mirror_.load(page);
     for (int i = 0; i < 5; ++i) {
@@ -228,7 +228,7 @@
   for (int i = 0; i < 80; ++i) change(add_block(i));
   run(6);
   for (auto& [id, block] : blocks_) EXPECT_EQ(stored_attempt(id), 1U) << id;
-  EXPECT_EQ(state_.rejected, 0U);
+  EXPECT_EQ(state_.rejected_transactions, 0U);
 }
 
 TEST_F(GroupCommitTest, TransactionsShrinkWhenTheServiceTakesLessThanItSaid) {
@@ -237,8 +237,8 @@
   for (int i = 0; i < 80; ++i) change(add_block(i));
   run(10);
   for (auto& [id, block] : blocks_) EXPECT_EQ(stored_attempt(id), 1U) << id;
-  EXPECT_GT(state_.rejected, 0U);
-  EXPECT_LT(state_.rejected, 10U) << "the same again and again";
+  EXPECT_GT(state_.rejected_transactions, 0U);
+  EXPECT_LT(state_.rejected_transactions, 10U) << "the same again and again";
 }
 
 TEST_F(GroupCommitTest, ARecordThatFitsNowhereHoldsUpNoOther) {
@@ -267,7 +267,7 @@
     run(6);
   }
   for (auto& [id, block] : blocks_) EXPECT_EQ(stored_attempt(id), 7U) << id;
-  EXPECT_EQ(state_.rejected, 0U);
+  EXPECT_EQ(state_.rejected_transactions, 0U);
   EXPECT_LT(state_.list("elm/l/log/", "", 1'000'000).listing.entries.size(), 40U);
 }
 
