--- a/tests/chaos_test.cpp
+++ b/tests/chaos_test.cpp
@@ -9,7 +9,7 @@
 namespace elmstall::test {
 namespace {
 
-void fault(World& world) {
+void begin_fault(World& world) {
   const auto node = world.pick(3);
   const double length = 2 + world.random() * 30;
   // Those of this search: seeds of earlier failures still play the same history.
@@ -42,8 +42,8 @@
     if (jobs > 0)
       world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
     if (t >= next_fault && t < 280) {
-      fault(world);
-      if (world.random() < 0.4) fault(world);
+      begin_fault(world);
+      if (world.random() < 0.4) begin_fault(world);
       next_fault = t + 5 + world.random() * 25;
     }
     ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s";
--- a/tests/decision_cost_test.cpp
+++ b/tests/decision_cost_test.cpp
@@ -10,7 +10,7 @@
 /// What decisions cost follows what happens, not batches times machines: on a
 /// busy fleet of whatever size a machine is looked at when its heartbeat comes and once
 /// a second, hardly more.
-TEST(Planner, DecisionsLookAtWhatChangedNotAtTheFleet) {
+TEST(Planner, ExaminesOnlyMachinesWithChanges) {
   for (const int machines : {10, 80, 600}) {
     World world(39);
     world.cloud.capacity = machines;
@@ -28,7 +28,7 @@
 
 /// What an unchanged heartbeat costs, in bytes on the way and in machines looked
 /// at, does not depend on the size of the fleet.
-TEST(Heartbeats, CostTheSameInASmallFleetAndInALargeOne) {
+TEST(Heartbeats, CostDoesNotGrowWithTheFleet) {
   std::map<int, std::size_t> bytes;
   for (const int machines : {20, 150, 600}) {
     World world(58);
@@ -67,7 +67,7 @@
 
 /// Forwarded heartbeats and their answers share writes, whatever the size of the
 /// fleet: a packet costs a small controller more than the heartbeat in it.
-TEST(Heartbeats, ForwardedTogetherWithOthers) {
+TEST(Heartbeats, AreForwardedInBatches) {
   std::map<int, double> flushes;
   for (const int machines : {60, 240}) {
     World world(59);
--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -12,15 +12,15 @@
 
 class FallingLimits : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(FallingLimits, TheRulesHoldAndNothingIsTooLarge) {
+TEST_P(FallingLimits, TheRulesHoldAndNoTransactionIsRejected) {
   const auto seed = GetParam();
   World world(90'000 + seed, 3 + seed % 3, kLowerLimits);
   world.network.loss = 0.01;
   world.cloud.capacity = 40;
-  std::string story;
+  std::string fault_log;
   int jobs = 0;
-  const double falls_at = 40 + world.random() * 80;
-  bool fallen = false;
+  const double lower_at = 40 + world.random() * 80;
+  bool lowered = false;
   double next_fault = 30;
   for (double t = 0; t < 220; t += 1) {
     world.run_until(t);
@@ -32,19 +32,19 @@
       world.cancel("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
     if (jobs > 0)
       world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
-    if (!fallen && t >= falls_at) {
-      fallen = true;
+    if (!lowered && t >= lower_at) {
+      lowered = true;
       world.lower_state_limits();
-      story += " | limits at " + std::to_string(static_cast<int>(t));
+      fault_log += " | limits at " + std::to_string(static_cast<int>(t));
     }
     if (t >= next_fault && t < 165) {
-      story += begin_random_fault(world, t);
+      fault_log += begin_random_fault(world, t);
       next_fault = t + 8 + world.random() * 25;
     }
-    ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << story;
+    ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << fault_log;
   }
-  expect_recovery(world, jobs, 245, story);
-  EXPECT_EQ(world.state.rejected_transactions, 0U) << story;
+  expect_recovery(world, jobs, 245, fault_log);
+  EXPECT_EQ(world.state.rejected_transactions, 0U) << fault_log;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FallingLimits, ::testing::Range(1U, last_seed(30) + 1));
@@ -89,7 +89,7 @@
   expect_no_violations(world);
 }
 
-TEST(LargeJobRecord, IsRefusedAtOnceByEveryControllerAndItsRepeatToo) {
+TEST(LargeJobRecord, IsRejectedByEveryControllerEachTime) {
   World world(902, 3, kLowerLimits);
   world.run_until(5);
   const auto job = job_with_large_record();
@@ -102,7 +102,7 @@
   }
 }
 
-TEST(LargeJobRecord, OfAnAcceptedJobKeepsItsAnswer) {
+TEST(LargeJobRecord, ResubmissionOfAnAcceptedJobSucceeds) {
   World world(903, 3, kLowerLimits);
   world.run_until(5);
   const auto job = job_with_large_record();
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -10,19 +10,19 @@
 constexpr std::size_t kMachines = 4000;
 
 /// Two tasks fill a machine of the test world.
-wire::JobSpec filling(int number, std::uint32_t tasks) {
+wire::JobSpec job_filling_machines(int number, std::uint32_t tasks) {
   auto job = array(number, tasks, 500);
   job.expect_s = 5000;
   return job;
 }
 
-std::size_t alive(const World& world) {
+std::size_t machines_alive(const World& world) {
   return static_cast<std::size_t>(
       std::count_if(world.workers.begin(), world.workers.end(),
                     [](const auto& entry) { return !entry.second->dead(); }));
 }
 
-std::size_t running(const World& world, int jobs) {
+std::size_t tasks_on_machines_of(const World& world, int jobs) {
   std::size_t count = 0;
   for (int job = 1; job <= jobs; ++job)
     count += world.rules.tasks_on_machines("job-" + std::to_string(job));
@@ -38,16 +38,16 @@
   LargeFleet() : world_(2000, 3) {
     world_.cloud.capacity = kMachines;
     world_.use_large_fleet_settings();
-    for (int job = 1; job <= kJobs; ++job) world_.submit(filling(job, kTasks / kJobs));
+    for (int job = 1; job <= kJobs; ++job) world_.submit(job_filling_machines(job, kTasks / kJobs));
     world_.run_until(150);
   }
 
   World world_;
 };
 
-TEST_F(LargeFleet, WorksWholeAcrossATakeoverAndTheLossOfAThird) {
-  ASSERT_EQ(alive(world_), kMachines);
-  ASSERT_EQ(running(world_, kJobs), kTasks);
+TEST_F(LargeFleet, RunsAllTasksAfterTakeoverFullRestartAndLossOfAThird) {
+  ASSERT_EQ(machines_alive(world_), kMachines);
+  ASSERT_EQ(tasks_on_machines_of(world_, kJobs), kTasks);
   const auto starts = world_.rules.starts();
   // The leader ends: nothing is lost, and every machine is known to the next.
   world_.crash(leader_index(world_), 5);
@@ -60,7 +60,7 @@
   // All controllers end, and the whole fleet sends heartbeats at once.
   crash_all_nodes(world_, 1);
   world_.run_for(45);
-  EXPECT_EQ(running(world_, kJobs), kTasks);
+  EXPECT_EQ(tasks_on_machines_of(world_, kJobs), kTasks);
   EXPECT_EQ(world_.rules.starts(), starts);
   // A third of the machines is gone in one moment.
   std::size_t died = 0;
@@ -70,7 +70,7 @@
     ++world_.cloud.capacity;
   }
   world_.run_for(220);
-  EXPECT_EQ(running(world_, kJobs), kTasks) << "all found another place";
+  EXPECT_EQ(tasks_on_machines_of(world_, kJobs), kTasks) << "all found another place";
   expect_no_violations(world_);
 }
 
--- a/tests/gang_placement_test.cpp
+++ b/tests/gang_placement_test.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Whether any distribution holds all tasks: tries every count on each candidate.
-bool possible(const std::vector<GangCandidate>& candidates, const GangRequest& request,
-              bool displace, std::size_t candidate, std::map<std::string, std::size_t> in_zone,
-              std::size_t left) {
+bool placement_exists(const std::vector<GangCandidate>& candidates, const GangRequest& request,
+                      bool preempt, std::size_t candidate,
+                      std::map<std::string, std::size_t> in_zone, std::size_t left) {
   if (left == 0) {
     std::size_t zones = 0;
     for (const auto& [zone, count] : in_zone) {
@@ -25,20 +25,21 @@
   }
   if (candidate == candidates.size()) return false;
   const auto slots =
-      candidates[candidate].free_slots + (displace ? candidates[candidate].preemptible_slots : 0);
+      candidates[candidate].free_slots + (preempt ? candidates[candidate].preemptible_slots : 0);
   for (std::size_t count = 0; count <= std::min(slots, left); ++count) {
     auto next = in_zone;
     next[candidates[candidate].zone] += count;
-    if (possible(candidates, request, displace, candidate + 1, next, left - count)) return true;
+    if (placement_exists(candidates, request, preempt, candidate + 1, next, left - count))
+      return true;
   }
   return false;
 }
 
 class GangPlacement : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(GangPlacement, FindsPlacesWheneverThereAreAny) {
+TEST_P(GangPlacement, FindsAPlacementWheneverOneExists) {
   std::mt19937 random(GetParam());
-  const auto pick = [&](std::size_t most) { return random() % (most + 1); };
+  const auto pick = [&](std::size_t limit) { return random() % (limit + 1); };
   for (int round = 0; round < 200; ++round) {
     std::vector<GangCandidate> candidates(1 + pick(4));
     for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -57,17 +58,18 @@
     request.tasks = 1 + pick(6);
     request.together = pick(1) == 0;
     if (!request.together && pick(1) == 0) request.zone_limit = (request.tasks + 1) / 2;
-    const bool displace = pick(1) == 0;
+    const bool preempt = pick(1) == 0;
     const auto shares =
-        place_gang(candidates, request, displace ? Preemption::allowed : Preemption::forbidden);
-    ASSERT_EQ(shares.has_value(), possible(candidates, request, displace, 0, {}, request.tasks));
+        place_gang(candidates, request, preempt ? Preemption::allowed : Preemption::forbidden);
+    ASSERT_EQ(shares.has_value(),
+              placement_exists(candidates, request, preempt, 0, {}, request.tasks));
     if (!shares) continue;
     std::size_t placed = 0;
     std::map<std::string, std::size_t> in_zone;
     for (const auto& share : *shares) {
       const auto& candidate = candidates[share.candidate];
       EXPECT_LE(share.tasks - share.preempting, candidate.free_slots);
-      EXPECT_LE(share.preempting, displace ? candidate.preemptible_slots : 0);
+      EXPECT_LE(share.preempting, preempt ? candidate.preemptible_slots : 0);
       placed += share.tasks;
       in_zone[candidate.zone] += share.tasks;
     }
@@ -80,7 +82,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GangPlacement, ::testing::Range(1U, 6U));
 
-TEST(GangPlacementOrder, TheImageThenRoomThatOthersCantUse) {
+TEST(GangPlacementOrder, PrefersCachedImageThenLeastWaste) {
   std::vector<GangCandidate> candidates(3);
   candidates[0] = {0, "north", 2, 0, false, false, false, false, 0, 0};
   candidates[1] = {1, "north", 2, 0, false, true, false, false, 3, 0};
@@ -95,7 +97,7 @@
 }
 
 /// A fetch beside another one takes twice as long, and the whole gang waits for it.
-TEST(GangPlacementOrder, AFreeNetworkThenRoomThatOthersCantUse) {
+TEST(GangPlacementOrder, PrefersFreeNetworkThenLeastWaste) {
   std::vector<GangCandidate> candidates(2);
   candidates[0] = {0, "north", 2, 0, false, false, true, false, 0, 0};
   candidates[1] = {1, "north", 2, 0, false, false, false, false, 3, 0};
@@ -105,7 +107,7 @@
   EXPECT_EQ(shares->front().candidate, 1U);
 }
 
-TEST(GangPlacementOrder, AMachineWhereNothingElseStartsSoon) {
+TEST(GangPlacementOrder, PrefersMachineWithoutRoomForOthers) {
   std::vector<GangCandidate> candidates(2);
   candidates[0] = {0, "north", 2, 0, false, false, false, true, 0, 0};
   candidates[1] = {1, "north", 2, 0, false, false, false, false, 0, 0};
@@ -115,7 +117,7 @@
 }
 
 /// The room beside the image is left to a gang that fits in there whole.
-TEST(GangPlacementOrder, AnImageThatHasToBeFetchedIsBroughtToManyMachines) {
+TEST(GangPlacementOrder, SpreadsTheGangWhenTheImageMustBeFetched) {
   std::vector<GangCandidate> candidates(4);
   candidates[0] = {0, "north", 2, 0, false, true, false, false, 0, 0};
   for (std::size_t i = 1; i < 4; ++i)
@@ -126,13 +128,13 @@
   ASSERT_EQ(spread->size(), 3U);
   for (const auto& share : *spread) EXPECT_NE(share.candidate, 0U);
   request.tasks = 2;
-  const auto whole = place_gang(candidates, request, Preemption::forbidden);
-  ASSERT_TRUE(whole);
-  ASSERT_EQ(whole->size(), 1U);
-  EXPECT_EQ(whole->front().candidate, 0U);
+  const auto on_cached = place_gang(candidates, request, Preemption::forbidden);
+  ASSERT_TRUE(on_cached);
+  ASSERT_EQ(on_cached->size(), 1U);
+  EXPECT_EQ(on_cached->front().candidate, 0U);
 }
 
-TEST(GangPlacementOrder, AZoneWithRoomGoesBeforeOneWhereOthersMustStop) {
+TEST(GangPlacementOrder, PrefersZoneWithoutPreemption) {
   std::vector<GangCandidate> candidates(2);
   candidates[0] = {0, "north", 1, 5, false, true, false, false, 0, 1};
   candidates[1] = {1, "south", 2, 0, false, false, false, false, 9, 0};
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -32,8 +32,8 @@
 }
 
 /// Until the gang is in this state; false if that took too long.
-bool wait_for(World& world, const std::string& id, GangState state, double most = 60) {
-  for (const double end = world.loop.now() + most; world.loop.now() < end;) {
+bool wait_for(World& world, const std::string& id, GangState state, double timeout_s = 60) {
+  for (const double end = world.loop.now() + timeout_s; world.loop.now() < end;) {
     if (state_of(world, id) == state) return true;
     world.run_for(0.02);
   }
@@ -58,7 +58,7 @@
 }
 
 /// Number of the gang's tasks that wait for the others, as their machines show.
-std::size_t gathering(World& world, const std::string& id) {
+std::size_t gathering_tasks(World& world, const std::string& id) {
   std::size_t count = 0;
   auto* job = job_at_leader(world, id);
   if (job == nullptr) return 0;
@@ -70,7 +70,7 @@
   return count;
 }
 
-TEST(Gang, AllTasksCompleteWithTheFirst) {
+TEST(Gang, CompletesInTheFirstAttempt) {
   World world(801);
   world.submit(gang(1, 6));
   ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
@@ -81,34 +81,34 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, OfManyBlocksStartsOnlyWhenAllOfThemAreRecorded) {
+TEST(Gang, StartsOnlyWhenAllBlocksAreRecorded) {
   World world(802);
   world.cloud.capacity = 60;
   world.submit(gang_of_many_blocks());
-  bool seen_some = false;
+  bool saw_unwritten_block = false;
   for (double t = 1; t < 60 && world.gangs.attempts_started() == 0; t += 0.01) {
     world.run_until(t);
     auto* job = job_at_leader(world, "job-1");
     if (job == nullptr || job->gang.state != GangState::starting) continue;
-    bool offered = false;
+    bool run_sent = false;
     bool unwritten = false;
     for (const auto& [number, block] : job->blocks) {
       for (const auto& task : block->tasks) {
-        offered = offered || task.run_sent();
+        run_sent = run_sent || task.run_sent();
         unwritten = unwritten || block->record->written < task.required_version();
       }
     }
-    seen_some = seen_some || unwritten;
-    ASSERT_FALSE(offered && unwritten) << "at " << t;
+    saw_unwritten_block = saw_unwritten_block || unwritten;
+    ASSERT_FALSE(run_sent && unwritten) << "at " << t;
   }
-  EXPECT_TRUE(seen_some);
+  EXPECT_TRUE(saw_unwritten_block);
   EXPECT_EQ(world.gangs.attempts_started(), 1U);
   world.run_for(40);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done);
   expect_no_violations(world);
 }
 
-TEST(Gang, OfOneTaskIsAGangToo) {
+TEST(Gang, OfOneTaskCompletes) {
   World world(803);
   world.submit(gang(1, 1, 5));
   world.run_until(60);
@@ -116,13 +116,13 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ALossWhileOthersWaitIsReplacedUnderTheSameAttempt) {
+TEST(Gang, MachineLossDuringGatheringKeepsTheAttempt) {
   World world(804);
   // Another one keeps machines alive that have room.
-  auto spare = gang(2, 4, 500);
-  spare.cpus = 1;
-  spare.gpus = 0;
-  world.submit(spare);
+  auto other = gang(2, 4, 500);
+  other.cpus = 1;
+  other.gpus = 0;
+  world.submit(other);
   ASSERT_TRUE(wait_for(world, "job-2", GangState::running));
   world.submit(gang(1, 4));
   ASSERT_TRUE(wait_for(world, "job-1", GangState::starting));
@@ -131,9 +131,9 @@
   auto& last = worker_of_task(world, job, 3);
   last.hang(100);
   for (double end = world.loop.now() + 10;
-       world.loop.now() < end && gathering(world, "job-1") == 0;)
+       world.loop.now() < end && gathering_tasks(world, "job-1") == 0;)
     world.run_for(0.02);
-  ASSERT_GT(gathering(world, "job-1"), 0U);
+  ASSERT_GT(gathering_tasks(world, "job-1"), 0U);
   const auto attempt = job.gang.attempt;
   last.die();
   ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
@@ -142,7 +142,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ALossThatComesTooLateForTheOthersBeginsANewAttempt) {
+TEST(Gang, MachineLossLateInGatheringBeginsANewAttempt) {
   World world(805);
   world.settings.gang_wait_s = 9;
   for (std::size_t i = 0; i < world.node_count(); ++i) world.set_gang_wait(i, 9);
@@ -159,7 +159,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ALostMachineEndsTheAttemptAndTheNextGoesOnFromTheCheckpoint) {
+TEST(Gang, MachineLossRestartsTheGangFromItsCheckpoint) {
   World world(805);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 40), 12));
   worker_of(world, "job-1")->die();
@@ -171,7 +171,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, AMachineThatHangsWithinItsLeaseEndsTheAttempt) {
+TEST(Gang, MachineHangShorterThanTheLeaseEndsTheAttempt) {
   World world(806);
   world.settings.gang_peer_s = 2;
   world.submit(gang(1, 4, 30));
@@ -183,7 +183,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, IsStoppedWholeAndInTimeToSave) {
+TEST(Gang, PreemptionStopsAllTasksAndSavesACheckpoint) {
   World world(807);
   world.cloud.capacity = 2;
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, idle_gang(), 7));
@@ -205,7 +205,7 @@
   run_gang_for(world, job, seconds);
 }
 
-TEST(Gang, ASpotNoticeBeginsTheStopForAll) {
+TEST(Gang, SpotInterruptionNoticeStopsAllTasks) {
   World world(808);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->interruption_at = world.loop.now() + 20;
@@ -215,7 +215,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ANoticeTooShortToSaveIsAPlainLoss) {
+TEST(Gang, SpotInterruptionNoticeTooShortToSaveEndsTheAttempt) {
   World world(809);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->interruption_at = world.loop.now() + 2;
@@ -226,7 +226,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ATakeoverInTheMiddleOfAStopSendsTheRest) {
+TEST(Gang, TakeoverDuringAStopSendsTheRemainingStopCommands) {
   World world(810);
   world.cloud.capacity = 2;
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, idle_gang(), 7));
@@ -245,7 +245,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ATakeoverWhileItGathersLosesNothing) {
+TEST(Gang, TakeoverDuringGatheringKeepsTheAttempt) {
   World world(811);
   auto job = gang(1, 4);
   job.image_gb = 4;
@@ -260,7 +260,7 @@
 }
 
 /// As a leader leaves it that ends after its first command.
-TEST(Gang, OneThatSavesAtAFormerLeadersCommandIsStoppedWhole) {
+TEST(Gang, PartialStopByAFormerLeaderIsCompleted) {
   World world(815);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 60), 7));
   auto& leader = leader_of(world);
@@ -276,7 +276,7 @@
 }
 
 /// The next leader must know which attempt it is, or it commands nothing for it.
-TEST(Gang, ATakeoverInItsSecondAttemptGoesOnWithThat) {
+TEST(Gang, TakeoverKeepsTheSecondAttempt) {
   World world(814);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 200), 6));
   worker_of(world, "job-1")->die();
@@ -290,7 +290,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ATakeoverBetweenItsCommitsStartsNoPartOfIt) {
+TEST(Gang, TakeoverBetweenItsCommitsFailsNoAttempt) {
   World world(812);
   world.cloud.capacity = 60;
   bool crashed = false;
@@ -309,7 +309,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, StaysTogetherAcrossAttempts) {
+TEST(Gang, StaysInOneZoneAcrossAttempts) {
   World world(813);
   auto job = gang(1, 4, 40);
   job.together = true;
@@ -322,7 +322,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ACancellationEndsItAtEachMoment) {
+TEST(Gang, CancellationAtAnyTimeEndsAllTasks) {
   for (const double after : {0.05, 1.0, 3.0, 8.0, 15.0}) {
     World world(820);
     world.submit(gang(1, 4, 60));
@@ -336,7 +336,7 @@
   }
 }
 
-TEST(Gang, ATaskThatAlwaysFailsDoesNotBurnTheFleet) {
+TEST(Gang, RepeatedTaskFailuresLimitTheRateOfStarts) {
   World world(830);
   world.submit(gang(1, 2, 10));
   world.submit(gang(2, 2, 10));
@@ -348,7 +348,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, WaitingOnesNeitherBlockEachOtherNorStarveBehindArrays) {
+TEST(Gang, WaitingGangsNeitherDeadlockNorStarveBehindArrays) {
   World world(840);
   world.cloud.capacity = 4;
   // Arrays that take every place as it comes free.
@@ -366,7 +366,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, AboveItsTeamsLimitIsRefusedAtOnce) {
+TEST(Gang, AboveTheTeamLimitIsRejected) {
   World world(850);
   world.run_until(5);
   auto job = gang(1, 9);  // red may use 8 GPUs
@@ -376,7 +376,7 @@
   EXPECT_EQ(response->status, 422);
 }
 
-TEST(GangStates, OnlyTheListedOnesFollowEachOther) {
+TEST(GangStates, OnlyValidTransitionsAreAllowed) {
   using State = state::Gang::State;
   EXPECT_TRUE(state::is_valid_transition(State::waiting, State::starting));
   EXPECT_TRUE(state::is_valid_transition(State::stopping, State::waiting));
--- a/tests/machine_failures_test.cpp
+++ b/tests/machine_failures_test.cpp
@@ -9,7 +9,7 @@
 
 using wire::JobState;
 
-TEST(UnresponsiveMachine, ItsTasksGoOnElsewhereAndItGetsNoWorkUntilItHears) {
+TEST(UnresponsiveMachine, TasksMoveAndNoNewTasksAreAssignedUntilItRecovers) {
   World world(34);
   world.submit(array(1, 4, 300));
   world.run_until(40);
@@ -34,7 +34,7 @@
   expect_no_violations(world);
 }
 
-TEST(UnresponsiveMachine, ThatStaysSoIsReturned) {
+TEST(UnresponsiveMachine, IsReturnedIfItDoesNotRecover) {
   World world(35);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 500));
@@ -52,7 +52,7 @@
 /// A retirement was once refused while any zone had a delegate, and the
 /// refusal failed all that was to be recorded beside it: starts and ends of all
 /// zones stood still for as long as one zone was cut.
-TEST(DeadMachine, IsGivenUpThoughAnotherZoneHasADelegate) {
+TEST(DeadMachine, IsGivenUpWhileAnotherZoneHasADelegate) {
   World world(43);
   world.cloud.capacity = 20;
   world.submit(array_in("north", 1, 5, 2000));
@@ -81,7 +81,7 @@
 }
 
 /// With commands held for them, for less and for more than their lease.
-TEST(HungMachine, GoesOnAndRunsNothingTwice) {
+TEST(HungMachine, ResumesWithoutRunningATaskTwice) {
   for (int length = 2; length < 32; length += 2) {
     World world(800 + static_cast<unsigned>(length));
     world.cloud.capacity = 16;
@@ -105,7 +105,7 @@
 
 /// Safety rule 6: what is on a silent machine is gone when its lease is over,
 /// and not before.
-TEST(SilentMachine, ItsTasksStartElsewhereAfterItsLease) {
+TEST(DisconnectedMachine, TasksStartElsewhereAfterItsLease) {
   World world(12);
   world.submit(array(1, 6, 60));
   world.run_until(30);
@@ -121,7 +121,7 @@
   expect_starts_without_violations(world);
 }
 
-TEST(FaultyMachine, IsPutAsideWhenTasksOfSeveralJobsFailThere) {
+TEST(FaultyMachine, IsQuarantinedWhenTasksOfSeveralJobsFail) {
   World world(16);
   for (int i = 1; i <= 4; ++i) world.submit(array(i, 3, 4));
   world.run_until(16);
@@ -137,7 +137,7 @@
 
 /// They reach no controller, while direct commands reach them: a reply to those
 /// once counted as a heartbeat, and what was started there died with its lease.
-TEST(LostHeartbeats, NothingIsStartedOnAMachineThatCanNotHeartbeat) {
+TEST(LostHeartbeats, NoTaskStartsOnAMachineWithoutHeartbeats) {
   World world(1700);
   world.cloud.capacity = 2;
   world.submit(array(1, 3, 3000));  // leaves room on one machine
@@ -152,43 +152,44 @@
   auto* worker = world.workers.at(machine->id).get();
   worker->heartbeats_dropped = true;
   world.cloud.down = true;  // it stays for now
-  const double at = world.loop.now();
+  const double dropped_at = world.loop.now();
   // Each is started, called off and thus asked about by direct commands.
   for (int i = 2; i < 10; ++i) {
     auto job = array(i, 1, 3000);
     job.image_gb = 0;
     world.submit(job);
-    world.run_until(at + 2 * i - 2.5);
-    const bool there = std::any_of(machine->tasks.begin(), machine->tasks.end(),
-                                   [&](const auto* task) { return task->job->id == job.id; });
-    EXPECT_FALSE(there && world.loop.now() > at + 11) << "silent since " << world.loop.now() - at;
+    world.run_until(dropped_at + 2 * i - 2.5);
+    const bool on_machine = std::any_of(machine->tasks.begin(), machine->tasks.end(),
+                                        [&](const auto* task) { return task->job->id == job.id; });
+    EXPECT_FALSE(on_machine && world.loop.now() > dropped_at + 11)
+        << "silent since " << world.loop.now() - dropped_at;
     world.cancel(job.id);
-    world.run_until(at + 2 * i - 1.5);
+    world.run_until(dropped_at + 2 * i - 1.5);
   }
   world.cloud.down = false;
-  world.run_until(at + 60);
+  world.run_until(dropped_at + 60);
   EXPECT_TRUE(worker->dead()) << "returned, for it stays so";
   EXPECT_EQ(placed_tasks(world, "job-1"), 3U);
   expect_no_violations(world);
 }
 
 /// Commands go out to them all the same, and many that lose their heartbeats at once are a cut.
-TEST(LostHeartbeats, CancelledTasksEndThereAndManyAreKept) {
+TEST(LostHeartbeats, CancelledTasksEndAndMachinesAreKeptWhenManyAreAffected) {
   World world(1710);
   world.cloud.capacity = 8;
   world.submit(array(1, 8, 3000));
   world.run_until(45);
-  std::vector<FakeWorker*> heartbeats_dropped;
+  std::vector<FakeWorker*> affected;
   for (auto& [id, worker] : world.workers) {
     worker->heartbeats_dropped = true;
-    if (!worker->dead()) heartbeats_dropped.push_back(worker.get());
+    if (!worker->dead()) affected.push_back(worker.get());
   }
   world.run_until(47);
   ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1"));
   world.run_until(50);
   EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U);
   world.run_until(70);
-  for (auto* worker : heartbeats_dropped) {
+  for (auto* worker : affected) {
     EXPECT_FALSE(worker->dead()) << "all at once are not given up";
     worker->heartbeats_dropped = false;
   }
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -11,65 +11,66 @@
 
 /// Far more small jobs than there is room for: the large ones begin within four
 /// minutes all the same, and half of either size is served.
-TEST(Overload, TheLargestBeginWithinFourMinutesAndHalfOfAllIsServed) {
+TEST(Overload, LargeJobsStartWithinFourMinutesAndHalfOfAllJobsComplete) {
   World world(37);
   world.cloud.capacity = 4;  // eight tasks at once
   int number = 0;
-  std::vector<std::string> large;
-  std::map<std::string, double> began;
-  std::map<std::string, double> asked;
+  std::vector<std::string> large_jobs;
+  std::map<std::string, double> started_at;
+  std::map<std::string, double> submitted_at;
   for (double t = 1; t < 400; t += 1) {
     world.run_until(t);
     if (t < 300 && static_cast<int>(t) % 3 == 0) world.submit(array(++number, 1, 20));
     if (t < 150 && static_cast<int>(t) % 30 == 5) {
-      large.push_back("job-" + std::to_string(++number));
-      asked[large.back()] = t;
+      large_jobs.push_back("job-" + std::to_string(++number));
+      submitted_at[large_jobs.back()] = t;
       world.submit(array(number, 16, 10));
     }
-    for (const auto& id : large) {
-      if (!began.contains(id) && placed_tasks(world, id) > 0) began[id] = t;
+    for (const auto& id : large_jobs) {
+      if (!started_at.contains(id) && placed_tasks(world, id) > 0) started_at[id] = t;
     }
   }
-  ASSERT_EQ(large.size(), 5U);
-  std::size_t served = 0;
-  for (const auto& id : large) {
-    EXPECT_TRUE(began.contains(id)) << id;
-    EXPECT_LT(began[id] - asked[id], 240) << id;
+  ASSERT_EQ(large_jobs.size(), 5U);
+  std::size_t completed = 0;
+  for (const auto& id : large_jobs) {
+    EXPECT_TRUE(started_at.contains(id)) << id;
+    EXPECT_LT(started_at[id] - submitted_at[id], 240) << id;
   }
   world.run_until(600);
   for (int i = 1; i <= number; ++i) world.poll("job-" + std::to_string(i));
   world.run_until(603);
   for (int i = 1; i <= number; ++i)
-    served += world.last_reported_state("job-" + std::to_string(i)) == JobState::done;
-  EXPECT_GT(served * 2, static_cast<std::size_t>(number));
-  std::size_t large_served = 0;
-  for (const auto& id : large) large_served += world.last_reported_state(id) == JobState::done;
-  EXPECT_GE(large_served * 2, large.size());
+    completed += world.last_reported_state("job-" + std::to_string(i)) == JobState::done;
+  EXPECT_GT(completed * 2, static_cast<std::size_t>(number));
+  std::size_t large_completed = 0;
+  for (const auto& id : large_jobs)
+    large_completed += world.last_reported_state(id) == JobState::done;
+  EXPECT_GE(large_completed * 2, large_jobs.size());
   expect_no_violations(world);
 }
 
 /// A job so large that its size alone would put it behind all that comes within
 /// the next minutes begins within four all the same.
-TEST(Overload, AVeryLargeJobDoesNotWaitForAllThatIsSmaller) {
+TEST(Overload, VeryLargeJobIsNotStarvedBySmallerOnes) {
   World world(56);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 15));
   world.run_until(10);
   world.submit(array(2, 200, 10));
   int number = 2;
-  double began = -1;
+  double started_at = -1;
   for (double t = 11; t < 320; t += 1) {
     world.run_until(t);
     if (static_cast<int>(t) % 2 == 0) world.submit(array(++number, 1, 20));
-    if (began < 0 && placed_tasks(world, "job-2") > 0) began = t;
+    if (started_at < 0 && placed_tasks(world, "job-2") > 0) started_at = t;
   }
-  EXPECT_GT(began, 10) << "never";
-  EXPECT_LT(began, 250);
+  EXPECT_GT(started_at, 10) << "never";
+  EXPECT_LT(started_at, 250);
   expect_no_violations(world);
 }
 
 /// What can't be taken is answered at once, telling when to come back.
-TEST(Overload, WhatCantBeTakenIsAnsweredAtOnce) {
+TEST(Overload, ExcessRequestsAreRejectedWithRetryAfter) {
   World world(38);
   world.run_until(5);
   world.stop_state_store();
@@ -92,7 +93,7 @@
 
 /// Polls without a pause once took a request of the state store each few
 /// milliseconds, and with it the rate that all commits wait for.
-TEST(Overload, PollsDoNotTakeTheStateServiceFromCommits) {
+TEST(Overload, PollsDoNotUseUpTheStateStoreRequestRate) {
   World world(49);
   world.submit(array(1, 1, 500));
   world.run_until(20);
@@ -109,7 +110,7 @@
   EXPECT_LT(world.store(0).get_count - before, 11 * 0.3 * 120 / 3 + 5);
 }
 
-TEST(SlowLinks, UrgentAndOtherWorkOverSlowLinksIsServedAndAnswered) {
+TEST(SlowLinks, JobsOfAllPrioritiesAreAnsweredAndHalfComplete) {
   World world(1600);
   world.cloud.capacity = 6;  // twelve tasks at once
   world.network.loss = 0.05;
@@ -127,8 +128,8 @@
   }
   world.network.loss = 0;
   for (std::size_t i = 0; i < 3; ++i) world.store(i).faults.max_added_delay_s = 0;
-  const double over = world.loop.now();
-  for (double t = over; t < over + 160; t += 1) {
+  const double recovery_start = world.loop.now();
+  for (double t = recovery_start; t < recovery_start + 160; t += 1) {
     world.run_until(t);
     for (int job = 1; job <= number; ++job) {
       if (job % 5 == static_cast<int>(t) % 5) world.poll("job-" + std::to_string(job));
@@ -137,7 +138,7 @@
   std::size_t done = 0;
   for (int job = 1; job <= number; ++job) {
     const auto id = "job-" + std::to_string(job);
-    EXPECT_GT(world.last_response_at(id), over + 85) << id;
+    EXPECT_GT(world.last_response_at(id), recovery_start + 85) << id;
     done += world.last_reported_state(id) == JobState::done;
   }
   EXPECT_GT(done * 2, static_cast<std::size_t>(number));
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -12,32 +12,32 @@
 namespace {
 
 /// Where in the first fault the second begins.
-enum class Moment { drawn, commit, election, commands };
+enum class Moment { random, commit, election, commands };
 
 /// Calls `fn` once, a few milliseconds after the next such step.
 void at_moment(World& world, Moment moment, double within, std::function<void()> fn) {
   auto once = std::make_shared<std::function<void()>>(std::move(fn));
-  const auto soon = [&world, once] {
+  const auto trigger = [&world, once] {
     if (!*once) return;
     world.loop.after(0.004 * world.random(), std::exchange(*once, {}));
   };
   switch (moment) {
-    case Moment::drawn:
+    case Moment::random:
       break;
     case Moment::commit:
-      world.state.on_commit = [soon](const wire::Transaction& transaction) {
-        if (!transaction.writes.empty()) soon();
+      world.state.on_commit = [trigger](const wire::Transaction& transaction) {
+        if (!transaction.writes.empty()) trigger();
       };
       break;
     case Moment::election:
-      world.state.on_commit = [soon](const wire::Transaction& transaction) {
+      world.state.on_commit = [trigger](const wire::Transaction& transaction) {
         for (const auto& write : transaction.writes) {
-          if (write.key == store::kLeadKey) soon();
+          if (write.key == store::kLeadKey) trigger();
         }
       };
       break;
     case Moment::commands:
-      world.on_commands = soon;
+      world.on_commands = trigger;
       break;
   }
   // The step may not come.
@@ -48,7 +48,7 @@
 
 class Pairs : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Pairs, TheRulesHoldAndNothingIsForgottenOrLeftWaiting) {
+TEST_P(Pairs, TheRulesHoldAndEveryJobRecovers) {
   const auto seed = GetParam();
   World world(70'000 + seed, 3 + seed % 2);
   world.network.loss = 0.01;
@@ -56,7 +56,7 @@
   for (std::size_t i = 0; i < world.node_count(); ++i)
     world.set_clock_rate(i, 1 + (world.random() - 0.5) * 0.001);
   const auto& faults = concurrent_faults();
-  std::string story;
+  std::string fault_log;
   int jobs = 0;
   double next_pair = 35;
   for (double t = 0; t < 200; t += 1) {
@@ -74,18 +74,18 @@
       const auto& second = faults[world.pick(faults.size())];
       const auto moment = static_cast<Moment>(world.pick(4));
       const double length = 2 + world.random() * 20;
-      story += " | " + std::to_string(static_cast<int>(t)) + " s: " + first.name + " + " +
-               second.name + " (" + std::to_string(static_cast<int>(moment)) + ")";
+      fault_log += " | " + std::to_string(static_cast<int>(t)) + " s: " + first.name + " + " +
+                   second.name + " (" + std::to_string(static_cast<int>(moment)) + ")";
       first.begin(world, world.pick(3), length);
       at_moment(world, moment, length, [&world, &second, length] {
         second.begin(world, world.pick(3), length * (0.3 + world.random()));
       });
       next_pair = t + 20 + world.random() * 30;
     }
-    ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << story;
+    ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << fault_log;
   }
   // The last fault is over by then, but for the longest outage.
-  expect_recovery(world, jobs, 245, story);
+  expect_recovery(world, jobs, 245, fault_log);
   // Not forbidden, and not wanted: seen in the test's heartbeat.
   RecordProperty("late_starts", static_cast<int>(world.rules.late_starts()));
 }
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -9,7 +9,7 @@
 
 /// After a takeover what was found was once counted as having arrived at that
 /// moment, and machines were rented for as much again.
-TEST(Fleet, ATakeoverIsNoArrivalOfJobs) {
+TEST(ScaleOut, TakeoverDoesNotCountExistingJobsAsArrivals) {
   World world(40);
   world.cloud.capacity = 60;
   for (int i = 1; i <= 6; ++i) {
@@ -28,7 +28,7 @@
 
 /// A job bound to one zone once waited for ever beside idle machines of another,
 /// and so did a gang larger than the machines of any one zone.
-TEST(Fleet, ZonesOfBoundWorkAreServed) {
+TEST(ScaleOut, RentsMachinesInTheZonesOfBoundJobs) {
   for (const char* zone : {"north", "south"}) {
     World world(41);
     auto bound = array(1, 6, 300);
@@ -47,7 +47,7 @@
 }
 
 /// Safety rule 9: a rental without an answer is repeated under its name.
-TEST(ScaleOut, WithoutAnAnswerIsNotMadeTwice) {
+TEST(ScaleOut, UnansweredRequestIsNotExecutedTwice) {
   World world(23);
   world.cloud.lost_responses = 3;
   auto job = array(1, 4, 60);
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -17,7 +17,7 @@
   return result;
 }
 
-TEST(EquationOne, FollowsThePapersWorkedExample) {
+TEST(LoadBalancing, MatchesTheWorkedExampleOfThePaper) {
   // Section IV-A: queues (0, 0, 200); node 3 is 133 above the mean of 67 and
   // sends 66 tasks to each of the others, which then send nothing on.
   const auto workers = loads({0, 0, 200});
@@ -32,7 +32,7 @@
   EXPECT_TRUE(balance_round(loads({66, 66, 68}), 10).empty());
 }
 
-TEST(EquationOne, SharesFollowTheShortfall) {
+TEST(LoadBalancing, SharesAreProportionalToTheShortfall) {
   const auto workers = loads({0, 30, 90});
   const auto shares = excess_shares(workers, 2, 40);
   EXPECT_DOUBLE_EQ(shares[0], 0.8);
@@ -40,12 +40,12 @@
   EXPECT_DOUBLE_EQ(shares[2], 0);
 }
 
-TEST(EquationOne, TheThresholdKeepsSmallDifferencesStill) {
+TEST(LoadBalancing, DifferencesBelowTheThresholdMoveNoTasks) {
   EXPECT_TRUE(balance_round(loads({0, 0, 14}), 10).empty());
   EXPECT_FALSE(balance_round(loads({0, 0, 18}), 10).empty());
 }
 
-TEST(EquationOne, OnlyWorkersWithRoomGetShares) {
+TEST(LoadBalancing, OnlyWorkersWithRoomGetShares) {
   auto workers = loads({0, 0, 200});
   workers[0].has_room = false;
   for (const auto& move : balance_round(workers, 10)) EXPECT_EQ(move.to, 1U);
@@ -53,7 +53,7 @@
 
 /// The slow plain model: a worker's list is a count, every formula is written
 /// out as the paper has it.
-std::vector<double> plain_round(std::vector<double> q, double threshold) {
+std::vector<double> reference_round(std::vector<double> q, double threshold) {
   double mean = 0;
   for (const double x : q) mean += x;
   mean /= static_cast<double>(q.size());
@@ -75,13 +75,13 @@
   return q;
 }
 
-TEST(Group, BalancesAsThePlainModelDoes) {
+TEST(Group, BalanceMatchesTheReferenceModel) {
   std::mt19937 random(3);
   for (int round = 0; round < 200; ++round) {
     Group group;
     const auto always = [](TaskId, const std::string&) { return true; };
     const std::size_t workers = 2 + random() % 6;
-    std::vector<double> plain;
+    std::vector<double> expected;
     TaskId next = 1;
     for (std::size_t w = 0; w < workers; ++w) {
       const std::string name(1, static_cast<char>('a' + w));
@@ -89,14 +89,14 @@
       group.set_worker(name, 0, 1, true);
       std::vector<QueuedTask> block(random() % 60);
       for (auto& task : block) task = {next++, 0, 0, 0, 1.0};
-      plain.push_back(static_cast<double>(block.size()));
+      expected.push_back(static_cast<double>(block.size()));
       group.push_block(block, [&](TaskId, const std::string& worker) { return worker == name; });
     }
     group.balance(5, always);
-    plain = plain_round(plain, 5);
+    expected = reference_round(expected, 5);
     std::size_t w = 0;
     for (const auto& [name, worker] : group.workers()) {
-      ASSERT_EQ(worker.queue.size(), static_cast<std::size_t>(plain[w++])) << "round " << round;
+      ASSERT_EQ(worker.queue.size(), static_cast<std::size_t>(expected[w++])) << "round " << round;
     }
     ASSERT_EQ(group.queued_count(), next - 1) << "no task is lost or doubled";
   }
@@ -112,7 +112,7 @@
   EXPECT_EQ(group.workers().at("b").queue.size(), 1U);
 }
 
-TEST(Group, AnIdleWorkerTakesTheLongestListsHead) {
+TEST(Group, IdleWorkerTakesTheHeadOfTheLongestQueue) {
   Group group;
   for (const char* name : {"a", "b", "c"}) group.set_worker(name, 0, 1, true);
   const auto only = [](const std::string& name) {
@@ -126,7 +126,7 @@
   EXPECT_EQ(group.next("c", [](TaskId id) { return id == 1; })->id, 1U);
 }
 
-TEST(Group, ListsAreOrderedByRankTierAndDue) {
+TEST(Group, QueuesAreOrderedByPrecedenceTierAndDueTime) {
   Group group;
   group.set_worker("a", 0, 1, true);
   group.push_block({{1, 0, 1, 5, 1}, {2, 0, 0, 9, 1}, {3, 2, 3, 99, 1}, {4, 0, 0, 8, 1}},
@@ -136,7 +136,7 @@
   EXPECT_EQ(order, (std::vector<TaskId>{3, 4, 2, 1}));
 }
 
-TEST(Group, ALostWorkersListGoesToTheOthers) {
+TEST(Group, TasksOfARemovedWorkerMoveToTheOthers) {
   Group group;
   const auto always = [](TaskId, const std::string&) { return true; };
   group.set_worker("a", 0, 1, true);
@@ -159,7 +159,7 @@
   EXPECT_FALSE(within_guarantee(team, {0, 5, 0}));
 }
 
-TEST(Resources, HalfRoundedUpMayBeInOneZone) {
+TEST(Resources, SpreadLimitIsHalfOfTheTasksRoundedUp) {
   EXPECT_EQ(spread_limit(9), 5U);
   EXPECT_EQ(spread_limit(1), 1U);
   EXPECT_EQ(spread_limit(4), 2U);
@@ -171,7 +171,7 @@
   return sum;
 }
 
-TEST(FleetPlan, SpotForWorkThatMayOrdinaryForTheRest) {
+TEST(FleetPlan, RentsSpotForFlexibleDemandAndOrdinaryForTheRest) {
   const std::vector<Pool> pools{{"t", "a", false, 6, 1, 0, false},
                                 {"t", "a", true, 2, 0, 0, false},
                                 {"t", "b", true, 2, 0, 1, false}};
@@ -187,7 +187,7 @@
   EXPECT_TRUE(plan_scale_out({{"t", "a", false, 6, 0, 0, true}}, {5, 0, 0}).empty());
 }
 
-TEST(FleetPlan, SurplusIsWhatNeitherKindOfWorkNeeds) {
+TEST(FleetPlan, SurplusIsWhatNoDemandNeeds) {
   const std::vector<Pool> pools{{"t", "a", false, 6, 5, 0, false},
                                 {"t", "a", true, 2, 3, 0, false}};
   const auto spare = surplus(pools, {2, 1, 1});
@@ -195,7 +195,7 @@
   EXPECT_EQ(spare.spot, 3);
 }
 
-TEST(Arrivals, RateIsMeasuredAndForgotten) {
+TEST(Arrivals, RateFollowsArrivalsAndDecays) {
   ArrivalRate rate(60, 0);
   for (int t = 1; t <= 300; ++t) rate.add(t, 0.5);
   EXPECT_NEAR(rate.per_second(300), 0.5, 0.02);
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -39,17 +39,17 @@
   auto gang = array(1, 4);
   gang.kind = wire::JobKind::gang;
   world.submit(gang);
-  std::size_t most = 0;
+  std::size_t max_running = 0;
   for (double t = 1; t < 60; t += 0.5) {
     world.run_until(t);
     const auto now = running_tasks(world, "job-1");
-    most = std::max(most, now);
+    max_running = std::max(max_running, now);
   }
-  EXPECT_EQ(most, 4U);
+  EXPECT_EQ(max_running, 4U);
   expect_starts_without_violations(world);
 }
 
-TEST(Scheduling, HigherPriorityMakesRoom) {
+TEST(Scheduling, HigherPriorityPreemptsLower) {
   World world(4);
   world.cloud.capacity = 2;
   auto low = array(1, 4, 500);
@@ -67,18 +67,18 @@
 
 /// Guaranteed idle work and another team's work of high priority once
 /// displaced each other at the speed of the commits.
-TEST(Scheduling, PriorityAndGuaranteeDoNotDisplaceEachOther) {
+TEST(Scheduling, PriorityAndGuaranteeDoNotPreemptEachOtherRepeatedly) {
   World world(21);
   world.cloud.capacity = 2;
-  auto owed = array(1, 4, 300);
-  owed.team = "red";  // 4 GPUs guaranteed
-  owed.priority = wire::Priority::idle;
+  auto guaranteed = array(1, 4, 300);
+  guaranteed.team = "red";  // 4 GPUs guaranteed
+  guaranteed.priority = wire::Priority::idle;
   auto urgent = array(2, 4, 300);
   urgent.priority = wire::Priority::high;
   world.submit(urgent);
   world.run_until(30);
   EXPECT_EQ(running_tasks(world, "job-2"), 4U);
-  world.submit(owed);
+  world.submit(guaranteed);
   world.run_until(50);
   EXPECT_EQ(running_tasks(world, "job-1"), 4U);
   const auto before = world.state.revision();
@@ -87,31 +87,31 @@
   expect_starts_without_violations(world);
 }
 
-TEST(Scheduling, TheTeamsLimitHoldsAndTheRestWaits) {
+TEST(Scheduling, TasksAboveTheTeamLimitWait) {
   World world(5);
   auto job = array(1, 12, 20);
   job.team = "red";  // at most 8 GPUs
   world.submit(job);
-  std::size_t most = 0;
+  std::size_t max_running = 0;
   for (double t = 1; t < 60; ++t) {
     world.run_until(t);
-    most = std::max(most, running_tasks(world, "job-1"));
+    max_running = std::max(max_running, running_tasks(world, "job-1"));
   }
-  EXPECT_EQ(most, 8U);
+  EXPECT_EQ(max_running, 8U);
   world.run_until(150);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done);
   expect_starts_without_violations(world);
 }
 
-TEST(Scheduling, WhatCanNeverRunIsRefusedAtOnce) {
+TEST(Scheduling, JobsThatCanNeverRunAreRejected) {
   World world(6);
   world.run_until(2);
   auto job = array(1, 1);
   job.cpus = 100;
   world.submit(job);
-  auto stranger = array(2, 1);
-  stranger.team = "nobody";
-  world.submit(stranger);
+  auto unknown_team = array(2, 1);
+  unknown_team.team = "nobody";
+  world.submit(unknown_team);
   auto too_many = service(3, 20);
   too_many.team = "red";
   world.submit(too_many);
@@ -119,7 +119,7 @@
   EXPECT_EQ(world.rules.accepted(), 0U);
 }
 
-TEST(Scheduling, AKnownIdKeepsItsAnswerWhateverComesWithIt) {
+TEST(Scheduling, ResubmissionUnderAKnownIdGetsTheSameAnswer) {
   World world(7);
   world.run_until(2);
   world.submit(array(1, 2));
@@ -131,7 +131,7 @@
   expect_no_violations(world);
 }
 
-TEST(LargeJobs, AreTakenWithOneWriteAndStartAsRoomAllows) {
+TEST(LargeJobs, AreAcceptedWithFewWritesAndStartAsCapacityAllows) {
   World world(19);
   world.run_until(2);
   const auto before = world.state.revision();
@@ -148,7 +148,7 @@
 
 /// Services and arrays that may not run anywhere lose machines, with commands lost
 /// on the way: what may still be there counts until it is certainly gone.
-TEST(ZoneBoundWork, LosesMachinesAndIsPlacedByItsRulesAgain) {
+TEST(ZoneBoundWork, IsPlacedByItsZoneRulesAfterMachineLosses) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     World world(2100 + seed, 4);
     world.cloud.capacity = 30;
@@ -190,7 +190,7 @@
 
 /// A machine does not move: a heartbeat that names another zone once took its tasks
 /// out of the count of a zone in which they had never been counted.
-TEST(ZoneBoundWork, AHeartbeatThatNamesAnotherZoneChangesNoCount) {
+TEST(ZoneBoundWork, HeartbeatWithAWrongZoneChangesNoCount) {
   World world(2150);
   world.submit(service(1, 4));
   world.run_until(60);
--- a/tests/team_limit_test.cpp
+++ b/tests/team_limit_test.cpp
@@ -10,7 +10,7 @@
 using wire::JobState;
 
 /// Safety rule 7: what may be on machines out of touch counts for the quota.
-TEST(Quota, CountsTasksOnMachinesNotYetSynchronised) {
+TEST(TeamLimit, CountsTasksOnUnsynchronizedMachines) {
   World world(22);
   auto first = array(1, 8, 500);
   first.team = "red";  // at most 8 GPUs
@@ -33,7 +33,7 @@
 
 /// The leader changes, some of the team's machines can't be asked, and its jobs
 /// are cancelled in that spell: what may still be there counts.
-TEST(TeamLimit, CountsWhatCanNotBeAskedFor) {
+TEST(TeamLimit, CountsTasksOnUnreachableMachinesAfterATakeover) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     World world(2200 + seed);
     world.cloud.capacity = 12;
@@ -46,9 +46,9 @@
     ASSERT_EQ(placed_tasks(world, "job-1"), 8U);
     world.submit(second);
     world.run_until(46);
-    int some = 0;
+    int index = 0;
     for (auto& [id, worker] : world.workers) {
-      worker->cut = some++ % 2 == 0;
+      worker->cut = index++ % 2 == 0;
       if (seed % 3 == 0) worker->responses_dropped = !worker->cut;
     }
     world.crash(leader_index(world), seed % 2 == 0 ? 0.2 : 8);
@@ -96,7 +96,7 @@
 /// A block names a machine that the records no longer know, for the machine's
 /// end was written before the block: its task once counted for its team for
 /// ever, and a cancelled job never came to its end.
-TEST(TeamLimit, ATaskOnAMachineThatWasDeletedHoldsNothing) {
+TEST(TeamLimit, DoesNotCountTasksOnDeletedMachines) {
   World world(2230);
   auto job = array(1, 8, 3000);
   job.team = "red";
