--- a/tests/chaos_test.cpp
+++ b/tests/chaos_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Seeded random histories: everything that can go wrong does, in every mix,
-/// and the Rules must hold all the same.
+/// Seeded random histories with all kinds of faults in random combinations, in which the rules must
+/// hold.
 #include <gtest/gtest.h>
 
 #include "support/faults.hpp"
@@ -12,7 +12,7 @@
 void begin_fault(World& world) {
   const auto node = world.pick(3);
   const double length = 2 + world.random() * 30;
-  // Those of this search: seeds of earlier failures still play the same history.
+  // The number of kinds is fixed, so that the seeds of earlier failures give the same histories.
   single_faults()[world.pick(20)].begin(world, node, length);
 }
 
@@ -21,7 +21,7 @@
 TEST_P(Chaos, TheRulesHold) {
   World world(GetParam(), 3 + GetParam() % 2);
   world.network.loss = 0.02;
-  // Every third history has a larger fleet.
+  // Every third seed has a larger fleet.
   if (GetParam() % 3 == 0) world.cloud.capacity = 60;
   int jobs = 0;
   std::vector<std::string> services;
@@ -33,7 +33,7 @@
       if (job.kind == wire::JobKind::service) services.push_back(job.id);
       world.submit(job);
     }
-    // Services would keep all the room there is for ever.
+    // Services never end, so they would occupy all capacity.
     if (t == 320) {
       for (const auto& id : services) world.cancel(id);
     }
@@ -48,11 +48,10 @@
     }
     ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s";
   }
-  // It is a service too: with the faults over, arrays get done.
+  // Liveness: more than half of the jobs were accepted, and some have finished.
   EXPECT_GT(world.rules.accepted(), static_cast<std::size_t>(jobs) / 2);
   EXPECT_GT(world.rules.finished(), 0U);
-  // And nobody is forgotten: every job is answered for, each as well as the
-  // others, and none that was accepted is still waiting.
+  // After the faults every accepted job is polled with success, and all but gangs have begun.
   world.network.loss = 0;
   for (double t = 400; t < 475; t += 1) {
     world.run_until(t);
@@ -60,8 +59,8 @@
   }
   world.run_until(480);
   for (const auto& id : world.rules.accepted_jobs()) {
-    EXPECT_GT(world.last_response_at(id), 400) << id << " was not answered for";
-    // A gang may ask for more machines at once than there are.
+    EXPECT_GT(world.last_response_at(id), 400) << id << " had no successful poll";
+    // A gang may need more machines at once than there are.
     const bool gang = world.spec(id)->kind == wire::JobKind::gang;
     // `queued` only says that no task runs at the moment.
     const bool begun = world.rules.tasks_on_machines(id) + world.rules.completed_tasks(id) > 0;
@@ -74,9 +73,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Chaos, ::testing::Range(1U, last_seed(24) + 1));
-/// Failures of longer searches. 172 and 434: a gang that waited for machines of
-/// two zones kept every idle machine of the one, and the cloud had none left for
-/// what was bound to the other.
+/// Seeds that failed in longer searches. 172 and 434: a gang that waited for machines in two zones
+/// held every idle machine of one zone, and the cloud had none left for jobs bound to the other.
 INSTANTIATE_TEST_SUITE_P(Found, Chaos, ::testing::Values(172U, 434U));
 
 }  // namespace
--- a/tests/decision_cost_test.cpp
+++ b/tests/decision_cost_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What decisions and heartbeats cost, in small fleets and in large ones.
+/// Cost of decisions and heartbeats in small and large fleets.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -7,9 +7,9 @@
 namespace elmstall::test {
 namespace {
 
-/// What decisions cost follows what happens, not batches times machines: on a
-/// busy fleet of whatever size a machine is looked at when its heartbeat comes and once
-/// a second, hardly more.
+/// The cost of decisions grows with the number of events, not with batches times machines. In a
+/// busy fleet of any size, a machine is examined on each of its heartbeats and once a second, and
+/// hardly more often.
 TEST(Planner, ExaminesOnlyMachinesWithChanges) {
   for (const int machines : {10, 80, 600}) {
     World world(39);
@@ -26,8 +26,8 @@
   }
 }
 
-/// What an unchanged heartbeat costs, in bytes on the way and in machines looked
-/// at, does not depend on the size of the fleet.
+/// The cost of an unchanged heartbeat, in bytes of the response and in machines examined, does not
+/// depend on the size of the fleet.
 TEST(Heartbeats, CostDoesNotGrowWithTheFleet) {
   std::map<int, std::size_t> bytes;
   for (const int machines : {20, 150, 600}) {
@@ -40,7 +40,7 @@
     auto* worker = worker_of(world, "job-1");
     ASSERT_NE(worker, nullptr);
     const auto* machine = machine_of(world, *worker);
-    cut_all_workers(world);  // we speak for one, the others are still
+    cut_all_workers(world);  // only the test sends heartbeats, in place of `worker`
     world.run_for(0.3);
     auto heartbeat =
         heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
@@ -56,7 +56,7 @@
       leader.after_batch();
       world.run_for(0.051);
     }
-    // And one review of all machines, which is due every second.
+    // Includes one review of all machines, which is due every second.
     EXPECT_LE(leader.planner().machines_examined() - before,
               static_cast<std::size_t>(kHeartbeats * 5 + machines * 2))
         << machines;
@@ -65,8 +65,8 @@
   EXPECT_LT(bytes[600], 64U);
 }
 
-/// Forwarded heartbeats and their answers share writes, whatever the size of the
-/// fleet: a packet costs a small controller more than the heartbeat in it.
+/// Forwarded heartbeats and their responses are written in batches, whatever the size of the fleet:
+/// a packet costs a small controller more than the heartbeat in it.
 TEST(Heartbeats, AreForwardedInBatches) {
   std::map<int, double> flushes;
   for (const int machines : {60, 240}) {
@@ -81,12 +81,13 @@
     world.run_for(kSeconds);
     const auto sent = static_cast<double>(world.peer_traffic.messages - messages);
     flushes[machines] = static_cast<double>(world.peer_traffic.flushes - writes);
-    EXPECT_GT(sent, machines * kSeconds / 1.5) << "most heartbeats are forwarded, each is answered";
-    // Of each node: one every 50 ms, and its heartbeats.
+    EXPECT_GT(sent, machines * kSeconds / 1.5)
+        << "most heartbeats are forwarded, and each has a response";
+    // Each node flushes once every 50 ms, and for its own peer heartbeats every 0.8 s.
     const auto nodes = static_cast<double>(world.node_count());
     EXPECT_LT(flushes[machines], nodes * kSeconds * (1 / 0.05 + 1 / 0.8) * 1.1) << machines;
   }
-  EXPECT_LT(flushes[240], 3 * flushes[60]) << "four times the heartbeats";
+  EXPECT_LT(flushes[240], 3 * flushes[60]) << "for four times as many heartbeats";
 }
 
 }  // namespace
--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -1,7 +1,6 @@
 /// \file
-/// Limits of the state store that are announced and fall at any moment, with
-/// gangs and with faults around it: nothing is refused for its size, and the
-/// rules hold.
+/// The state store lowers its limits, as announced, at a random time while gangs run and faults
+/// occur: no transaction is rejected for its size, and the rules hold.
 #include <gtest/gtest.h>
 
 #include "support/histories.hpp"
@@ -48,8 +47,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FallingLimits, ::testing::Range(1U, last_seed(30) + 1));
-/// Failures of longer searches. 374: a machine was given up while places on it
-/// were kept for a gang, and the process ended.
+/// Seeds that failed in longer searches. 374: a machine was given up while slots on it were
+/// reserved for a gang, and the process exited.
 INSTANTIATE_TEST_SUITE_P(Found, FallingLimits, ::testing::Values(374U));
 
 /// Writes the record of an accepted job into the state store.
@@ -60,15 +59,15 @@
   ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
 }
 
-/// A job whose record is as large as the limits allow at first, and too large for the lower ones.
+/// A job whose record is as large as the initial limits allow, and too large for the lower ones.
 wire::JobSpec job_with_large_record() {
   auto job = array(1, 2);
   for (int i = 0; i < 80; ++i) job.types.push_back("m12");
   return job;
 }
 
-/// Accepted under the larger limit, as an earlier version would have: its record
-/// can't be written again as it is.
+/// The job was accepted under the larger limit, as by an earlier version. Its record can't be
+/// written again unchanged.
 TEST(LargeJobRecord, IsCancelledAndEndedUnderTheSmallerLimit) {
   World world(901, 3, kLowerLimits);
   world.run_until(5);
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A fleet of 4,000 machines: nothing is bounded below that size.
+/// A fleet of 4,000 machines: no limit of the controllers lies below that size.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMachines = 4000;
 
-/// Two tasks fill a machine of the test world.
+/// A long job for full machines: two of its tasks fill a machine of the test world.
 wire::JobSpec job_filling_machines(int number, std::uint32_t tasks) {
   auto job = array(number, tasks, 500);
   job.expect_s = 5000;
@@ -29,7 +29,7 @@
   return count;
 }
 
-/// As many machines as there may be, all at work.
+/// The largest fleet, with all machines fully used.
 class LargeFleet : public ::testing::Test {
  protected:
   static constexpr int kJobs = 40;
@@ -49,7 +49,7 @@
   ASSERT_EQ(machines_alive(world_), kMachines);
   ASSERT_EQ(tasks_on_machines_of(world_, kJobs), kTasks);
   const auto starts = world_.rules.starts();
-  // The leader ends: nothing is lost, and every machine is known to the next.
+  // The leader crashes: no task is lost, and the next leader knows every machine.
   world_.crash(leader_index(world_), 5);
   world_.run_for(40);
   auto& model = leader_model(world_);
@@ -57,12 +57,12 @@
   for (const auto& [id, machine] : model.machines()) synchronized += machine->synchronized ? 1 : 0;
   EXPECT_EQ(synchronized, kMachines);
   EXPECT_EQ(world_.rules.starts(), starts);
-  // All controllers end, and the whole fleet sends heartbeats at once.
+  // All controllers crash, and then the whole fleet sends heartbeats at once.
   crash_all_nodes(world_, 1);
   world_.run_for(45);
   EXPECT_EQ(tasks_on_machines_of(world_, kJobs), kTasks);
   EXPECT_EQ(world_.rules.starts(), starts);
-  // A third of the machines is gone in one moment.
+  // A third of the machines fails at the same time.
   std::size_t died = 0;
   for (auto& [id, worker] : world_.workers) {
     if (++died % 3 != 0) continue;
@@ -70,7 +70,7 @@
     ++world_.cloud.capacity;
   }
   world_.run_for(220);
-  EXPECT_EQ(tasks_on_machines_of(world_, kJobs), kTasks) << "all found another place";
+  EXPECT_EQ(tasks_on_machines_of(world_, kJobs), kTasks) << "all lost tasks run elsewhere";
   expect_no_violations(world_);
 }
 
--- a/tests/gang_placement_test.cpp
+++ b/tests/gang_placement_test.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// Places for whole gangs, compared with a slow plain model that tries every
-/// distribution.
+/// Placement of gangs, compared with an exhaustive search over all distributions.
 #include "sched/gang_placement.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +10,7 @@
 namespace elmstall::sched {
 namespace {
 
-/// Whether any distribution holds all tasks: tries every count on each candidate.
+/// Whether any distribution places all tasks. Tries every number of tasks on each candidate.
 bool placement_exists(const std::vector<GangCandidate>& candidates, const GangRequest& request,
                       bool preempt, std::size_t candidate,
                       std::map<std::string, std::size_t> in_zone, std::size_t left) {
@@ -96,7 +95,7 @@
   EXPECT_EQ((*shares)[1].tasks, 2U);
 }
 
-/// A fetch beside another one takes twice as long, and the whole gang waits for it.
+/// A fetch takes twice as long beside another one, and the whole gang waits for the slowest fetch.
 TEST(GangPlacementOrder, PrefersFreeNetworkThenLeastWaste) {
   std::vector<GangCandidate> candidates(2);
   candidates[0] = {0, "north", 2, 0, false, false, true, false, 0, 0};
@@ -116,7 +115,7 @@
   EXPECT_EQ(shares->front().candidate, 1U);
 }
 
-/// The room beside the image is left to a gang that fits in there whole.
+/// Slots on a machine that has the image are left to a gang that fits there completely.
 TEST(GangPlacementOrder, SpreadsTheGangWhenTheImageMustBeFetched) {
   std::vector<GangCandidate> candidates(4);
   candidates[0] = {0, "north", 2, 0, false, true, false, false, 0, 0};
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gangs: whole or not at all, through every failure of one of their tasks.
+/// Gangs: all tasks of a gang run or none does, also when machines, tasks or leaders fail.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -10,7 +10,7 @@
 using wire::JobState;
 using GangState = state::Gang::State;
 
-/// A gang of 70 small tasks: its blocks of 8 tasks take several commits.
+/// A gang of 70 small tasks. Its blocks of 8 tasks each are recorded in several commits.
 wire::JobSpec gang_of_many_blocks() {
   auto job = gang(1, 70, 10);
   job.cpus = 1;
@@ -19,7 +19,7 @@
   return job;
 }
 
-/// A gang that must make room for any other job.
+/// A gang that any other job may preempt.
 wire::JobSpec idle_gang() {
   auto job = gang(1, 4, 60);
   job.priority = wire::Priority::idle;
@@ -31,7 +31,7 @@
   return job == nullptr ? GangState::done : job->gang.state;
 }
 
-/// Until the gang is in this state; false if that took too long.
+/// Runs until the gang is in this state; false if it is not within `timeout_s`.
 bool wait_for(World& world, const std::string& id, GangState state, double timeout_s = 60) {
   for (const double end = world.loop.now() + timeout_s; world.loop.now() < end;) {
     if (state_of(world, id) == state) return true;
@@ -40,24 +40,24 @@
   return false;
 }
 
-/// Submits the gang `job-1` and lets it run for so long after its start.
+/// Submits the gang `job-1` and runs for `seconds` after its start.
 void run_gang_for(World& world, const wire::JobSpec& job, double seconds) {
   world.submit(job);
   ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
   world.run_for(seconds);
 }
 
-/// Until all four tasks of the gang `job-1` have their machines, for a minute at most.
+/// Runs until all four tasks of the gang `job-1` are placed, but not beyond 60 s.
 void place_all_four(World& world) {
   for (double t = 1; t < 60 && placed_tasks(world, "job-1") < 4; t += 0.02) world.run_until(t);
 }
 
-/// The worker that has this task of the gang, or is to get it.
+/// The worker on which this task of the gang runs or will run.
 FakeWorker& worker_of_task(World& world, const state::Job& job, std::size_t index) {
   return *world.workers.at(job.blocks.begin()->second->tasks[index].machine()->id);
 }
 
-/// Number of the gang's tasks that wait for the others, as their machines show.
+/// Number of the gang's tasks that their machines report as waiting for the other tasks.
 std::size_t gathering_tasks(World& world, const std::string& id) {
   std::size_t count = 0;
   auto* job = job_at_leader(world, id);
@@ -118,7 +118,7 @@
 
 TEST(Gang, MachineLossDuringGatheringKeepsTheAttempt) {
   World world(804);
-  // Another one keeps machines alive that have room.
+  // Another gang keeps machines with free capacity in the fleet.
   auto other = gang(2, 4, 500);
   other.cpus = 1;
   other.gpus = 0;
@@ -126,7 +126,7 @@
   ASSERT_TRUE(wait_for(world, "job-2", GangState::running));
   world.submit(gang(1, 4));
   ASSERT_TRUE(wait_for(world, "job-1", GangState::starting));
-  // The last machine of the four that never gets its image.
+  // The machine of the last of the four tasks hangs before it has fetched the image.
   auto& job = *job_at_leader(world, "job-1");
   auto& last = worker_of_task(world, job, 3);
   last.hang(100);
@@ -194,11 +194,12 @@
   EXPECT_EQ(world.gangs.attempts_failed(), 0U);
   EXPECT_GT(world.gangs.progress("job-1"), 6);
   EXPECT_EQ(world.rules.tasks_on_machines("job-2"), 1U);
-  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U) << "there is no room for all of it";
+  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U)
+      << "there is no capacity for the whole gang";
   expect_no_violations(world);
 }
 
-/// Runs a gang on spot machines for so long after its start.
+/// Runs a gang on spot machines for `seconds` after its start.
 void run_on_spot_for(World& world, double seconds) {
   auto job = gang(1, 4, 60);
   job.spot = true;
@@ -230,7 +231,7 @@
   World world(810);
   world.cloud.capacity = 2;
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, idle_gang(), 7));
-  // The first command that reaches a machine is the last of this leader.
+  // The leader crashes right after its first stop command has reached a machine.
   bool stopping = false;
   world.on_commands = [&] {
     if (stopping || state_of(world, "job-1") != GangState::stopping) return;
@@ -259,7 +260,8 @@
   expect_no_violations(world);
 }
 
-/// As a leader leaves it that ends after its first command.
+/// A leader that crashes after its first stop command leaves the gang in this state: one task saves
+/// and stops, and the others have not received the command.
 TEST(Gang, PartialStopByAFormerLeaderIsCompleted) {
   World world(815);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 60), 7));
@@ -275,7 +277,8 @@
   expect_no_violations(world);
 }
 
-/// The next leader must know which attempt it is, or it commands nothing for it.
+/// The next leader must know the number of the running attempt; otherwise it sends no commands for
+/// the gang.
 TEST(Gang, TakeoverKeepsTheSecondAttempt) {
   World world(814);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 200), 6));
@@ -314,7 +317,7 @@
   auto job = gang(1, 4, 40);
   job.together = true;
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, job, 6));
-  // What is cut off keeps its zone until its lease is over.
+  // The disconnected machine binds the gang to its zone until its lease has expired.
   auto* lost = worker_of(world, "job-1");
   lost->cut = true;
   world.run_for(120);
@@ -351,7 +354,7 @@
 TEST(Gang, WaitingGangsNeitherDeadlockNorStarveBehindArrays) {
   World world(840);
   world.cloud.capacity = 4;
-  // Arrays that take every place as it comes free.
+  // Arrays that take every slot as soon as it is free.
   for (int i = 10; i < 30; ++i) world.submit(array(i, 8, 10));
   world.run_until(25);
   auto first = gang(1, 6, 15);
--- a/tests/machine_failures_test.cpp
+++ b/tests/machine_failures_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Machines that die, hang, fail tasks, or lose messages in one direction.
+/// Machines that die, hang, fail tasks, or lose messages in one or both directions.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -16,7 +16,7 @@
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   worker->responses_dropped = true;
-  world.run_until(67);  // its lease is over, and the next one too
+  world.run_until(67);  // its lease has expired, and so has the next one
   auto* machine = machine_of(world, *worker);
   ASSERT_NE(machine, nullptr);
   EXPECT_TRUE(machine->unresponsive);
@@ -49,9 +49,9 @@
   expect_no_violations(world);
 }
 
-/// A retirement was once refused while any zone had a delegate, and the
-/// refusal failed all that was to be recorded beside it: starts and ends of all
-/// zones stood still for as long as one zone was cut.
+/// The retirement of a machine once failed while any zone had a delegate, and with it the whole
+/// commit that contained it: no start or end of a task was recorded in any zone for as long as one
+/// zone was cut off.
 TEST(DeadMachine, IsGivenUpWhileAnotherZoneHasADelegate) {
   World world(43);
   world.cloud.capacity = 20;
@@ -64,11 +64,11 @@
   world.network.cut_peer_links(1);  // the only controller of the south
   world.run_until(60);
   ASSERT_FALSE(world.leader()->mirror().delegations().empty()) << "the south has a delegate";
-  world.cloud.down = true;  // no help from there
+  world.cloud.down = true;  // so the cloud can't confirm that the machine is gone
   auto* dead = worker_of(world, "job-1");
   ASSERT_NE(dead, nullptr);
   dead->die();
-  world.submit(array_in("north", 3, 1, 20));  // ends when the dead machine's lease of 10 s is over
+  world.submit(array_in("north", 3, 1, 20));  // ends after the dead machine's lease of 10 s
   world.run_until(95);
   ASSERT_FALSE(world.leader()->mirror().delegations().empty());
   auto* machine = machine_of(world, *dead);
@@ -76,11 +76,11 @@
   EXPECT_TRUE(machine->tasks.empty()) << "given up";
   world.poll("job-3");
   world.run_until(97);
-  EXPECT_EQ(world.last_reported_state("job-3"), JobState::done) << "others went on";
+  EXPECT_EQ(world.last_reported_state("job-3"), JobState::done) << "other tasks are not affected";
   expect_no_violations(world);
 }
 
-/// With commands held for them, for less and for more than their lease.
+/// Machines hang for less and for more than their lease while commands to them are pending.
 TEST(HungMachine, ResumesWithoutRunningATaskTwice) {
   for (int length = 2; length < 32; length += 2) {
     World world(800 + static_cast<unsigned>(length));
@@ -103,8 +103,8 @@
   }
 }
 
-/// Safety rule 6: what is on a silent machine is gone when its lease is over,
-/// and not before.
+/// Tasks on a disconnected machine are known to be gone when its lease has expired, and not before
+/// (rule 6).
 TEST(DisconnectedMachine, TasksStartElsewhereAfterItsLease) {
   World world(12);
   world.submit(array(1, 6, 60));
@@ -135,12 +135,12 @@
   expect_starts_without_violations(world);
 }
 
-/// They reach no controller, while direct commands reach them: a reply to those
-/// once counted as a heartbeat, and what was started there died with its lease.
+/// The machine's heartbeats reach no controller, while direct commands reach the machine. A reply
+/// to a command once counted as a heartbeat, and tasks started there ended when the lease expired.
 TEST(LostHeartbeats, NoTaskStartsOnAMachineWithoutHeartbeats) {
   World world(1700);
   world.cloud.capacity = 2;
-  world.submit(array(1, 3, 3000));  // leaves room on one machine
+  world.submit(array(1, 3, 3000));  // leaves one slot free on one machine
   world.run_until(45);
   ASSERT_EQ(placed_tasks(world, "job-1"), 3U);
   auto& machines = leader_model(world).machines();
@@ -151,9 +151,9 @@
   const auto* machine = found->second.get();
   auto* worker = world.workers.at(machine->id).get();
   worker->heartbeats_dropped = true;
-  world.cloud.down = true;  // it stays for now
+  world.cloud.down = true;  // so the machine can't be returned yet
   const double dropped_at = world.loop.now();
-  // Each is started, called off and thus asked about by direct commands.
+  // Each job is started and then cancelled, which sends direct commands to the machine.
   for (int i = 2; i < 10; ++i) {
     auto job = array(i, 1, 3000);
     job.image_gb = 0;
@@ -162,18 +162,19 @@
     const bool on_machine = std::any_of(machine->tasks.begin(), machine->tasks.end(),
                                         [&](const auto* task) { return task->job->id == job.id; });
     EXPECT_FALSE(on_machine && world.loop.now() > dropped_at + 11)
-        << "silent since " << world.loop.now() - dropped_at;
+        << "seconds without a heartbeat: " << world.loop.now() - dropped_at;
     world.cancel(job.id);
     world.run_until(dropped_at + 2 * i - 1.5);
   }
   world.cloud.down = false;
   world.run_until(dropped_at + 60);
-  EXPECT_TRUE(worker->dead()) << "returned, for it stays so";
+  EXPECT_TRUE(worker->dead()) << "returned, as it does not recover";
   EXPECT_EQ(placed_tasks(world, "job-1"), 3U);
   expect_no_violations(world);
 }
 
-/// Commands go out to them all the same, and many that lose their heartbeats at once are a cut.
+/// Commands are still sent to machines whose heartbeats are lost. If many machines lose their
+/// heartbeats at once, a network partition is assumed, and they are kept.
 TEST(LostHeartbeats, CancelledTasksEndAndMachinesAreKeptWhenManyAreAffected) {
   World world(1710);
   world.cloud.capacity = 8;
@@ -190,7 +191,7 @@
   EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U);
   world.run_until(70);
   for (auto* worker : affected) {
-    EXPECT_FALSE(worker->dead()) << "all at once are not given up";
+    EXPECT_FALSE(worker->dead()) << "machines that are affected together are kept";
     worker->heartbeats_dropped = false;
   }
   world.submit(array(2, 8, 10));
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// More work and more requests than the deployment can take.
+/// More jobs and more requests than the deployment has capacity for.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,8 +9,8 @@
 
 using wire::JobState;
 
-/// Far more small jobs than there is room for: the large ones begin within four
-/// minutes all the same, and half of either size is served.
+/// With far more small jobs than there is capacity for, large jobs still start within four minutes,
+/// and half of the jobs of either size complete.
 TEST(Overload, LargeJobsStartWithinFourMinutesAndHalfOfAllJobsComplete) {
   World world(37);
   world.cloud.capacity = 4;  // eight tasks at once
@@ -49,8 +49,8 @@
   expect_no_violations(world);
 }
 
-/// A job so large that its size alone would put it behind all that comes within
-/// the next minutes begins within four all the same.
+/// A job that is so large that all jobs of the next minutes would go before it still starts within
+/// four minutes.
 TEST(Overload, VeryLargeJobIsNotStarvedBySmallerOnes) {
   World world(56);
   world.cloud.capacity = 4;
@@ -64,12 +64,13 @@
     if (static_cast<int>(t) % 2 == 0) world.submit(array(++number, 1, 20));
     if (started_at < 0 && placed_tasks(world, "job-2") > 0) started_at = t;
   }
-  EXPECT_GT(started_at, 10) << "never";
+  EXPECT_GT(started_at, 10) << "did not start";
   EXPECT_LT(started_at, 250);
   expect_no_violations(world);
 }
 
-/// What can't be taken is answered at once, telling when to come back.
+/// Requests that can't be handled are rejected with 503 and a Retry-After header. Those above the
+/// concurrency limit are rejected immediately.
 TEST(Overload, ExcessRequestsAreRejectedWithRetryAfter) {
   World world(38);
   world.run_until(5);
@@ -86,13 +87,13 @@
     });
   }
   world.run_until(5.1);
-  EXPECT_GT(refused, 100U) << "beyond the limit at once";
+  EXPECT_GT(refused, 100U) << "immediately, above the limit";
   world.run_until(10);
   EXPECT_EQ(refused, 200U);
 }
 
-/// Polls without a pause once took a request of the state store each few
-/// milliseconds, and with it the rate that all commits wait for.
+/// Continuous polls once caused a request to the state store every few milliseconds and used up the
+/// request rate that commits need.
 TEST(Overload, PollsDoNotUseUpTheStateStoreRequestRate) {
   World world(49);
   world.submit(array(1, 1, 500));
@@ -106,7 +107,7 @@
   }
   world.run_for(1);
   EXPECT_EQ(answered, 2000U);
-  // Of 120 requests a second three nodes may take 0.3 in 11 s.
+  // The three nodes share 120 requests per second, of which polls may use 30% during the 11 s.
   EXPECT_LT(world.store(0).get_count - before, 11 * 0.3 * 120 / 3 + 5);
 }
 
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// Seeded histories of two faults that meet on purpose: the second begins at a
-/// drawn moment of the first, or at a step of the protocol within it (between a
-/// commit and its answer, after an election, between `run` and its reply).
-/// Afterwards all that was accepted is known, and nothing waits beside room.
+/// Seeded histories with pairs of overlapping faults. The second fault begins at a random time
+/// within the first, or at a step of the protocol (between a commit and its response, after an
+/// election, between `run` and its reply). Afterwards polls of every accepted job succeed, and no
+/// job waits despite free capacity.
 #include <gtest/gtest.h>
 
 #include "support/faults.hpp"
@@ -11,10 +11,11 @@
 namespace elmstall::test {
 namespace {
 
-/// Where in the first fault the second begins.
+/// When the second fault begins during the first.
 enum class Moment { random, commit, election, commands };
 
-/// Calls `fn` once, a few milliseconds after the next such step.
+/// Calls `fn` once: up to 4 ms after the next such step, or at a random time within `within`
+/// seconds if that comes first.
 void at_moment(World& world, Moment moment, double within, std::function<void()> fn) {
   auto once = std::make_shared<std::function<void()>>(std::move(fn));
   const auto trigger = [&world, once] {
@@ -40,7 +41,7 @@
       world.on_commands = trigger;
       break;
   }
-  // The step may not come.
+  // The step may not occur.
   world.loop.after(world.random() * within, [once] {
     if (*once) std::exchange(*once, {})();
   });
@@ -84,9 +85,9 @@
     }
     ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << fault_log;
   }
-  // The last fault is over by then, but for the longest outage.
+  // All faults but the longest outage have ended by then.
   expect_recovery(world, jobs, 245, fault_log);
-  // Not forbidden, and not wanted: seen in the test's heartbeat.
+  // Late starts are allowed but undesirable, so their number is shown in the test report.
   RecordProperty("late_starts", static_cast<int>(world.rules.late_starts()));
 }
 
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which machines are rented for the jobs that wait.
+/// Which machines are rented for waiting jobs.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -7,14 +7,14 @@
 namespace elmstall::test {
 namespace {
 
-/// After a takeover what was found was once counted as having arrived at that
-/// moment, and machines were rented for as much again.
+/// A new leader once counted the jobs that it found as arrivals at the time of the takeover, and
+/// rented machines for the same number of further jobs.
 TEST(ScaleOut, TakeoverDoesNotCountExistingJobsAsArrivals) {
   World world(40);
   world.cloud.capacity = 60;
   for (int i = 1; i <= 6; ++i) {
     auto job = array(i, 4, 100);
-    job.due_s = 110;  // urgent: nothing like it can wait for a boot
+    job.due_s = 110;  // urgent: such a job can't wait for a machine to boot
     world.submit(job);
   }
   world.run_until(50);
@@ -26,8 +26,8 @@
   expect_no_violations(world);
 }
 
-/// A job bound to one zone once waited for ever beside idle machines of another,
-/// and so did a gang larger than the machines of any one zone.
+/// A job bound to one zone once waited for ever while machines of another zone were idle. So did a
+/// gang that needed more machines than any one zone had.
 TEST(ScaleOut, RentsMachinesInTheZonesOfBoundJobs) {
   for (const char* zone : {"north", "south"}) {
     World world(41);
@@ -46,7 +46,7 @@
   }
 }
 
-/// Safety rule 9: a rental without an answer is repeated under its name.
+/// A request to rent machines that gets no response is repeated under the same name (rule 9).
 TEST(ScaleOut, UnansweredRequestIsNotExecutedTwice) {
   World world(23);
   world.cloud.lost_responses = 3;
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// Load balancing between workers, limits of teams, scaling plans and arrival rates.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -18,8 +20,8 @@
 }
 
 TEST(LoadBalancing, MatchesTheWorkedExampleOfThePaper) {
-  // Section IV-A: queues (0, 0, 200); node 3 is 133 above the mean of 67 and
-  // sends 66 tasks to each of the others, which then send nothing on.
+  // Section IV-A of the paper by Tang et al.: queues (0, 0, 200). Node 3 is 133 above the mean of
+  // 67 and sends 66 tasks to each of the others, which then forward none.
   const auto workers = loads({0, 0, 200});
   EXPECT_NEAR(mean_wait(workers), 66.67, 0.01);
   const auto shares = excess_shares(workers, 2, mean_wait(workers));
@@ -51,8 +53,8 @@
   for (const auto& move : balance_round(workers, 10)) EXPECT_EQ(move.to, 1U);
 }
 
-/// The slow plain model: a worker's list is a count, every formula is written
-/// out as the paper has it.
+/// A reference model of one round of balancing: a queue is only its length, and every formula is
+/// written as in the paper.
 std::vector<double> reference_round(std::vector<double> q, double threshold) {
   double mean = 0;
   for (const double x : q) mean += x;
@@ -98,7 +100,7 @@
     for (const auto& [name, worker] : group.workers()) {
       ASSERT_EQ(worker.queue.size(), static_cast<std::size_t>(expected[w++])) << "round " << round;
     }
-    ASSERT_EQ(group.queued_count(), next - 1) << "no task is lost or doubled";
+    ASSERT_EQ(group.queued_count(), next - 1) << "no task is lost or duplicated";
   }
 }
 
@@ -121,8 +123,10 @@
   group.push_block({{1, 0, 0, 5, 1}}, only("a"));
   group.push_block({{2, 0, 0, 9, 1}, {3, 0, 0, 7, 1}}, only("b"));
   const auto any = [](TaskId) { return true; };
-  EXPECT_EQ(group.next("c", any)->id, 3U);  // b's list is longest, 3 is due first
-  EXPECT_EQ(group.next("a", any)->id, 1U);  // its own goes first
+  // The queue of b is longest, and task 3 is due first in it.
+  EXPECT_EQ(group.next("c", any)->id, 3U);
+  // The own queue goes first.
+  EXPECT_EQ(group.next("a", any)->id, 1U);
   EXPECT_EQ(group.next("c", [](TaskId id) { return id == 1; })->id, 1U);
 }
 
@@ -177,7 +181,7 @@
                                 {"t", "b", true, 2, 0, 1, false}};
   const auto scale_outs = plan_scale_out(pools, {3, 4, 0});
   EXPECT_EQ(count_of(scale_outs, 0), 2);
-  EXPECT_EQ(count_of(scale_outs, 1), 2);  // emptiest first
+  EXPECT_EQ(count_of(scale_outs, 1), 2);  // the pool with the fewest machines first
   EXPECT_EQ(count_of(scale_outs, 2), 1);
 }
 
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs of each kind from their submission to their end, without faults or with lost machines.
+/// Jobs of each kind from submission to completion, without faults or with machine losses.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -15,7 +15,7 @@
   world.run_until(200);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done);
   expect_starts_without_violations(world);
-  // Nothing of it is left but the last word.
+  // Only the final record of the job is left.
   ASSERT_NE(world.leader(), nullptr);
   EXPECT_EQ(world.leader()->mirror().blocks("job-1"), nullptr);
   EXPECT_TRUE(world.state.items().contains(store::final_key("job-1")));
@@ -65,8 +65,8 @@
   expect_starts_without_violations(world);
 }
 
-/// Guaranteed idle work and another team's work of high priority once
-/// displaced each other at the speed of the commits.
+/// Guards against a livelock: an idle job within its team's guarantee and a high-priority job of
+/// another team preempted each other with every commit.
 TEST(Scheduling, PriorityAndGuaranteeDoNotPreemptEachOtherRepeatedly) {
   World world(21);
   world.cloud.capacity = 2;
@@ -125,7 +125,7 @@
   world.submit(array(1, 2));
   world.run_until(60);
   auto other = array(1, 2);
-  other.team = "nobody";  // would be refused under a new id
+  other.team = "nobody";  // would be rejected under a new id
   world.submit(other);
   world.run_until(65);
   expect_no_violations(world);
@@ -146,8 +146,8 @@
   expect_starts_without_violations(world);
 }
 
-/// Services and arrays that may not run anywhere lose machines, with commands lost
-/// on the way: what may still be there counts until it is certainly gone.
+/// Services and arrays with zone rules lose machines while replies to commands are lost. A task
+/// that may still be on a machine counts in the machine's zone until it is certainly gone.
 TEST(ZoneBoundWork, IsPlacedByItsZoneRulesAfterMachineLosses) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     World world(2100 + seed, 4);
@@ -188,8 +188,8 @@
   }
 }
 
-/// A machine does not move: a heartbeat that names another zone once took its tasks
-/// out of the count of a zone in which they had never been counted.
+/// The zone of a machine never changes. A heartbeat with another zone once subtracted the machine's
+/// tasks from the count of a zone in which they had never been counted.
 TEST(ZoneBoundWork, HeartbeatWithAWrongZoneChangesNoCount) {
   World world(2150);
   world.submit(service(1, 4));
@@ -199,12 +199,12 @@
   auto& leader = leader_of(world);
   auto* machine = machine_of(world, *worker);
   const auto* job = leader.model().job("job-1");
-  worker->cut = true;  // we speak for it
+  worker->cut = true;  // the test sends the heartbeats in its place
   auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
                                 leader.token() + machine->fence);
   heartbeat.zone = worker->zone() == "north" ? "south" : "north";
   show_tasks(heartbeat, *machine, wire::TaskState::ended, wire::EndCause::error);
-  // Straight to the leader: its node would send the worker to the other zone.
+  // Directly to the leader: its node would redirect the worker to the other zone.
   int status = 0;
   leader.on_heartbeat(heartbeat, [&](const net::Response& response) { status = response.status; });
   ASSERT_EQ(status, 200);
--- a/tests/team_limit_test.cpp
+++ b/tests/team_limit_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What counts for the limit of a team (safety rule 7).
+/// Which tasks count towards the limit of a team (rule 7).
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,7 +9,7 @@
 
 using wire::JobState;
 
-/// Safety rule 7: what may be on machines out of touch counts for the quota.
+/// Tasks that may be on unreachable machines count towards the limit (rule 7).
 TEST(TeamLimit, CountsTasksOnUnsynchronizedMachines) {
   World world(22);
   auto first = array(1, 8, 500);
@@ -31,14 +31,14 @@
   expect_starts_without_violations(world);
 }
 
-/// The leader changes, some of the team's machines can't be asked, and its jobs
-/// are cancelled in that spell: what may still be there counts.
+/// The leader changes while some of the team's machines are unreachable, and a job of the team is
+/// cancelled meanwhile. Tasks that may still be on those machines count.
 TEST(TeamLimit, CountsTasksOnUnreachableMachinesAfterATakeover) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     World world(2200 + seed);
     world.cloud.capacity = 12;
     auto first = array(1, 8, 3000);
-    first.team = "red";  // 8 GPUs at most
+    first.team = "red";  // at most 8 GPUs
     auto second = array(2, 8, 30);
     second.team = "red";
     world.submit(first);
@@ -64,8 +64,8 @@
   }
 }
 
-/// A task that is shown where the records don't place it takes its team's share
-/// until it is gone.
+/// A task that a heartbeat reports on a machine where the records do not place it counts for its
+/// team until it is gone.
 TEST(TeamLimit, CountsUnrecordedTasksOfKnownJobs) {
   World world(2220);
   auto job = array(1, 6, 3000);
@@ -93,9 +93,8 @@
   EXPECT_DOUBLE_EQ(leader.model().usage("red").gpus, 6);
 }
 
-/// A block names a machine that the records no longer know, for the machine's
-/// end was written before the block: its task once counted for its team for
-/// ever, and a cancelled job never came to its end.
+/// A block refers to a machine without a record, as the end of the machine was written before the
+/// block. Its tasks once counted for their team for ever, and a cancelled job never ended.
 TEST(TeamLimit, DoesNotCountTasksOnDeletedMachines) {
   World world(2230);
   auto job = array(1, 8, 3000);
@@ -114,7 +113,7 @@
   world.run_until(12);
   world.cloud.capacity = 12;
   world.run_until(70);
-  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 8U) << "started, as a second attempt";
+  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 8U) << "started in a second attempt";
   world.cancel("job-1");
   world.run_until(85);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled);
