--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -11,7 +11,7 @@
 
 /// Safety rule 8: at whatever moment a cancellation comes, with starts planned,
 /// recorded, in flight or seen, the job ends cancelled and nothing of it stays.
-TEST(Cancellation, AtAnyMomentOfAStart) {
+TEST(Cancellation, EndsJobAtAnyStageOfItsStart) {
   for (int step = 0; step < 24; ++step) {
     World world(100 + static_cast<unsigned>(step));
     world.submit(array(1, 4, 30));
@@ -25,28 +25,28 @@
 
 /// Several jobs at once through all controllers, in the very moment in which the
 /// leader is refused, and a second later nobody is served.
-TEST(CancellationDuringRefusal, InTheMomentOfTheRefusal) {
+TEST(Cancellation, EndsJobsWhenStateStoreRefusesLeader) {
   for (int step = 0; step < 20; ++step) {
     World world(2000 + static_cast<unsigned>(step), 3 + static_cast<std::size_t>(step) % 2);
     world.cloud.capacity = 24;
     for (int i = 1; i <= 6; ++i) world.submit(array(i, 4, 3000));
     world.run_until(60);
     const auto lead = leader_index(world);
-    const double at = world.loop.now();
-    world.loop.at(at + 0.002 * step, [&] { deny_state_store(world, lead); });
+    const double refused_at = world.loop.now();
+    world.loop.at(refused_at + 0.002 * step, [&] { deny_state_store(world, lead); });
     for (int i = 1; i <= 5; ++i)
-      world.loop.at(at + 0.01 * i, [&, i] { world.cancel("job-" + std::to_string(i)); });
-    world.loop.at(at + 0.02, [&] {
+      world.loop.at(refused_at + 0.01 * i, [&, i] { world.cancel("job-" + std::to_string(i)); });
+    world.loop.at(refused_at + 0.02, [&] {
       for (auto& [id, worker] : world.workers) {
         if (world.random() < 0.3) worker->hang(3 + world.random() * 25);
       }
     });
-    world.run_until(at + 1);
+    world.run_until(refused_at + 1);
     world.stop_state_store();
-    world.run_until(at + 56);
+    world.run_until(refused_at + 56);
     world.restore_state_store();
     allow_state_store(world, lead);
-    world.run_until(at + 130);
+    world.run_until(refused_at + 130);
     for (int i = 1; i <= 5; ++i)
       EXPECT_EQ(poll_reported_state(world, "job-" + std::to_string(i)), JobState::cancelled)
           << step;
@@ -57,7 +57,7 @@
 
 /// A cancellation, a question and a repeated submission meet it, on all nodes
 /// and with no other fault: the first answer binds every node for ever.
-TEST(JobCompletion, TheFirstAnswerBindsAll) {
+TEST(JobCompletion, FirstReportedFinalStateHoldsOnAllNodes) {
   std::size_t done = 0;
   std::size_t cancelled = 0;
   for (int step = 0; step < 60; ++step) {
@@ -68,12 +68,13 @@
     while (world.rules.completed_tasks("job-1") == 0 && world.loop.now() < 60)
       world.run_for(0.0005);
     ASSERT_LT(world.loop.now(), 60);
-    const double end = world.loop.now();
-    for (int i = 0; i < 6; ++i) world.loop.at(end + 0.004 * i, [&world] { world.poll("job-1"); });
-    world.loop.at(end + 0.002 * (step % 20), [&world] { world.cancel("job-1"); });
+    const double completed_at = world.loop.now();
     for (int i = 0; i < 6; ++i)
-      world.loop.at(end + 0.003 * i, [&world, &job] { world.submit(job); });
-    world.run_until(end + 5);
+      world.loop.at(completed_at + 0.004 * i, [&world] { world.poll("job-1"); });
+    world.loop.at(completed_at + 0.002 * (step % 20), [&world] { world.cancel("job-1"); });
+    for (int i = 0; i < 6; ++i)
+      world.loop.at(completed_at + 0.003 * i, [&world, &job] { world.submit(job); });
+    world.run_until(completed_at + 5);
     for (int i = 0; i < 6; ++i) {
       world.poll("job-1");
       world.run_for(0.3);
@@ -90,7 +91,7 @@
 
 /// Rule 4: what a heartbeat says is recorded before the worker is told to forget
 /// it, also while the state store is away.
-TEST(JobCompletion, IsRecordedBeforeItIsCleared) {
+TEST(JobCompletion, IsRecordedBeforeWorkerClearsTask) {
   World world(3050);
   world.submit(array(1, 1, 3000));
   world.run_until(30);
@@ -106,7 +107,7 @@
       heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
   heartbeat.tasks.push_back(
       {"job-1", task->index, task->attempt(), wire::TaskState::ended, wire::EndCause::done, false});
-  const auto cleared = [&] {
+  const auto commands_received = [&] {
     ++heartbeat.sequence;
     const auto response = world.response_of(lead, heartbeat_request(heartbeat), 0.05);
     if (!response || response->status != 200) return -1;
@@ -114,12 +115,12 @@
   };
   world.rules.record_completed("job-1", 0);
   world.stop_state_store();
-  EXPECT_EQ(cleared(), 0);
+  EXPECT_EQ(commands_received(), 0);
   world.run_for(2);
-  EXPECT_EQ(cleared(), 0) << "not recorded yet";
+  EXPECT_EQ(commands_received(), 0) << "not recorded yet";
   world.restore_state_store();
   world.run_for(3);
-  EXPECT_EQ(cleared(), 1);
+  EXPECT_EQ(commands_received(), 1);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done);
 }
 
--- a/tests/command_rpc_test.cpp
+++ b/tests/command_rpc_test.cpp
@@ -18,10 +18,10 @@
   ASSERT_EQ(placed_tasks(world, "job-1"), 1U);
   auto second = array(2, 1, 400);
   second.image_gb = 0;
-  const auto before = world.rules.starts();
+  const auto starts_before = world.rules.starts();
   world.submit(second);
   world.run_until(61.2);
-  EXPECT_EQ(world.rules.starts(), before + 1) << "there was room, and a second is enough";
+  EXPECT_EQ(world.rules.starts(), starts_before + 1) << "there was room, and a second is enough";
   expect_no_violations(world);
 }
 
@@ -45,7 +45,7 @@
   }
 }
 
-TEST(CommandRpc, WithoutTheDirectWayCommandsRideOnHeartbeats) {
+TEST(CommandRpc, HeartbeatRepliesCarryCommandsWhenRpcsAreBlocked) {
   World world(32);
   world.network.command_rpcs_blocked = true;
   world.submit(array(1, 6, 5));
@@ -56,7 +56,7 @@
 
 /// A command RPC that arrives after the attempt was cleared must not revive
 /// it, nor one after the cancellation.
-TEST(CommandRpc, LateCopiesReviveNothing) {
+TEST(CommandRpc, DelayedRpcDoesNotRestartClearedAttempt) {
   World world(33);
   world.cloud.capacity = 1;
   world.submit(array(1, 1, 5));
--- a/tests/delayed_messages_test.cpp
+++ b/tests/delayed_messages_test.cpp
@@ -10,7 +10,7 @@
 using wire::JobState;
 
 /// Across epochs, takeovers and a machine's return: they change nothing.
-TEST(LateCopies, OfHeartbeatsChangeNothing) {
+TEST(DelayedHeartbeats, DuplicatesChangeNothing) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     World world(500 + seed);
     world.submit(array(1, 12, 25));
@@ -31,7 +31,7 @@
 
 /// Safety rules 3 and 6: late heartbeats from former epochs, which a new leader
 /// gets before it is in touch with the machine, prove nothing.
-TEST(LateHeartbeats, OfFormerEpochsDoNotFreeTasks) {
+TEST(DelayedHeartbeats, EarlierEpochsDoNotFreeTasks) {
   World world(20, 1);
   world.submit(service(1, 2));
   world.run_until(40);
@@ -42,9 +42,9 @@
   ASSERT_NE(world.leader(), nullptr);
   for (const std::uint64_t epoch : {1, 2}) {
     for (auto& [id, worker] : world.workers) {
-      const wire::WorkerHeartbeat late{
+      const wire::WorkerHeartbeat delayed{
           id, "", worker->type(), worker->zone(), worker->spot(), epoch, 1, 0, std::nullopt, {}};
-      world.send_to_node(0, heartbeat_request(late), [](const net::Response&) {});
+      world.send_to_node(0, heartbeat_request(delayed), [](const net::Response&) {});
     }
     world.run_for(1);
   }
@@ -58,16 +58,16 @@
 /// Until a new leader has acted, or from seconds to well over a lease: the first
 /// word that a leader hears of a machine may be one of an earlier epoch, or of
 /// an earlier attempt.
-TEST(DelayedHeartbeats, SayNothingOfTheTasksThatCameAfter) {
-  for (int held = 2; held < 40; held += 4) {
-    World world(2600 + static_cast<unsigned>(held));
+TEST(DelayedHeartbeats, EarlierAttemptsDoNotAffectCurrentTasks) {
+  for (int delay_s = 2; delay_s < 40; delay_s += 4) {
+    World world(2600 + static_cast<unsigned>(delay_s));
     world.cloud.capacity = 10;
     world.submit(array(1, 8, 25));
     world.submit(array(2, 8, 3000));
     world.run_until(25);
     for (auto& [id, worker] : world.workers) {
       worker->duplicate_share = 1;
-      worker->duplicate_delay_s = held;
+      worker->duplicate_delay_s = delay_s;
     }
     world.run_until(30);
     // Some lose their lease, and their tasks start in a later epoch.
@@ -77,16 +77,16 @@
     world.crash(leader_index(world), 0.1);
     world.run_until(50);
     world.cancel("job-2");
-    world.crash(leader_index(world), held % 8 == 2 ? 0.1 : 6);
+    world.crash(leader_index(world), delay_s % 8 == 2 ? 0.1 : 6);
     world.run_until(190);
-    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done) << held;
-    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << held;
-    ASSERT_EQ(world.rules.first_violation(), "") << held;
+    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done) << delay_s;
+    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << delay_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << delay_s;
   }
 }
 
 /// Without an answer, and after newer ones of the same controller.
-TEST(DelayedCommits, ChangeNothingThatWasSaidSince) {
+TEST(DelayedCommits, DoNotOverwriteNewerCommits) {
   for (unsigned seed = 1; seed <= 16; ++seed) {
     World world(1800 + seed);
     world.run_until(2);
@@ -113,7 +113,7 @@
 /// The transaction of a candidacy that was given up is applied after all, while
 /// the next one's lease is there already: the leader renews the lease that its
 /// record hangs on, and stays.
-TEST(DelayedCommits, ACandidacyThatWinsLateKeepsItsOwnLease) {
+TEST(DelayedCommits, LeaderRenewsLeaseOfItsDelayedCandidacy) {
   std::size_t late_wins = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     World world(1850 + seed);
@@ -137,15 +137,15 @@
 
 /// The leadership was won, but the winner's watch tells it only when the lease
 /// has run out: it may stand again, or in the end nobody does.
-TEST(DelayedCommits, WhoHearsTooLateOfItsElectionStartsAnother) {
+TEST(DelayedCommits, ElectionRepeatsIfWinnerLearnsOfItTooLate) {
   World world(1890);
   world.run_until(5);
-  std::set<std::string> held;
+  std::set<std::string> winners;
   world.state.on_commit = [&](const wire::Transaction& transaction) {
     for (const auto& write : transaction.writes) {
       if (write.key != store::kLeadKey || !write.value) continue;
       const auto node = store::decode_lead(*write.value).node;
-      if (!held.insert(node).second) continue;
+      if (!winners.insert(node).second) continue;
       const auto index = static_cast<std::size_t>(node.back() - '0');
       world.store(index).faults.watch_stalled = true;
       world.loop.after(6, [&world, index] { world.store(index).faults.watch_stalled = false; });
@@ -153,36 +153,36 @@
   };
   crash_all_nodes(world, 0.01);
   world.run_until(45);
-  EXPECT_GE(held.size(), 2U) << "they were elected and did not hear of it";
+  EXPECT_GE(winners.size(), 2U) << "they were elected and did not hear of it";
   ASSERT_NE(world.leader(), nullptr);
 }
 
 /// Commands are carried out seconds later, and the machine then goes on.
-TEST(DelayedCommands, AreVoidOrOverInTime) {
-  for (int hold = 1; hold < 60; hold += 5) {
-    World world(1500 + static_cast<unsigned>(hold));
+TEST(DelayedCommands, AreRejectedOrEndByCancelDeadline) {
+  for (int delay_s = 1; delay_s < 60; delay_s += 5) {
+    World world(1500 + static_cast<unsigned>(delay_s));
     world.submit(array(1, 8, 20));
     world.run_until(20);
-    world.network.command_delay_s = hold;
+    world.network.command_delay_s = delay_s;
     world.submit(array(2, 8, 3000));
     world.submit(array(3, 8, 10));
-    world.run_until(24 + hold % 7);
+    world.run_until(24 + delay_s % 7);
     world.cancel("job-2");
     world.run_until(35);
     world.network.command_delay_s = 0;
     for (auto& [id, worker] : world.workers) {
-      if (world.random() < 0.5) worker->hang(hold % 9);
+      if (world.random() < 0.5) worker->hang(delay_s % 9);
     }
     world.run_until(170);
-    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << hold;
-    EXPECT_EQ(poll_reported_state(world, "job-3"), JobState::done) << hold;
-    ASSERT_EQ(world.rules.first_violation(), "") << hold;
+    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << delay_s;
+    EXPECT_EQ(poll_reported_state(world, "job-3"), JobState::done) << delay_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << delay_s;
   }
 }
 
 /// A `run` is held on its way while a zone delegate keeps the machine's lease: when
 /// it arrives the job was cancelled longer than `cancel_s` ago.
-TEST(DelayedCommands, AZoneDelegateKeepsNoLeaseUnderWhichACancelledTaskMayStart) {
+TEST(DelayedCommands, DelegateRenewsNoLeaseWhileCancelledRunMayBeInFlight) {
   World world(1560);
   world.cloud.capacity = 20;
   world.submit(array_in("south", 1, 3, 3000));  // leaves room on a machine
@@ -190,9 +190,9 @@
   move_leadership_to_north(world);
   ASSERT_EQ(placed_tasks(world, "job-1"), 3U);
   world.network.command_delay_s = 70;
-  auto held = array_in("south", 2, 1, 3000);
-  held.image_gb = 0;  // runs as soon as it is told to
-  world.submit(held);
+  auto delayed_job = array_in("south", 2, 1, 3000);
+  delayed_job.image_gb = 0;  // runs as soon as it is told to
+  world.submit(delayed_job);
   for (int i = 0; i < 200 && placed_tasks(world, "job-2") == 0; ++i) world.run_for(0.02);
   world.run_for(0.4);  // the command RPC is under way
   world.network.partition_zones();
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -10,26 +10,26 @@
 using wire::JobState;
 
 /// Safety rule 1: a new leader knows from the records where tasks can be.
-TEST(Takeover, TasksGoOnUnderTheNextLeader) {
+TEST(Takeover, TasksContinueUnderNextLeader) {
   World world(8);
   world.submit(service(1, 4));
   world.submit(array(2, 10, 20));
   world.run_until(40);
-  const auto before = world.rules.starts();
+  const auto starts_before_crash = world.rules.starts();
   ASSERT_NE(world.leader(), nullptr);
   world.crash(leader_index(world), 8);
   world.run_until(46);
   ASSERT_NE(world.leader(), nullptr);
   world.run_until(50);
   EXPECT_EQ(running_tasks(world, "job-1"), 4U);
-  EXPECT_GE(world.rules.starts(), before);
+  EXPECT_GE(world.rules.starts(), starts_before_crash);
   world.run_until(150);
   EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::done);
   expect_starts_without_violations(world);
 }
 
 /// Safety rule 10: restarts may be instant.
-TEST(Takeover, ANodeTakesOverFromItsOwnEarlierLife) {
+TEST(Takeover, RestartedNodeReplacesItsPreviousIncarnation) {
   World world(9, 1);
   world.submit(service(1, 2));
   world.run_until(40);
@@ -45,23 +45,23 @@
 }
 
 /// Safety rules 2 and 5: told of a higher term, a leader stops at once.
-TEST(Takeover, ALeaderThatLostTheStateServiceStepsDownWhenTold) {
+TEST(Takeover, LeaderWithoutStateStoreStepsDownOnHigherTerm) {
   World world(10);
   world.submit(service(1, 4));
   world.run_until(40);
-  const auto old = leader_index(world);
-  deny_state_store(world, old);
+  const auto former_leader = leader_index(world);
+  deny_state_store(world, former_leader);
   world.run_until(46);
-  EXPECT_EQ(world.node(old)->leader(), nullptr);
+  EXPECT_EQ(world.node(former_leader)->leader(), nullptr);
   ASSERT_NE(world.leader(), nullptr);
   world.run_until(80);
   EXPECT_EQ(running_tasks(world, "job-1"), 4U);
   expect_starts_without_violations(world);
 }
 
-/// Two or three tasks that end far apart: what ended before the change is done
+/// Two or three tasks that end far apart: what ended before the takeover is done
 /// for ever, and none of it runs again.
-TEST(RollingTakeover, JobsWhoseTasksEndFarApart) {
+TEST(Takeover, CompletedTasksDoNotRunAgainAfterSuccessiveTakeovers) {
   for (int step = 0; step < 16; ++step) {
     World world(2400 + static_cast<unsigned>(step));
     world.cloud.capacity = 12;
@@ -80,32 +80,32 @@
 
 /// Also inside an outage. Each takeover begins its wait for silent machines
 /// anew: after the last one nothing waits longer than 90 s.
-TEST(RepeatedTakeovers, TenInTwoMinutesLeaveNothingWaiting) {
+TEST(Takeover, TasksRecoverAfterTenTakeoversInTwoMinutes) {
   for (unsigned seed = 1; seed <= 8; ++seed) {
     World world(2500 + seed);
     world.cloud.capacity = 12;
     world.submit(array(1, 8, 3000));
     world.submit(array(2, 6, 20));
     world.run_until(40);
-    std::size_t dead = 0;
-    for (int change = 0; change < 10; ++change) {
-      if (world.leader() != nullptr) world.crash(leader_index(world), change % 3 == 0 ? 0.1 : 6);
-      if (change == 4 || change == 7) world.stop_state_store();
-      if (change == 5 || change == 8) world.restore_state_store();
-      if (change % 4 == 1) {
+    std::size_t dead_machines = 0;
+    for (int takeover = 0; takeover < 10; ++takeover) {
+      if (world.leader() != nullptr) world.crash(leader_index(world), takeover % 3 == 0 ? 0.1 : 6);
+      if (takeover == 4 || takeover == 7) world.stop_state_store();
+      if (takeover == 5 || takeover == 8) world.restore_state_store();
+      if (takeover % 4 == 1) {
         auto* worker = worker_of(world, "job-1");
-        if (worker != nullptr && dead++ < 2) {
+        if (worker != nullptr && dead_machines++ < 2) {
           worker->die();
           ++world.cloud.capacity;
         }
       }
       world.run_for(12);
     }
-    const double over = world.loop.now();
-    while (world.loop.now() < over + 90 &&
+    const double faults_end = world.loop.now();
+    while (world.loop.now() < faults_end + 90 &&
            (placed_tasks(world, "job-1") < 8 || world.rules.tasks_on_machines("job-1") < 8))
       world.run_for(1);
-    EXPECT_LT(world.loop.now(), over + 90) << seed;
+    EXPECT_LT(world.loop.now(), faults_end + 90) << seed;
     EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::done) << seed;
     ASSERT_EQ(world.rules.first_violation(), "") << seed;
   }
@@ -113,9 +113,9 @@
 
 /// A leader ends while machines with long tasks can't be reached, or don't hear
 /// the new leader's answer.
-TEST(LeaderCrash, WithMachinesThatDoNotHearTheNext) {
-  for (int spell = 4; spell < 70; spell += 6) {
-    World world(2700 + static_cast<unsigned>(spell));
+TEST(Takeover, TasksRecoverOnMachinesUnreachableByNextLeader) {
+  for (int outage_s = 4; outage_s < 70; outage_s += 6) {
+    World world(2700 + static_cast<unsigned>(outage_s));
     world.cloud.capacity = 12;
     world.submit(array(1, 10, 3000));
     world.run_until(45);
@@ -124,14 +124,14 @@
       worker->cut = chance < 0.3;
       worker->responses_dropped = chance >= 0.3 && chance < 0.5;
     }
-    world.crash(leader_index(world), spell % 4 == 0 ? 0.1 : 8);
-    world.run_until(46 + spell);
+    world.crash(leader_index(world), outage_s % 4 == 0 ? 0.1 : 8);
+    world.run_until(46 + outage_s);
     reconnect_all_workers(world);
     deliver_responses_to_all_workers(world);
     world.cloud.capacity = 12;
-    world.run_until(46 + spell + 90);
-    EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 10U) << spell;
-    ASSERT_EQ(world.rules.first_violation(), "") << spell;
+    world.run_until(46 + outage_s + 90);
+    EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 10U) << outage_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << outage_s;
   }
 }
 
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -11,10 +11,10 @@
 
 /// Leader, zone delegate and follower stand still for longer than each of their
 /// leases while their clocks run on, and wake with old thoughts.
-TEST(FrozenController, DoesNothingOnWakingAfterItsLeaderLease) {
-  for (int length = 2; length < 60; length += 4) {
+TEST(FrozenController, DoesNotActOnResumeAfterItsLeaseEnded) {
+  for (int freeze_s = 2; freeze_s < 60; freeze_s += 4) {
     for (std::size_t role = 0; role < 3; ++role) {
-      World world(900 + static_cast<unsigned>(length) + static_cast<unsigned>(role));
+      World world(900 + static_cast<unsigned>(freeze_s) + static_cast<unsigned>(role));
       world.cloud.capacity = 16;
       world.submit(array(1, 8, 15));
       world.submit(array(2, 6, 2000));
@@ -27,24 +27,24 @@
       }
       world.submit(array(3, 6, 10));
       world.run_for(0.03);  // some of it is under way
-      world.freeze(node, length);
+      world.freeze(node, freeze_s);
       world.run_for(1);
       world.cancel("job-2");
-      world.run_for(length);
+      world.run_for(freeze_s);
       world.network.restore_peer_links(1);
       world.run_until(200);
       poll_jobs(world, {"job-1", "job-2", "job-3"}, 3);
-      EXPECT_EQ(world.last_reported_state("job-1"), JobState::done) << length << " " << role;
-      EXPECT_EQ(world.last_reported_state("job-2"), JobState::cancelled) << length << " " << role;
-      EXPECT_EQ(world.last_reported_state("job-3"), JobState::done) << length << " " << role;
-      ASSERT_EQ(world.rules.first_violation(), "") << length << " " << role;
+      EXPECT_EQ(world.last_reported_state("job-1"), JobState::done) << freeze_s << " " << role;
+      EXPECT_EQ(world.last_reported_state("job-2"), JobState::cancelled) << freeze_s << " " << role;
+      EXPECT_EQ(world.last_reported_state("job-3"), JobState::done) << freeze_s << " " << role;
+      ASSERT_EQ(world.rules.first_violation(), "") << freeze_s << " " << role;
     }
   }
 }
 
 /// A poll that was under way when its node stood still is not answered on
 /// waking with what was true before.
-TEST(FrozenController, AnswersNobodyWithWhatItKnewBefore) {
+TEST(FrozenController, DoesNotReportOutdatedStateOnResume) {
   World world(48);
   world.submit(array(1, 1, 3));
   world.run_until(5);
@@ -53,11 +53,11 @@
     world.send_to_node(0, status_request("job-1"),
                        [&](net::Response received) { response = std::move(received); });
     world.run_for(delay);
-    const bool before = response.has_value();
+    const bool answered_before = response.has_value();
     world.freeze(0, 20);
     world.run_for(25);
     ASSERT_TRUE(response) << delay;
-    if (before || response->status != 200) continue;
+    if (answered_before || response->status != 200) continue;
     EXPECT_EQ(job_state_in(*response), JobState::done) << delay << ": it was over long ago";
   }
   expect_no_violations(world);
--- a/tests/isolated_controller_test.cpp
+++ b/tests/isolated_controller_test.cpp
@@ -12,28 +12,28 @@
 
 /// Without the state store and the other controllers, but with its workers:
 /// first the leader, then a follower.
-TEST(ControllerApart, ItsWorkersAreTakenOverInTime) {
-  for (const bool leader : {true, false}) {
+TEST(IsolatedController, WorkersAreTakenOverByCancelDeadline) {
+  for (const bool isolate_leader : {true, false}) {
     World world(36);
     auto job = array(1, 6, 1000);
     world.submit(job);
     world.run_until(45);
     ASSERT_EQ(placed_tasks(world, "job-1"), 6U);
     const auto lead = leader_index(world);
-    const auto apart = leader ? lead : (lead + 1) % 3;
-    deny_state_store(world, apart);
-    world.network.cut_peer_links(apart);
+    const auto isolated = isolate_leader ? lead : (lead + 1) % 3;
+    deny_state_store(world, isolated);
+    world.network.cut_peer_links(isolated);
     world.cancel("job-1");
     world.run_until(90);
     EXPECT_NE(world.leader(), nullptr);
-    EXPECT_NE(leader_index(world), apart);
+    EXPECT_NE(leader_index(world), isolated);
     world.poll("job-1");
     world.run_until(93);
     EXPECT_EQ(world.last_reported_state("job-1"), JobState::cancelled);
     world.submit(array(2, 2, 5));
     world.run_until(140);
-    allow_state_store(world, apart);
-    world.network.restore_peer_links(apart);
+    allow_state_store(world, isolated);
+    world.network.restore_peer_links(isolated);
     for (int i = 0; i < 10; ++i) {
       world.poll("job-2");
       world.run_until(142 + i * 2);
@@ -43,7 +43,7 @@
   }
 }
 
-TEST(Forwarding, ALeaderWithoutWorkersIsReachedThroughTheOthers) {
+TEST(IsolatedController, HeartbeatsAreForwardedToLeaderCutFromWorkers) {
   World world(15);
   world.submit(service(1, 2));
   world.run_until(40);
@@ -59,7 +59,7 @@
 /// users still reach it; jobs are cancelled through the new one. A worker that
 /// has heard of the new term drops the former leader's answers, and must not be
 /// kept there while its lease runs out.
-TEST(IsolatedLeader, KeepsNoWorkerThatHasHeardOfItsSuccessor) {
+TEST(IsolatedController, FormerLeaderReleasesWorkersThatSawNewTerm) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     World world(2300 + seed);
     world.cloud.capacity = 16;
@@ -68,18 +68,18 @@
     world.run_until(50);
     ASSERT_EQ(placed_tasks(world, "job-1"), 8U);
     ASSERT_EQ(placed_tasks(world, "job-2"), 6U);
-    const auto apart = leader_index(world);
+    const auto isolated = leader_index(world);
     const auto starts = world.rules.starts();
-    deny_state_store(world, apart);
-    world.network.cut_peer_links(apart);
+    deny_state_store(world, isolated);
+    world.network.cut_peer_links(isolated);
     world.run_until(56 + 0.3 * seed);
-    ASSERT_TRUE(world.cancel_at((apart + 1) % 3, "job-2"));
+    ASSERT_TRUE(world.cancel_at((isolated + 1) % 3, "job-2"));
     world.run_until(100);
     EXPECT_EQ(world.rules.tasks_on_machines("job-2"), 0U);
     EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 8U);
     EXPECT_EQ(world.rules.starts(), starts) << seed << ": no lease ran out at the former leader's";
-    allow_state_store(world, apart);
-    world.network.restore_peer_links(apart);
+    allow_state_store(world, isolated);
+    world.network.restore_peer_links(isolated);
     world.run_until(120);
     EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled);
     ASSERT_EQ(world.rules.first_violation(), "") << seed;
@@ -88,8 +88,8 @@
 
 /// The same for a controller that is its zone's delegate without a record: it has heard of the next
 /// leader, but its mirror is that of the former term.
-TEST(IsolatedLeader, NobodyActsAsDelegateUnderATermThatIsOver) {
-  for (const bool next : {false, true}) {
+TEST(IsolatedController, NoDelegateRepliesUnderSupersededTerm) {
+  for (const bool newer_term : {false, true}) {
     World world(2390);
     world.cloud.capacity = 20;
     world.submit(array_in("south", 1, 2, 3000));
@@ -98,18 +98,19 @@
     const auto* worker = worker_of(world, "job-1");
     ASSERT_NE(worker, nullptr);
     cut_all_workers(world);  // we speak for them
-    const auto term = leader_of(world).term() + (next ? 1 : 0);
+    const auto term = leader_of(world).term() + (newer_term ? 1 : 0);
     world.cut_zone("south");
     world.node(1)->on_message(peer::Heartbeat{"node-0", term, "node-0", true, true, 0, 1e9});
     world.run_for(5);
     auto heartbeat = heartbeat_of(*worker, 1, 1, term << constants::kTokenFenceBits);
-    const auto ask = [&](double patience) {
+    const auto status_within = [&](double wait_s) {
       ++heartbeat.sequence;
-      const auto response = world.response_of(1, heartbeat_request(heartbeat), patience);
+      const auto response = world.response_of(1, heartbeat_request(heartbeat), wait_s);
       return response ? response->status : 0;
     };
-    EXPECT_NE(ask(4), 200);
-    EXPECT_EQ(ask(0.5) == 200, !next) << "who comes back is answered, but not in vain";
+    EXPECT_NE(status_within(4), 200);
+    EXPECT_EQ(status_within(0.5) == 200, !newer_term)
+        << "who comes back is answered, but not in vain";
   }
 }
 
--- a/tests/production/adapter.cpp
+++ b/tests/production/adapter.cpp
@@ -14,12 +14,13 @@
   production::Settings settings;
   settings.node = given.node;
   settings.zone = given.zone;
-  for (const auto& one : given.peers) settings.peers.push_back({one.name, one.zone});
+  for (const auto& peer : given.peers) settings.peers.push_back({peer.name, peer.zone});
   settings.zones = given.zones;
-  for (const auto& one : given.teams)
-    settings.teams.push_back({one.name, one.cpus, one.cpus_max, one.gpus, one.gpus_max});
-  for (const auto& one : given.objectives)
-    settings.objectives.push_back({one.kind, one.job_class, one.within_s, one.share});
+  for (const auto& team : given.teams)
+    settings.teams.push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
+  for (const auto& objective : given.objectives)
+    settings.objectives.push_back(
+        {objective.kind, objective.job_class, objective.within_s, objective.share});
   settings.report_s = given.heartbeat_interval_s;
   settings.lease_s = given.lease_s;
   settings.cancel_s = given.cancel_s;
@@ -35,98 +36,102 @@
   return settings;
 }
 
-void connect_time(production::Ports& to, VirtualEventLoop& loop) {
-  to.now = [&loop] { return loop.now(); };
-  to.wall = [&loop] { return loop.wall(); };
-  to.random = [&loop] { return loop.random(); };
-  to.after = [&loop](double seconds, std::function<void()> fn) {
+void connect_time(production::Ports& ports, VirtualEventLoop& loop) {
+  ports.now = [&loop] { return loop.now(); };
+  ports.wall = [&loop] { return loop.wall(); };
+  ports.random = [&loop] { return loop.random(); };
+  ports.after = [&loop](double seconds, std::function<void()> fn) {
     loop.after(seconds, std::move(fn));
   };
 }
 
-void connect_reads(production::Ports& to, store::StateStore& store) {
-  to.get = [&store](const std::string& key, production::GetDone done) {
+void connect_reads(production::Ports& ports, store::StateStore& store) {
+  ports.get = [&store](const std::string& key, production::GetDone done) {
     store.get(key, [done = std::move(done)](const store::GetResult& result) {
       const auto& entry = result.entry;
       done(number_of(result.outcome), {entry.key, entry.value, entry.mod_revision},
            result.revision);
     });
   };
-  to.list = [&store](const std::string& prefix, const std::string& since,
-                     production::ListDone done) {
+  ports.list = [&store](const std::string& prefix, const std::string& since,
+                        production::ListDone done) {
     store.list(prefix, since, [done = std::move(done)](const store::ListResult& result) {
       std::vector<production::Entry> entries;
-      for (const auto& one : result.listing.entries)
-        entries.push_back({one.key, one.value, one.mod_revision});
+      for (const auto& entry : result.listing.entries)
+        entries.push_back({entry.key, entry.value, entry.mod_revision});
       done(number_of(result.outcome), std::move(entries), result.listing.truncated,
            result.listing.revision);
     });
   };
-  to.watch = [&store](const std::string& prefix, std::uint64_t since, double hold_s,
-                      production::WatchDone done) {
+  ports.watch = [&store](const std::string& prefix, std::uint64_t since, double hold_s,
+                         production::WatchDone done) {
     store.watch(prefix, since, hold_s, [done = std::move(done)](const store::WatchResult& result) {
       std::vector<production::Change> changes;
-      for (const auto& one : result.changes.log)
-        changes.push_back({one.key, one.value, one.mod_revision});
+      for (const auto& change : result.changes.log)
+        changes.push_back({change.key, change.value, change.mod_revision});
       done(number_of(result.outcome), result.changes.revision, std::move(changes));
     });
   };
 }
 
-void connect_writes(production::Ports& to, store::StateStore& store) {
-  to.commit = [&store](const std::vector<production::Guard>& preconditions,
-                       const std::vector<production::Write>& writes, production::CommitDone done) {
+void connect_writes(production::Ports& ports, store::StateStore& store) {
+  ports.commit = [&store](const std::vector<production::Guard>& preconditions,
+                          const std::vector<production::Write>& writes,
+                          production::CommitDone done) {
     wire::Transaction transaction;
-    for (const auto& one : preconditions) transaction.preconditions.push_back({one.key, one.stamp});
-    for (const auto& one : writes) transaction.writes.push_back({one.key, one.value, one.lease});
+    for (const auto& precondition : preconditions)
+      transaction.preconditions.push_back({precondition.key, precondition.stamp});
+    for (const auto& write : writes)
+      transaction.writes.push_back({write.key, write.value, write.lease});
     store.commit(std::move(transaction),
                  [done = std::move(done)](const store::CommitResult& result) {
                    done(number_of(result.outcome), result.revision, result.failed);
                  });
   };
-  to.grant = [&store](double life_s, production::GrantDone done) {
+  ports.grant = [&store](double life_s, production::GrantDone done) {
     store.grant(life_s, [done = std::move(done)](const store::GrantResult& result) {
       done(number_of(result.outcome), result.lease);
     });
   };
-  to.renew = [&store](std::uint64_t lease, production::RenewDone done) {
+  ports.renew = [&store](std::uint64_t lease, production::RenewDone done) {
     store.renew(lease,
                 [done = std::move(done)](store::Outcome outcome) { done(number_of(outcome)); });
   };
 }
 
-void connect_cloud(production::Ports& to, clients::Cloud& cloud) {
-  to.machine_types = [&cloud](production::TypesDone done) {
+void connect_cloud(production::Ports& ports, clients::Cloud& cloud) {
+  ports.machine_types = [&cloud](production::TypesDone done) {
     cloud.machine_types(
         [done = std::move(done)](const std::optional<std::vector<wire::MachineType>>& types) {
           done(types ? std::optional(wire::encode_machine_types(*types)) : std::nullopt);
         });
   };
-  to.cloud_list = [&cloud](const std::string& since, production::CloudListDone done) {
+  ports.cloud_list = [&cloud](const std::string& since, production::CloudListDone done) {
     cloud.list(since, [done = std::move(done)](const std::optional<wire::CloudPage>& page) {
       if (!page) return done(std::nullopt);
       std::vector<production::CloudHost> machines;
-      for (const auto& one : page->machines)
-        machines.push_back(
-            {one.id, one.addr, one.type, one.zone, one.spot, number_of(one.state), one.age_s});
+      for (const auto& machine : page->machines)
+        machines.push_back({machine.id, machine.addr, machine.type, machine.zone, machine.spot,
+                            number_of(machine.state), machine.age_s});
       done(std::move(machines));
     });
   };
-  to.rent = [&cloud](const std::string& name, const std::string& type, const std::string& zone,
-                     bool spot, int count, production::RentDone done) {
+  ports.rent = [&cloud](const std::string& name, const std::string& type, const std::string& zone,
+                        bool spot, int count, production::RentDone done) {
     cloud.provision(name, type, zone, spot, count,
                     [done = std::move(done)](const clients::ProvisionResult& result) {
                       done(number_of(result.outcome), result.machines);
                     });
   };
-  to.release = [&cloud](const std::vector<std::string>& machines, std::function<void(bool)> done) {
+  ports.release = [&cloud](const std::vector<std::string>& machines,
+                           std::function<void(bool)> done) {
     cloud.terminate(machines, std::move(done));
   };
 }
 
-void connect_workers(production::Ports& to, clients::WorkerRpc& worker_rpc) {
-  to.order = [&worker_rpc](const std::string& addr, std::uint64_t token, std::uint64_t epoch,
-                           const std::string& commands, production::OrderDone done) {
+void connect_workers(production::Ports& ports, clients::WorkerRpc& worker_rpc) {
+  ports.order = [&worker_rpc](const std::string& addr, std::uint64_t token, std::uint64_t epoch,
+                              const std::string& commands, production::OrderDone done) {
     const auto decoded = wire::decode_commands(wire::Document::parse(commands).root());
     worker_rpc.send_commands(addr, token, epoch, decoded.commands,
                              [done = std::move(done)](const clients::CommandResult& result) {
@@ -138,9 +143,9 @@
   };
 }
 
-void connect_transport(production::Ports& to, peer::Transport& transport) {
+void connect_transport(production::Ports& ports, peer::Transport& transport) {
   // Through this version's reader, which must read all that the other sends.
-  to.send = [&transport](const std::string& node, const std::string& bytes) {
+  ports.send = [&transport](const std::string& node, const std::string& bytes) {
     const auto message = peer::decode(bytes);
     if (node.empty()) {
       transport.broadcast(message);
@@ -148,7 +153,7 @@
       transport.send(node, message);
     }
   };
-  to.flush = [&transport] { transport.flush(); };
+  ports.flush = [&transport] { transport.flush(); };
 }
 
 class ProductionNode : public OtherNode {
@@ -167,14 +172,14 @@
 
  private:
   static production::Ports connect(const OtherNodePorts& ports) {
-    production::Ports to;
-    connect_time(to, ports.event_loop);
-    connect_reads(to, ports.store);
-    connect_writes(to, ports.store);
-    connect_cloud(to, ports.cloud);
-    connect_workers(to, ports.worker_rpc);
-    connect_transport(to, ports.transport);
-    return to;
+    production::Ports production_ports;
+    connect_time(production_ports, ports.event_loop);
+    connect_reads(production_ports, ports.store);
+    connect_writes(production_ports, ports.store);
+    connect_cloud(production_ports, ports.cloud);
+    connect_workers(production_ports, ports.worker_rpc);
+    connect_transport(production_ports, ports.transport);
+    return production_ports;
   }
 
   production::Node node_;
--- a/tests/production/node.cpp
+++ b/tests/production/node.cpp
@@ -42,8 +42,8 @@
                 [done](int outcome, const std::vector<Entry>& entries, bool truncated,
                        std::uint64_t revision) {
                   ledger::ListResult result{outcome_of(outcome), {{}, truncated, revision}};
-                  for (const auto& one : entries)
-                    result.listing.entries.push_back({one.key, one.value, one.stamp});
+                  for (const auto& entry : entries)
+                    result.listing.entries.push_back({entry.key, entry.value, entry.stamp});
                   done(std::move(result));
                 });
   }
@@ -52,16 +52,16 @@
     ports_.watch(prefix, since, hold_s,
                  [done](int outcome, std::uint64_t revision, const std::vector<Change>& changes) {
                    ledger::WatchResult result{outcome_of(outcome), {revision, {}}};
-                   for (const auto& one : changes)
-                     result.changes.log.push_back({one.key, one.value, one.stamp});
+                   for (const auto& change : changes)
+                     result.changes.log.push_back({change.key, change.value, change.stamp});
                    done(std::move(result));
                  });
   }
   void commit(wire::Txn txn, std::function<void(ledger::CommitResult)> done) override {
     std::vector<Guard> guards;
-    for (const auto& one : txn.guards) guards.push_back({one.key, one.stamp});
+    for (const auto& guard : txn.guards) guards.push_back({guard.key, guard.stamp});
     std::vector<Write> writes;
-    for (const auto& one : txn.writes) writes.push_back({one.key, one.value, one.lease});
+    for (const auto& write : txn.writes) writes.push_back({write.key, write.value, write.lease});
     ports_.commit(std::move(guards), std::move(writes),
                   [done](int outcome, std::uint64_t revision, std::vector<std::string> failed) {
                     done({outcome_of(outcome), revision, std::move(failed)});
@@ -96,9 +96,9 @@
     ports_.cloud_list(since, [done](const std::optional<std::vector<CloudHost>>& hosts) {
       if (!hosts) return done(std::nullopt);
       wire::CloudPage page;
-      for (const auto& one : *hosts)
-        page.hosts.push_back({one.id, one.addr, one.type, one.zone, one.spot,
-                              static_cast<wire::CloudHost::State>(one.state), one.age_s});
+      for (const auto& host : *hosts)
+        page.hosts.push_back({host.id, host.addr, host.type, host.zone, host.spot,
+                              static_cast<wire::CloudHost::State>(host.state), host.age_s});
       done(std::move(page));
     });
   }
@@ -153,12 +153,13 @@
   version::config::Settings settings;
   settings.node = given.node;
   settings.zone = given.zone;
-  for (const auto& one : given.peers) settings.peers.push_back({one.name, one.zone, ""});
+  for (const auto& peer : given.peers) settings.peers.push_back({peer.name, peer.zone, ""});
   settings.zones = given.zones;
-  for (const auto& one : given.teams)
-    settings.teams.push_back({one.name, one.cpus, one.cpus_max, one.gpus, one.gpus_max});
-  for (const auto& one : given.objectives)
-    settings.objectives.push_back({one.kind, one.job_class, one.within_s, one.share});
+  for (const auto& team : given.teams)
+    settings.teams.push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
+  for (const auto& objective : given.objectives)
+    settings.objectives.push_back(
+        {objective.kind, objective.job_class, objective.within_s, objective.share});
   settings.report_s = given.report_s;
   settings.lease_s = given.lease_s;
   settings.cancel_s = given.cancel_s;
--- a/tests/production/upgrade_test.cpp
+++ b/tests/production/upgrade_test.cpp
@@ -11,25 +11,25 @@
 
 class Upgrade : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Upgrade, TheRulesHoldWithFaultsInItsMiddle) {
+TEST_P(Upgrade, RulesHoldWithFaultsDuringUpgrade) {
   const auto seed = GetParam();
   World world(95'000 + seed, 3 + seed % 3, kLowerLimits, make_production_node);
   world.network.loss = 0.01;
   world.cloud.capacity = 40;
-  std::string story;
+  std::string fault_log;
   int jobs = 0;
   std::size_t next_node = 0;
   double next_upgrade = 40;
-  double falls_at = 1e9;
+  double lower_limits_at = 1e9;
   double next_fault = 35;
-  std::size_t other_led = 0;
-  std::size_t this_led_beside_other = 0;
+  std::size_t other_version_led = 0;
+  std::size_t this_version_led_during_upgrade = 0;
   for (double t = 0; t < 230; t += 1) {
     world.run_until(t);
-    const bool all_new = next_node >= world.node_count();
+    const bool all_upgraded = next_node >= world.node_count();
     if (t < 180 && world.random() < 0.2) {
       // Nothing new is asked of the service before all have this version.
-      const bool gang = all_new && world.random() < 0.5;
+      const bool gang = all_upgraded && world.random() < 0.5;
       ++jobs;
       auto job = gang ? random_gang(world, jobs) : random_job(world, jobs);
       if (!gang && job.kind == wire::JobKind::gang) job.kind = wire::JobKind::array;
@@ -39,30 +39,31 @@
       world.cancel("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
     if (jobs > 0)
       world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
-    if (world.other_version_leads()) ++other_led;
-    if (!all_new && next_node > 0 && world.leader() != nullptr) ++this_led_beside_other;
-    if (!all_new && t >= next_upgrade) {
+    if (world.other_version_leads()) ++other_version_led;
+    if (!all_upgraded && next_node > 0 && world.leader() != nullptr)
+      ++this_version_led_during_upgrade;
+    if (!all_upgraded && t >= next_upgrade) {
       world.upgrade(next_node);
       world.crash(next_node++, 0.2 + world.random() * 8);
       next_upgrade = t + 4 + world.random() * 20;
-      if (next_node == world.node_count()) falls_at = t + 15 + world.random() * 30;
+      if (next_node == world.node_count()) lower_limits_at = t + 15 + world.random() * 30;
     }
-    if (t >= falls_at) {
-      falls_at = 1e9;
+    if (t >= lower_limits_at) {
+      lower_limits_at = 1e9;
       world.lower_state_limits();
-      story += " | limits at " + std::to_string(static_cast<int>(t));
+      fault_log += " | limits at " + std::to_string(static_cast<int>(t));
     }
     if (t >= next_fault && t < 175) {
-      story += begin_random_fault(world, t);
+      fault_log += begin_random_fault(world, t);
       next_fault = t + 8 + world.random() * 25;
     }
     ASSERT_TRUE(world.rules.violations().empty())
-        << "at " << t << " s: " << world.rules.violations().front() << story;
+        << "at " << t << " s: " << world.rules.violations().front() << fault_log;
   }
-  expect_recovery(world, jobs, 255, story);
-  EXPECT_GT(other_led, 0U);
-  EXPECT_GT(this_led_beside_other + other_led, 20U) << "nobody led" << story;
-  EXPECT_EQ(world.state.rejected_transactions, 0U) << story;
+  expect_recovery(world, jobs, 255, fault_log);
+  EXPECT_GT(other_version_led, 0U);
+  EXPECT_GT(this_version_led_during_upgrade + other_version_led, 20U) << "nobody led" << fault_log;
+  EXPECT_EQ(world.state.rejected_transactions, 0U) << fault_log;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, ::testing::Range(1U, last_seed(30) + 1));
@@ -70,7 +71,7 @@
 INSTANTIATE_TEST_SUITE_P(Found, Upgrade, ::testing::Values(117U));
 
 /// Tasks go on across each change of version, in both directions.
-TEST(UpgradeStep, ANewLeaderKeepsWhatTheOldOneStartedAndTheOtherWayRound) {
+TEST(UpgradeStep, TasksContinueWhenLeaderVersionChanges) {
   World world(951, 3, std::nullopt, make_production_node);
   world.submit(array(1, 4, 400));
   world.submit(service(2, 4));
@@ -97,7 +98,7 @@
   expect_no_violations(world);
 }
 
-TEST(UpgradeStep, ACancellationThroughEitherVersionEndsTheJob) {
+TEST(UpgradeStep, CancellationThroughEitherVersionEndsJob) {
   World world(952, 3, kLowerLimits, make_production_node);
   for (int i = 1; i <= 3; ++i) world.submit(array(i, 2, 400));
   world.run_until(50);
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -10,7 +10,7 @@
 using wire::JobState;
 
 /// Back within a fraction of a second, between the steps of an election.
-TEST(InstantRestart, InTheMiddleOfAnElection) {
+TEST(Restart, JobCompletesAfterCrashesDuringElection) {
   for (int step = 0; step < 20; ++step) {
     World world(600 + static_cast<unsigned>(step));
     world.submit(array(1, 6, 30));
@@ -27,38 +27,38 @@
 }
 
 /// For longer than a lease, with a cancellation before or after.
-TEST(AllControllersDown, TasksAreStartedAgainAndCancelledOnesAreNot) {
-  for (int away = 2; away < 40; away += 3) {
-    World world(1900 + static_cast<unsigned>(away));
+TEST(Restart, OnlyUncancelledJobsContinueAfterAllControllersWereDown) {
+  for (int downtime_s = 2; downtime_s < 40; downtime_s += 3) {
+    World world(1900 + static_cast<unsigned>(downtime_s));
     world.submit(array(1, 8, 40));
     world.submit(array(2, 6, 3000));
     world.run_until(30);
-    const bool before = away % 2 == 0;
-    if (before) world.cancel("job-2");
+    const bool cancel_before = downtime_s % 2 == 0;
+    if (cancel_before) world.cancel("job-2");
     world.run_until(30.1);
-    for (std::size_t i = 0; i < 3; ++i) world.crash(i, away + 0.3 * static_cast<double>(i));
-    world.run_until(31 + away);
-    if (!before) world.cancel("job-2");
+    for (std::size_t i = 0; i < 3; ++i) world.crash(i, downtime_s + 0.3 * static_cast<double>(i));
+    world.run_until(31 + downtime_s);
+    if (!cancel_before) world.cancel("job-2");
     world.run_until(190);
-    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done) << away;
-    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << away;
-    ASSERT_EQ(world.rules.first_violation(), "") << away;
+    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done) << downtime_s;
+    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << downtime_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << downtime_s;
   }
 }
 
 /// Controllers hand over and back, all end, and one returns, within a second.
-TEST(FullRestart, AllEndAndOneReturns) {
+TEST(Restart, SingleControllerContinuesAfterAllCrashed) {
   for (int step = 0; step < 16; ++step) {
     World world(2800 + static_cast<unsigned>(step));
     world.submit(array(1, 8, 30));
     world.submit(array(2, 4, 3000));
     world.run_until(30);
-    const auto first = leader_index(world);
-    world.crash(first, 0.05 * step);
+    const auto survivor = leader_index(world);
+    world.crash(survivor, 0.05 * step);
     world.run_until(30.3 + 0.1 * step);
-    for (std::size_t i = 0; i < 3; ++i) world.crash(i, i == first ? 0.2 : 20);
+    for (std::size_t i = 0; i < 3; ++i) world.crash(i, i == survivor ? 0.2 : 20);
     world.run_until(30.8 + 0.1 * step);
-    world.crash(first, 0.03);
+    world.crash(survivor, 0.03);
     world.run_until(40);
     world.cancel("job-2");
     world.run_until(180);
--- a/tests/stale_leader_test.cpp
+++ b/tests/stale_leader_test.cpp
@@ -14,11 +14,12 @@
 enum class PeerLinks { cut, connected };
 
 /// The state store refuses the leader alone, another controller confirms a cancellation
-/// `confirm_after` seconds later, and then the state store is down for longer than `cancel_s`,
+/// `cancel_after_s` seconds later, and then the state store is down for longer than `cancel_s`,
 /// while workers go on sending heartbeats to the leader. With its peer links connected the leader
-/// learns of the cancellation from the controller that confirmed it. All workers hang for `hang`
+/// learns of the cancellation from the controller that confirmed it. All workers hang for `hang_s`
 /// seconds from the confirmation on.
-void play_gap(unsigned seed, double confirm_after, PeerLinks links, double hang) {
+void cancel_while_leader_is_refused(unsigned seed, double cancel_after_s, PeerLinks links,
+                                    double hang_s) {
   World world(seed, 3 + seed % 2);
   world.cloud.capacity = 16;
   world.set_clock_rate(0, kSlowestClock);
@@ -29,41 +30,43 @@
   slow_all_worker_clocks(world);
   ASSERT_EQ(placed_tasks(world, "job-1"), 8U);
   const auto lead = leader_index(world);
-  const double at = world.loop.now();
+  const double refused_at = world.loop.now();
   if (links == PeerLinks::cut) world.network.cut_peer_links(lead);
   deny_state_store(world, lead);
-  world.run_until(at + confirm_after);
-  ASSERT_TRUE(world.cancel_at((lead + 1) % world.node_count(), "job-1")) << confirm_after;
-  const double confirmed = world.loop.now();
-  if (hang > 0) {
-    for (auto& [id, worker] : world.workers) worker->hang(hang);
+  world.run_until(refused_at + cancel_after_s);
+  ASSERT_TRUE(world.cancel_at((lead + 1) % world.node_count(), "job-1")) << cancel_after_s;
+  const double confirmed_at = world.loop.now();
+  if (hang_s > 0) {
+    for (auto& [id, worker] : world.workers) worker->hang(hang_s);
   }
-  world.run_until(at + 1.5);
+  world.run_until(refused_at + 1.5);
   world.stop_state_store();
-  const double gone_by = links == PeerLinks::connected && hang <= 0 ? 5 : world.settings.cancel_s;
-  world.run_until(confirmed + gone_by);
-  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U) << confirm_after;
-  world.run_until(at + 75);
+  const double stop_deadline_s =
+      links == PeerLinks::connected && hang_s <= 0 ? 5 : world.settings.cancel_s;
+  world.run_until(confirmed_at + stop_deadline_s);
+  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U) << cancel_after_s;
+  world.run_until(refused_at + 75);
   world.restore_state_store();
   allow_state_store(world, lead);
   world.network.restore_peer_links(lead);
-  world.run_until(at + 130);
-  EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled) << confirm_after;
-  EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << confirm_after;
-  ASSERT_EQ(world.rules.first_violation(), "") << confirm_after;
+  world.run_until(refused_at + 130);
+  EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled) << cancel_after_s;
+  EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << cancel_after_s;
+  ASSERT_EQ(world.rules.first_violation(), "") << cancel_after_s;
 }
 
 /// Layer 1, the bound W: the leader hears of nothing.
-TEST(StaleLeader, ALeaderThatHearsNobodyStopsInTime) {
+TEST(StaleLeader, TasksEndByCancelDeadlineWithoutPeerLinks) {
   for (int step = 0; step < 12; ++step)
-    play_gap(1000 + static_cast<unsigned>(step), 0.005 + step * 0.1, PeerLinks::cut, 0);
+    cancel_while_leader_is_refused(1000 + static_cast<unsigned>(step), 0.005 + step * 0.1,
+                                   PeerLinks::cut, 0);
 }
 
 /// The bound at its edges: the refusal begins at every moment of a read index's
 /// second, the confirmation follows within milliseconds, and the clocks of the
 /// leader and of the machines are as slow as the protocol allows.
-TEST(StaleLeader, TheBoundHoldsToTheMoment) {
-  double longest = 0;
+TEST(StaleLeader, CancelDeadlineHoldsWithSlowestClocks) {
+  double longest_s = 0;
   for (int step = 0; step < 50; ++step) {
     World world(1050 + static_cast<unsigned>(step) % 3);
     for (std::size_t i = 0; i < 3; ++i) world.set_clock_rate(i, kSlowestClock);
@@ -78,57 +81,60 @@
     deny_state_store(world, lead);
     world.run_for(0.001);
     ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-1", 0.02));
-    const double confirmed = world.loop.now();
+    const double confirmed_at = world.loop.now();
     world.stop_state_store();
-    while (world.rules.tasks_on_machines("job-1") > 0 && world.loop.now() < confirmed + 60)
+    while (world.rules.tasks_on_machines("job-1") > 0 && world.loop.now() < confirmed_at + 60)
       world.run_for(0.01);
-    longest = std::max(longest, world.loop.now() - confirmed);
+    longest_s = std::max(longest_s, world.loop.now() - confirmed_at);
     ASSERT_EQ(world.rules.first_violation(), "") << step;
   }
   // No wider than it needs to be: tasks outlive as long an outage as they may.
-  EXPECT_GT(longest, 40 - constants::kLeaderLeaseMargin - 1);
-  EXPECT_LE(longest, 40);
+  EXPECT_GT(longest_s, 40 - constants::kLeaderLeaseMargin - 1);
+  EXPECT_LE(longest_s, 40);
 }
 
 /// Layer 3: told by the controller that confirmed, it ends them at once.
-TEST(StaleLeader, ALeaderThatIsToldEndsThemAtOnce) {
+TEST(StaleLeader, NotifiedLeaderStopsTasksImmediately) {
   for (int step = 0; step < 12; ++step)
-    play_gap(1100 + static_cast<unsigned>(step), 0.005 + step * 0.1, PeerLinks::connected, 0);
+    cancel_while_leader_is_refused(1100 + static_cast<unsigned>(step), 0.005 + step * 0.1,
+                                   PeerLinks::connected, 0);
 }
 
 /// Machines hang from the moment of the confirmation and go on later.
-TEST(StaleLeader, MachinesThatHangMeanwhileEndThemToo) {
-  for (int hang = 1; hang < 10; ++hang) {
-    play_gap(1200 + static_cast<unsigned>(hang), 0.3, PeerLinks::connected, hang);
-    play_gap(1220 + static_cast<unsigned>(hang), 0.3, PeerLinks::cut, hang);
+TEST(StaleLeader, TasksOnHungMachinesEndByCancelDeadline) {
+  for (int hang_s = 1; hang_s < 10; ++hang_s) {
+    cancel_while_leader_is_refused(1200 + static_cast<unsigned>(hang_s), 0.3, PeerLinks::connected,
+                                   hang_s);
+    cancel_while_leader_is_refused(1220 + static_cast<unsigned>(hang_s), 0.3, PeerLinks::cut,
+                                   hang_s);
   }
 }
 
 /// The leader stands still in the gap and wakes with what it knew before.
-TEST(StaleLeader, ALeaderThatStoodStillMeanwhileRenewsNothing) {
-  for (int length = 2; length < 50; length += 4) {
-    World world(1300 + static_cast<unsigned>(length));
+TEST(StaleLeader, FrozenLeaderRenewsNoWorkerLease) {
+  for (int freeze_s = 2; freeze_s < 50; freeze_s += 4) {
+    World world(1300 + static_cast<unsigned>(freeze_s));
     world.submit(array(1, 8, 3000));
     world.run_until(50);
     const auto lead = leader_index(world);
     deny_state_store(world, lead);
     world.run_until(50.4);
     ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-1"));
-    world.freeze(lead, length);
+    world.freeze(lead, freeze_s);
     world.run_until(51);
     world.stop_state_store();
     world.run_until(120);
     world.restore_state_store();
     allow_state_store(world, lead);
     world.run_until(170);
-    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled) << length;
-    ASSERT_EQ(world.rules.first_violation(), "") << length;
+    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled) << freeze_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << freeze_s;
   }
 }
 
 /// Layer 2: while direct commands hang, one command RPC after the other, no answer
 /// renews a lease without ending the cancelled tasks that it would keep alive.
-TEST(StaleLeader, AnAnswerBesideCommandsThatHangEndsCancelledTasks) {
+TEST(StaleLeader, HeartbeatReplyStopsCancelledTasksDuringCommandRpc) {
   World world(1400);
   world.submit(array(1, 4, 3000));
   world.run_until(45);
@@ -144,16 +150,16 @@
                                 leader.token() + machine->fence);
   show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
   ASSERT_FALSE(heartbeat.tasks.empty());
-  for (const int older : {0, 1}) {  // as news, and crossing the reply to a command RPC
-    heartbeat.sequence -= static_cast<std::uint64_t>(older);
+  for (const int sequence_step : {0, 1}) {  // as news, and crossing the reply to a command RPC
+    heartbeat.sequence -= static_cast<std::uint64_t>(sequence_step);
     machine->rpc_completed_at = world.loop.now();
     const auto response =
         world.response_of(leader_index(world), heartbeat_request(heartbeat), 0.05);
     ASSERT_TRUE(response);
     ASSERT_EQ(response->status, 200);
     const auto commands = commands_in(*response);
-    EXPECT_EQ(commands.size(), heartbeat.tasks.size()) << older;
-    for (const auto& command : commands) EXPECT_EQ(command.verb, wire::Verb::stop) << older;
+    EXPECT_EQ(commands.size(), heartbeat.tasks.size()) << sequence_step;
+    for (const auto& command : commands) EXPECT_EQ(command.verb, wire::Verb::stop) << sequence_step;
   }
   world.network.command_rpcs_blocked = false;
   world.run_for(30);
@@ -163,7 +169,7 @@
 
 /// The state store refuses the leader alone, which hears nobody: what somebody
 /// has just cancelled through another controller is not started any more.
-TEST(StaleLeader, NothingIsStartedOnKnowledgeThatMayBeOutOfDate) {
+TEST(StaleLeader, NoTaskStartsOnOutdatedRecords) {
   World world(1410);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 8));
@@ -179,7 +185,7 @@
   deny_state_store(world, lead);
   world.network.cut_peer_links(lead);
   const auto* machine = machine_of(world, *worker);
-  const auto starts_told = [&] {
+  const auto run_commands_received = [&] {
     auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
                                   machine->fence + world.node(lead)->leader()->token());
     const auto response = world.response_of(lead, heartbeat_request(heartbeat), 0.05);
@@ -189,16 +195,16 @@
         std::count_if(commands.begin(), commands.end(),
                       [](const auto& command) { return command.verb == wire::Verb::run; }));
   };
-  EXPECT_GT(starts_told(), 0) << "just proved";
+  EXPECT_GT(run_commands_received(), 0) << "just proved";
   ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-2"));
   world.stop_state_store();
   world.run_for(5);
-  EXPECT_EQ(starts_told(), 0) << "its lease is renewed, but nothing starts";
+  EXPECT_EQ(run_commands_received(), 0) << "its lease is renewed, but nothing starts";
 }
 
 /// In an outage that all see nobody confirms anything, so work that is recorded
 /// goes on to start.
-TEST(StaleLeader, AnOutageThatAllSeeDoesNotStopStarts) {
+TEST(StaleLeader, RecordedTasksStartDuringOutageForAllNodes) {
   World world(1420);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 8));
--- a/tests/state_store_outage_test.cpp
+++ b/tests/state_store_outage_test.cpp
@@ -11,7 +11,7 @@
 
 /// Safety rule 5: without the state store heartbeats are answered only for as
 /// long as an unheard cancellation can still be honoured.
-TEST(Authority, EndsInTimeDuringALongOutage) {
+TEST(StateStoreOutage, LeaderStepsDownWhenItsLeaseEnds) {
   World world(11);
   world.submit(service(1, 2));
   world.run_until(40);
@@ -27,7 +27,7 @@
   expect_starts_without_violations(world);
 }
 
-TEST(StateOutage, PollsGetNoGuesses) {
+TEST(StateStoreOutage, PollsGetStatus503) {
   World world(17);
   world.submit(array(1, 1, 300));
   world.run_until(30);
@@ -41,7 +41,7 @@
   world.run_until(40);
 }
 
-TEST(History, FinalStatesAreReadWhenAsked) {
+TEST(FinalStates, AreReadFromStateStoreOnRequest) {
   World world(18);
   world.submit(array(1, 1, 1));
   world.run_until(60);
--- a/tests/zone_cut_test.cpp
+++ b/tests/zone_cut_test.cpp
@@ -35,12 +35,12 @@
   World world(45, 4);
   start_in_both_zones(world);
   const auto starts = world.rules.starts();
-  const double at = world.loop.now();
+  const double cut_at = world.loop.now();
   world.cut_zone("south");
-  world.run_until(at + 30);  // W is 28.5 s, the lease 10 s
+  world.run_until(cut_at + 30);  // W is 28.5 s, the lease 10 s
   EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << "not given up";
   world.restore_zone("south");
-  world.run_until(at + 60);
+  world.run_until(cut_at + 60);
   EXPECT_EQ(placed_tasks(world, "job-2"), 4U);
   EXPECT_EQ(world.rules.starts(), starts) << "nothing had to be started again";
   expect_no_violations(world);
@@ -48,7 +48,7 @@
 
 /// The only controller of its zone can't tell whether the zone is cut off or
 /// only itself: a worker that was sent away and is back found no other.
-TEST(ZoneCut, ALoneControllerAnswersWhoComesBack) {
+TEST(ZoneCut, OnlyControllerOfZoneRepliesToReturningWorker) {
   World world(47);
   start_in_south(world);
   auto* worker = worker_of(world, "job-1");
@@ -57,44 +57,44 @@
   worker->cut = true;  // we speak for it
   world.cut_zone("south");
   world.run_for(5);
-  const auto ask = [&](double patience) {
-    const auto response = world.response_of(1, heartbeat_request(heartbeat), patience);
+  const auto status_within = [&](double wait_s) {
+    const auto response = world.response_of(1, heartbeat_request(heartbeat), wait_s);
     return response ? response->status : 0;
   };
-  EXPECT_EQ(ask(4), 503);
-  EXPECT_EQ(ask(0.1), 200);
+  EXPECT_EQ(status_within(4), 503);
+  EXPECT_EQ(status_within(0.1), 200);
   world.run_for(25);
-  EXPECT_NE(ask(4), 200) << "its authority is over";
+  EXPECT_NE(status_within(4), 200) << "its authority is over";
   expect_no_violations(world);
 }
 
 /// A longer one ends them; they are started again only when that is certain,
 /// whenever the cut ends, and whatever the machines and the controllers inside
 /// did meanwhile.
-TEST(ZoneCut, WhatIsGivenUpRunsNowhere) {
-  for (int length = 24; length < 90; length += 6) {
-    World world(700 + static_cast<unsigned>(length), 4);
+TEST(ZoneCut, TasksRestartOnlyAfterTheyEndedInTheZone) {
+  for (int cut_s = 24; cut_s < 90; cut_s += 6) {
+    World world(700 + static_cast<unsigned>(cut_s), 4);
     start_in_both_zones(world);
-    auto anywhere = array(3, 6, 3000);  // may run in either zone
-    world.submit(anywhere);
+    auto any_zone_job = array(3, 6, 3000);  // may run in either zone
+    world.submit(any_zone_job);
     world.run_for(30);
-    const double at = world.loop.now();
+    const double cut_at = world.loop.now();
     world.cut_zone("south");
-    world.run_until(at + 10);
-    if (length % 4 == 0) world.crash(1, 0.2);
-    if (length % 12 == 0) world.cancel("job-3");
-    world.run_until(at + length);
+    world.run_until(cut_at + 10);
+    if (cut_s % 4 == 0) world.crash(1, 0.2);
+    if (cut_s % 12 == 0) world.cancel("job-3");
+    world.run_until(cut_at + cut_s);
     world.restore_zone("south");
-    world.run_until(at + 130);
-    EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << length;
-    EXPECT_EQ(placed_tasks(world, "job-3"), length % 12 == 0 ? 0U : 6U) << length;
-    ASSERT_EQ(world.rules.first_violation(), "") << length;
+    world.run_until(cut_at + 130);
+    EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << cut_s;
+    EXPECT_EQ(placed_tasks(world, "job-3"), cut_s % 12 == 0 ? 0U : 6U) << cut_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << cut_s;
   }
 }
 
 /// Machines that died are given up at the end of their lease though all
 /// controllers of their zone are there to have answered them.
-TEST(ZoneCut, ADeadMachineWaitsForNoLeaderLease) {
+TEST(ZoneCut, DeadMachineIsGivenUpAfterItsWorkerLease) {
   World world(46, 4);
   start_in_both_zones(world);
   world.cloud.down = true;
@@ -107,7 +107,7 @@
 }
 
 /// The zone delegate: a cut between the zones, longer than a lease.
-TEST(CutZone, AZoneDelegateKeepsItsLeases) {
+TEST(ZonePartition, DelegateRenewsWorkerLeases) {
   World world(13);
   world.submit(service(1, 4));
   world.run_until(40);
@@ -123,7 +123,7 @@
 }
 
 /// A cancellation during the cut: the zone delegate stops its tasks.
-TEST(CutZone, AZoneDelegateHonoursCancellations) {
+TEST(ZonePartition, DelegateStopsCancelledTasks) {
   World world(14);
   world.submit(service(1, 4));
   world.run_until(40);
@@ -138,30 +138,30 @@
 
 /// With workers and a controller, for longer than a lease, while jobs that run
 /// there are cancelled outside: the zone can't hear of it.
-TEST(ZonePartition, WhatIsCancelledOutsideEndsInsideInTime) {
-  for (int length = 8; length < 80; length += 6) {
-    World world(2900 + static_cast<unsigned>(length), 4);
+TEST(ZoneCut, TasksCancelledOutsideEndByCancelDeadline) {
+  for (int cut_s = 8; cut_s < 80; cut_s += 6) {
+    World world(2900 + static_cast<unsigned>(cut_s), 4);
     world.cloud.capacity = 30;
     world.submit(array_in("south", 1, 4, 3000));
     world.submit(array_in("north", 2, 4, 3000));
     world.run_until(45);
-    if (length % 4 == 0) move_leadership_to_north(world);
-    const double at = world.loop.now();
+    if (cut_s % 4 == 0) move_leadership_to_north(world);
+    const double cut_at = world.loop.now();
     world.cut_zone("south");
-    world.run_until(at + 1 + length % 5);
+    world.run_until(cut_at + 1 + cut_s % 5);
     ASSERT_TRUE(world.cancel_at(0, "job-1", 5) || world.cancel_at(2, "job-1", 5));
-    world.run_until(at + length);
+    world.run_until(cut_at + cut_s);
     world.restore_zone("south");
-    world.run_until(at + 150);
-    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled) << length;
-    EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << length;
-    ASSERT_EQ(world.rules.first_violation(), "") << length;
+    world.run_until(cut_at + 150);
+    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::cancelled) << cut_s;
+    EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << cut_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << cut_s;
   }
 }
 
 /// The transaction of a delegation that was given up is applied after the next one's:
 /// it must not hang the record on a lease that nobody renews.
-TEST(ZonePartition, ADelegationWrittenLateDoesNotReplaceTheNext) {
+TEST(ZonePartition, DelayedDelegationDoesNotReplaceNewerOne) {
   World world(2990);
   start_in_south(world);
   const auto* worker = worker_of(world, "job-1");
