--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Cancellations at each moment, and the end of jobs (safety rules 4 and 8).
+/// Cancellations at every stage of a job, and the end of jobs (safety rules 4 and 8).
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,8 +9,8 @@
 
 using wire::JobState;
 
-/// Safety rule 8: at whatever moment a cancellation comes, with starts planned,
-/// recorded, in flight or seen, the job ends cancelled and nothing of it stays.
+/// Safety rule 8: whether starts are planned, recorded, in flight or acknowledged when a job is
+/// cancelled, the job ends as cancelled and none of its tasks remains.
 TEST(Cancellation, EndsJobAtAnyStageOfItsStart) {
   for (int step = 0; step < 24; ++step) {
     World world(100 + static_cast<unsigned>(step));
@@ -23,8 +23,8 @@
   }
 }
 
-/// Several jobs at once through all controllers, in the very moment in which the
-/// leader is refused, and a second later nobody is served.
+/// Several jobs are cancelled through all controllers while the state store begins to refuse the
+/// leader; within a second the state store is down for all controllers.
 TEST(Cancellation, EndsJobsWhenStateStoreRefusesLeader) {
   for (int step = 0; step < 20; ++step) {
     World world(2000 + static_cast<unsigned>(step), 3 + static_cast<std::size_t>(step) % 2);
@@ -55,8 +55,8 @@
   }
 }
 
-/// A cancellation, a question and a repeated submission meet it, on all nodes
-/// and with no other fault: the first answer binds every node for ever.
+/// A cancellation, polls and repeated submissions reach all nodes at about the time at which the
+/// job completes, without any fault. Once a final state is reported, every node must report it.
 TEST(JobCompletion, FirstReportedFinalStateHoldsOnAllNodes) {
   std::size_t done = 0;
   std::size_t cancelled = 0;
@@ -64,7 +64,7 @@
     World world(3000 + static_cast<unsigned>(step) / 20);
     const auto job = array(1, 1, 3);
     world.submit(job);
-    // Just about when its end is reported, committed and told.
+    // Until the task completes; its end is then reported by a heartbeat, committed and announced.
     while (world.rules.completed_tasks("job-1") == 0 && world.loop.now() < 60)
       world.run_for(0.0005);
     ASSERT_LT(world.loop.now(), 60);
@@ -86,11 +86,11 @@
   }
   EXPECT_EQ(done + cancelled, 60U);
   EXPECT_GT(done, 0U);
-  EXPECT_GT(cancelled, 0U) << "the moments lie on both sides";
+  EXPECT_GT(cancelled, 0U) << "no cancellation came before the end of the job";
 }
 
-/// Rule 4: what a heartbeat says is recorded before the worker is told to forget
-/// it, also while the state store is away.
+/// Safety rule 4: the end of a task is recorded before the worker is told to clear the task, also
+/// during an outage of the state store.
 TEST(JobCompletion, IsRecordedBeforeWorkerClearsTask) {
   World world(3050);
   world.submit(array(1, 1, 3000));
@@ -101,7 +101,7 @@
   auto& leader = leader_of(world);
   auto* machine = machine_of(world, *worker);
   const auto* task = *machine->tasks.begin();
-  worker->cut = true;  // we speak for it
+  worker->cut = true;  // the test sends its heartbeats
   world.run_for(5);
   auto heartbeat =
       heartbeat_of(*worker, machine->epoch, machine->sequence, leader.token() + machine->fence);
@@ -117,7 +117,7 @@
   world.stop_state_store();
   EXPECT_EQ(commands_received(), 0);
   world.run_for(2);
-  EXPECT_EQ(commands_received(), 0) << "not recorded yet";
+  EXPECT_EQ(commands_received(), 0) << "cleared before the end was recorded";
   world.restore_state_store();
   world.run_for(3);
   EXPECT_EQ(commands_received(), 1);
--- a/tests/command_rpc_test.cpp
+++ b/tests/command_rpc_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Commands that go straight to the workers (safety rules 2 and 4).
+/// Commands sent to workers by RPC, without waiting for a heartbeat (safety rules 2 and 4).
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,7 +9,7 @@
 
 using wire::JobState;
 
-/// Heartbeats are 10 s apart on large sites: a start must not wait for one.
+/// Heartbeats are 10 s apart in large deployments; a start must not wait for the next one.
 TEST(CommandRpc, StartsDoNotWaitForAHeartbeat) {
   World world(31);
   world.settings.heartbeat_interval_s = 6;  // of the workers
@@ -21,18 +21,20 @@
   const auto starts_before = world.rules.starts();
   world.submit(second);
   world.run_until(61.2);
-  EXPECT_EQ(world.rules.starts(), starts_before + 1) << "there was room, and a second is enough";
+  EXPECT_EQ(world.rules.starts(), starts_before + 1)
+      << "not started within 1.2 s despite free capacity";
   expect_no_violations(world);
 }
 
-/// A command RPC without an answer may be carried out much later: until the
-/// machine has shown a higher token its task is given to nobody else.
+/// A command RPC without a response may be carried out much later. Until the machine has shown a
+/// higher token, its task must not be assigned to another machine.
 TEST(CommandRpc, ALostCommandRpcIsFenced) {
   for (unsigned seed = 1; seed <= 30; ++seed) {
     World world(400 + seed);
     world.submit(array(1, 4, 15));
     world.run_until(20);
-    // All that is sent now is held on the way, or lost, or answered in vain.
+    // From here on heartbeats get no response, and command RPCs are lost or carried out up to a
+    // minute later.
     drop_responses_to_all_workers(world);
     world.submit(array(2, 6, 15));
     world.run_until(24);
@@ -45,6 +47,7 @@
   }
 }
 
+/// If no command RPC succeeds, commands are sent in heartbeat replies.
 TEST(CommandRpc, HeartbeatRepliesCarryCommandsWhenRpcsAreBlocked) {
   World world(32);
   world.network.command_rpcs_blocked = true;
@@ -54,8 +57,7 @@
   expect_no_violations(world);
 }
 
-/// A command RPC that arrives after the attempt was cleared must not revive
-/// it, nor one after the cancellation.
+/// A command RPC that arrives after its attempt was cleared must not start the attempt again.
 TEST(CommandRpc, DelayedRpcDoesNotRestartClearedAttempt) {
   World world(33);
   world.cloud.capacity = 1;
@@ -69,12 +71,12 @@
   const auto epoch = machine->epoch;
   const auto* task = *machine->tasks.begin();
   const wire::WorkerCommand command{wire::Verb::run, "job-1", task->index, task->attempt(), 0};
-  // The next command RPC is carried out, but nobody hears of it.
+  // The next command RPC is carried out, but its reply is lost.
   world.network.command_replies_lost = true;
   world.submit(array(2, 1, 5));
   world.run_until(26);
   world.network.command_replies_lost = false;
-  EXPECT_GT(leader_of(world).token() + machine->fence, token) << "the fence was raised";
+  EXPECT_GT(leader_of(world).token() + machine->fence, token) << "the fence was not raised";
   world.run_until(50);
   poll_jobs(world, {"job-1", "job-2"}, 2);
   ASSERT_EQ(world.last_reported_state("job-1"), JobState::done);
--- a/tests/delayed_messages_test.cpp
+++ b/tests/delayed_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Heartbeats, commits and commands that arrive late, or twice.
+/// Heartbeats, commits and commands that arrive late or twice.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,7 +9,7 @@
 
 using wire::JobState;
 
-/// Across epochs, takeovers and a machine's return: they change nothing.
+/// Half of the heartbeats arrive a second time, seconds later and across takeovers.
 TEST(DelayedHeartbeats, DuplicatesChangeNothing) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     World world(500 + seed);
@@ -29,8 +29,8 @@
   }
 }
 
-/// Safety rules 3 and 6: late heartbeats from former epochs, which a new leader
-/// gets before it is in touch with the machine, prove nothing.
+/// Safety rules 3 and 6: a new leader receives delayed heartbeats of earlier epochs before any
+/// current one of the machine. They do not show that tasks have ended.
 TEST(DelayedHeartbeats, EarlierEpochsDoNotFreeTasks) {
   World world(20, 1);
   world.submit(service(1, 2));
@@ -55,9 +55,9 @@
   expect_starts_without_violations(world);
 }
 
-/// Until a new leader has acted, or from seconds to well over a lease: the first
-/// word that a leader hears of a machine may be one of an earlier epoch, or of
-/// an earlier attempt.
+/// Copies of heartbeats are delayed by seconds to well over a worker lease, across takeovers. The
+/// first heartbeat that a new leader receives from a machine may thus be of an earlier epoch or
+/// list earlier attempts.
 TEST(DelayedHeartbeats, EarlierAttemptsDoNotAffectCurrentTasks) {
   for (int delay_s = 2; delay_s < 40; delay_s += 4) {
     World world(2600 + static_cast<unsigned>(delay_s));
@@ -70,7 +70,7 @@
       worker->duplicate_delay_s = delay_s;
     }
     world.run_until(30);
-    // Some lose their lease, and their tasks start in a later epoch.
+    // Some workers lose their lease, and their tasks start again in a later epoch.
     for (auto& [id, worker] : world.workers) worker->cut = world.random() < 0.4;
     world.run_until(43);
     reconnect_all_workers(world);
@@ -85,7 +85,7 @@
   }
 }
 
-/// Without an answer, and after newer ones of the same controller.
+/// Commits get no response and are applied after newer ones of the same controller.
 TEST(DelayedCommits, DoNotOverwriteNewerCommits) {
   for (unsigned seed = 1; seed <= 16; ++seed) {
     World world(1800 + seed);
@@ -110,16 +110,15 @@
   }
 }
 
-/// The transaction of a candidacy that was given up is applied after all, while
-/// the next one's lease is there already: the leader renews the lease that its
-/// record hangs on, and stays.
+/// The transaction of an abandoned candidacy is applied after all, when the next candidacy already
+/// has a lease. The leader must renew the lease to which its record is attached, and stay leader.
 TEST(DelayedCommits, LeaderRenewsLeaseOfItsDelayedCandidacy) {
   std::size_t late_wins = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     World world(1850 + seed);
     world.run_until(5);
-    // All stand anew, and their transactions are applied after they were given
-    // up, a little before the leases end that they hang on.
+    // All nodes start a candidacy. Its transaction is applied after the node has abandoned it, and
+    // shortly before the lease ends to which it attaches the record.
     crash_all_nodes(world, 0.01);
     world.run_until(5.02);
     for (std::size_t i = 0; i < 3; ++i) world.store(i).faults = {false, 0, 0, 1, 1.9 + 0.04 * seed};
@@ -135,8 +134,8 @@
   EXPECT_GT(late_wins, 0U);
 }
 
-/// The leadership was won, but the winner's watch tells it only when the lease
-/// has run out: it may stand again, or in the end nobody does.
+/// The winner of an election learns of it from its watch only after its lease has ended. It must be
+/// able to start another candidacy, or no leader is ever elected.
 TEST(DelayedCommits, ElectionRepeatsIfWinnerLearnsOfItTooLate) {
   World world(1890);
   world.run_until(5);
@@ -153,11 +152,12 @@
   };
   crash_all_nodes(world, 0.01);
   world.run_until(45);
-  EXPECT_GE(winners.size(), 2U) << "they were elected and did not hear of it";
+  EXPECT_GE(winners.size(), 2U) << "no second node was elected";
   ASSERT_NE(world.leader(), nullptr);
 }
 
-/// Commands are carried out seconds later, and the machine then goes on.
+/// Commands are delayed by seconds, and some machines then hang and resume. A delayed command must
+/// be rejected, or its task end within `cancel_s`.
 TEST(DelayedCommands, AreRejectedOrEndByCancelDeadline) {
   for (int delay_s = 1; delay_s < 60; delay_s += 5) {
     World world(1500 + static_cast<unsigned>(delay_s));
@@ -180,24 +180,25 @@
   }
 }
 
-/// A `run` is held on its way while a zone delegate keeps the machine's lease: when
-/// it arrives the job was cancelled longer than `cancel_s` ago.
+/// A `run` command is delayed in the network while a zone delegate could renew the machine's lease.
+/// When it arrives, the job was cancelled more than `cancel_s` ago, so the machine's epoch must
+/// have ended.
 TEST(DelayedCommands, DelegateRenewsNoLeaseWhileCancelledRunMayBeInFlight) {
   World world(1560);
   world.cloud.capacity = 20;
-  world.submit(array_in("south", 1, 3, 3000));  // leaves room on a machine
+  world.submit(array_in("south", 1, 3, 3000));  // leaves room on one machine
   world.run_until(45);
   move_leadership_to_north(world);
   ASSERT_EQ(placed_tasks(world, "job-1"), 3U);
   world.network.command_delay_s = 70;
   auto delayed_job = array_in("south", 2, 1, 3000);
-  delayed_job.image_gb = 0;  // runs as soon as it is told to
+  delayed_job.image_gb = 0;  // runs as soon as the command arrives
   world.submit(delayed_job);
   for (int i = 0; i < 200 && placed_tasks(world, "job-2") == 0; ++i) world.run_for(0.02);
-  world.run_for(0.4);  // the command RPC is under way
+  world.run_for(0.4);  // the command RPC is in flight
   world.network.partition_zones();
   world.run_for(8);
-  ASSERT_FALSE(world.node(1)->mirror().delegations().empty()) << "the south has a delegate";
+  ASSERT_FALSE(world.node(1)->mirror().delegations().empty()) << "the south has no delegate";
   world.cancel("job-2");
   world.run_for(70);
   world.network.heal_partition();
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Changes of the leader, and what the next one knows (safety rules 1, 2, 5 and 10).
+/// Changes of the leader, and what the next leader reads from the records (safety rules 1, 2, 5 and
+/// 10).
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,7 +10,7 @@
 
 using wire::JobState;
 
-/// Safety rule 1: a new leader knows from the records where tasks can be.
+/// Safety rule 1: a new leader reads from the records on which machines tasks may be.
 TEST(Takeover, TasksContinueUnderNextLeader) {
   World world(8);
   world.submit(service(1, 4));
@@ -28,7 +29,8 @@
   expect_starts_without_violations(world);
 }
 
-/// Safety rule 10: restarts may be instant.
+/// Safety rule 10: a leader that restarts within 0.2 s wins the next term, without waiting for the
+/// state lease of its previous incarnation to end.
 TEST(Takeover, RestartedNodeReplacesItsPreviousIncarnation) {
   World world(9, 1);
   world.submit(service(1, 2));
@@ -36,7 +38,7 @@
   ASSERT_EQ(running_tasks(world, "job-1"), 2U);
   const auto term = leader_of(world).term();
   world.crash(0, 0.2);
-  world.run_until(42);  // the old state lease would still live
+  world.run_until(42);  // the old state lease has not ended yet
   ASSERT_NE(world.leader(), nullptr);
   EXPECT_EQ(leader_of(world).term(), term + 1);
   world.run_until(60);
@@ -44,7 +46,8 @@
   expect_starts_without_violations(world);
 }
 
-/// Safety rules 2 and 5: told of a higher term, a leader stops at once.
+/// Safety rules 2 and 5: a leader that the state store refuses steps down as soon as it learns of a
+/// higher term.
 TEST(Takeover, LeaderWithoutStateStoreStepsDownOnHigherTerm) {
   World world(10);
   world.submit(service(1, 4));
@@ -59,8 +62,8 @@
   expect_starts_without_violations(world);
 }
 
-/// Two or three tasks that end far apart: what ended before the takeover is done
-/// for ever, and none of it runs again.
+/// Jobs of two or three tasks, with takeovers between the ends of the jobs: tasks that completed
+/// before a takeover stay completed and do not run again.
 TEST(Takeover, CompletedTasksDoNotRunAgainAfterSuccessiveTakeovers) {
   for (int step = 0; step < 16; ++step) {
     World world(2400 + static_cast<unsigned>(step));
@@ -78,8 +81,8 @@
   }
 }
 
-/// Also inside an outage. Each takeover begins its wait for silent machines
-/// anew: after the last one nothing waits longer than 90 s.
+/// Some of the takeovers fall into an outage of the state store. Each one restarts the wait for
+/// silent machines; 90 s after the last one no task may be waiting.
 TEST(Takeover, TasksRecoverAfterTenTakeoversInTwoMinutes) {
   for (unsigned seed = 1; seed <= 8; ++seed) {
     World world(2500 + seed);
@@ -111,8 +114,8 @@
   }
 }
 
-/// A leader ends while machines with long tasks can't be reached, or don't hear
-/// the new leader's answer.
+/// The leader crashes while some machines with long tasks are unreachable, or don't receive the new
+/// leader's responses.
 TEST(Takeover, TasksRecoverOnMachinesUnreachableByNextLeader) {
   for (int outage_s = 4; outage_s < 70; outage_s += 6) {
     World world(2700 + static_cast<unsigned>(outage_s));
--- a/tests/frozen_controller_test.cpp
+++ b/tests/frozen_controller_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Controllers that stand still while their clocks run on.
+/// Controllers whose process is frozen while their clocks continue.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,8 +9,8 @@
 
 using wire::JobState;
 
-/// Leader, zone delegate and follower stand still for longer than each of their
-/// leases while their clocks run on, and wake with old thoughts.
+/// The leader, a zone delegate or a follower freezes, for up to longer than its leases, and resumes
+/// with outdated state and work in progress.
 TEST(FrozenController, DoesNotActOnResumeAfterItsLeaseEnded) {
   for (int freeze_s = 2; freeze_s < 60; freeze_s += 4) {
     for (std::size_t role = 0; role < 3; ++role) {
@@ -21,12 +21,12 @@
       world.run_until(25);
       const auto lead = leader_index(world);
       const auto node = role == 0 ? lead : 1;
-      if (role == 1) {  // delegated of the south
+      if (role == 1) {  // becomes the zone delegate of the south
         world.network.cut_peer_links(1);
         world.run_until(32);
       }
       world.submit(array(3, 6, 10));
-      world.run_for(0.03);  // some of it is under way
+      world.run_for(0.03);  // the submission is being processed
       world.freeze(node, freeze_s);
       world.run_for(1);
       world.cancel("job-2");
@@ -42,8 +42,8 @@
   }
 }
 
-/// A poll that was under way when its node stood still is not answered on
-/// waking with what was true before.
+/// A poll that was in progress when its node froze must not be answered with the state from before
+/// the freeze.
 TEST(FrozenController, DoesNotReportOutdatedStateOnResume) {
   World world(48);
   world.submit(array(1, 1, 3));
@@ -58,7 +58,8 @@
     world.run_for(25);
     ASSERT_TRUE(response) << delay;
     if (answered_before || response->status != 200) continue;
-    EXPECT_EQ(job_state_in(*response), JobState::done) << delay << ": it was over long ago";
+    EXPECT_EQ(job_state_in(*response), JobState::done)
+        << delay << ": the job was done during the freeze";
   }
   expect_no_violations(world);
 }
--- a/tests/isolated_controller_test.cpp
+++ b/tests/isolated_controller_test.cpp
@@ -10,8 +10,8 @@
 
 using wire::JobState;
 
-/// Without the state store and the other controllers, but with its workers:
-/// first the leader, then a follower.
+/// A controller, first the leader and then a follower, reaches its workers, but neither the state
+/// store nor the other controllers. A job is cancelled meanwhile.
 TEST(IsolatedController, WorkersAreTakenOverByCancelDeadline) {
   for (const bool isolate_leader : {true, false}) {
     World world(36);
@@ -43,6 +43,7 @@
   }
 }
 
+/// Workers can't reach the leader; the other controllers forward their heartbeats to it.
 TEST(IsolatedController, HeartbeatsAreForwardedToLeaderCutFromWorkers) {
   World world(15);
   world.submit(service(1, 2));
@@ -55,10 +56,10 @@
   expect_starts_without_violations(world);
 }
 
-/// Cut from the state store and from the other controllers while workers and
-/// users still reach it; jobs are cancelled through the new one. A worker that
-/// has heard of the new term drops the former leader's answers, and must not be
-/// kept there while its lease runs out.
+/// The leader is cut off from the state store and the other controllers while workers and users
+/// still reach it, and a job is cancelled through another controller. A worker that has seen the
+/// new term drops the former leader's responses, so the former leader must not keep it until its
+/// lease ends.
 TEST(IsolatedController, FormerLeaderReleasesWorkersThatSawNewTerm) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     World world(2300 + seed);
@@ -77,7 +78,7 @@
     world.run_until(100);
     EXPECT_EQ(world.rules.tasks_on_machines("job-2"), 0U);
     EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 8U);
-    EXPECT_EQ(world.rules.starts(), starts) << seed << ": no lease ran out at the former leader's";
+    EXPECT_EQ(world.rules.starts(), starts) << seed << ": a lease ended at the former leader";
     allow_state_store(world, isolated);
     world.network.restore_peer_links(isolated);
     world.run_until(120);
@@ -86,8 +87,8 @@
   }
 }
 
-/// The same for a controller that is its zone's delegate without a record: it has heard of the next
-/// leader, but its mirror is that of the former term.
+/// A controller of a cut-off zone acts as delegate without a record. If it has seen a newer term
+/// while its mirror is of the former one, it must not reply to heartbeats.
 TEST(IsolatedController, NoDelegateRepliesUnderSupersededTerm) {
   for (const bool newer_term : {false, true}) {
     World world(2390);
@@ -97,7 +98,7 @@
     move_leadership_to_north(world);
     const auto* worker = worker_of(world, "job-1");
     ASSERT_NE(worker, nullptr);
-    cut_all_workers(world);  // we speak for them
+    cut_all_workers(world);  // the test sends their heartbeats
     const auto term = leader_of(world).term() + (newer_term ? 1 : 0);
     world.cut_zone("south");
     world.node(1)->on_message(peer::Heartbeat{"node-0", term, "node-0", true, true, 0, 1e9});
@@ -110,7 +111,7 @@
     };
     EXPECT_NE(status_within(4), 200);
     EXPECT_EQ(status_within(0.5) == 200, !newer_term)
-        << "who comes back is answered, but not in vain";
+        << "a returning worker gets a reply, unless it would drop it";
   }
 }
 
--- a/tests/production/adapter.cpp
+++ b/tests/production/adapter.cpp
@@ -5,6 +5,7 @@
 namespace elmstall::test {
 namespace {
 
+/// Outcomes pass between the versions as the numbers of their enumerators.
 template <typename Outcome>
 int number_of(Outcome outcome) {
   return static_cast<int>(outcome);
@@ -144,7 +145,7 @@
 }
 
 void connect_transport(production::Ports& ports, peer::Transport& transport) {
-  // Through this version's reader, which must read all that the other sends.
+  // Decoded here because this version must be able to read all messages of the production version.
   ports.send = [&transport](const std::string& node, const std::string& bytes) {
     const auto message = peer::decode(bytes);
     if (node.empty()) {
@@ -156,6 +157,7 @@
   ports.flush = [&transport] { transport.flush(); };
 }
 
+/// A controller of the production version behind the interface of `OtherNode`.
 class ProductionNode : public OtherNode {
  public:
   explicit ProductionNode(const OtherNodePorts& ports)
--- a/tests/production/node.cpp
+++ b/tests/production/node.cpp
@@ -1,5 +1,7 @@
-// Compiled against the sources of the production version, whose namespace the
-// build renames; see tests/CMakeLists.txt.
+/// \file
+/// A controller of the production version behind the interface of `production::Node`. Compiled
+/// against the sources of that version, whose namespace the build renames; see
+/// tests/CMakeLists.txt.
 #include "engine/node.hpp"
 
 #include "support/production_node.hpp"
@@ -7,7 +9,7 @@
 namespace production {
 namespace {
 
-// The name that the build gives this namespace for these files alone.
+// The build replaces `elmstall` with the namespace of the production version, in these files only.
 namespace version = elmstall;
 namespace fleet = version::fleet;
 namespace ledger = version::ledger;
--- a/tests/production/upgrade_test.cpp
+++ b/tests/production/upgrade_test.cpp
@@ -1,5 +1,6 @@
-// The version in production beside this one: both serve, in any order of
-// restarts and leaders, on each other's records and messages.
+/// \file
+/// Upgrades from the version in production: controllers of both versions serve together, read each
+/// other's records and messages, and lead in any order.
 #include <gtest/gtest.h>
 
 #include "production/adapter.hpp"
@@ -9,6 +10,7 @@
 namespace elmstall::test {
 namespace {
 
+/// One random history per seed: a rolling upgrade of all controllers during faults.
 class Upgrade : public ::testing::TestWithParam<unsigned> {};
 
 TEST_P(Upgrade, RulesHoldWithFaultsDuringUpgrade) {
@@ -28,7 +30,7 @@
     world.run_until(t);
     const bool all_upgraded = next_node >= world.node_count();
     if (t < 180 && world.random() < 0.2) {
-      // Nothing new is asked of the service before all have this version.
+      // Gangs are submitted only after all controllers were upgraded to this version.
       const bool gang = all_upgraded && world.random() < 0.5;
       ++jobs;
       auto job = gang ? random_gang(world, jobs) : random_job(world, jobs);
@@ -62,15 +64,16 @@
   }
   expect_recovery(world, jobs, 255, fault_log);
   EXPECT_GT(other_version_led, 0U);
-  EXPECT_GT(this_version_led_during_upgrade + other_version_led, 20U) << "nobody led" << fault_log;
+  EXPECT_GT(this_version_led_during_upgrade + other_version_led, 20U)
+      << "no controller led for long enough" << fault_log;
   EXPECT_EQ(world.state.rejected_transactions, 0U) << fault_log;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, ::testing::Range(1U, last_seed(30) + 1));
-/// The same failure as 374 of FallingLimits.
+/// Seed 117 failed in the same way as seed 374 of FallingLimits.
 INSTANTIATE_TEST_SUITE_P(Found, Upgrade, ::testing::Values(117U));
 
-/// Tasks go on across each change of version, in both directions.
+/// Tasks continue when leadership changes from the production version to this one, and back.
 TEST(UpgradeStep, TasksContinueWhenLeaderVersionChanges) {
   World world(951, 3, std::nullopt, make_production_node);
   world.submit(array(1, 4, 400));
@@ -82,22 +85,23 @@
   world.upgrade(0);
   world.crash(0, 3);
   world.run_until(75);
-  // The old ones end in turn until the new one leads.
+  // The controllers of the production version crash in turn until the upgraded one leads.
   for (std::size_t turn = 0; turn < 8 && world.leader() == nullptr; ++turn) {
     world.crash(1 + turn % 2, 5);
     world.run_until(world.loop.now() + 15);
   }
   ASSERT_NE(world.leader(), nullptr);
   EXPECT_FALSE(world.other_version_leads());
-  // And back: one of the old ones is next.
+  // The upgraded one crashes, and one of the production version leads again.
   world.crash(0, 5);
   world.run_until(world.loop.now() + 20);
   EXPECT_TRUE(world.other_version_leads());
-  EXPECT_EQ(world.rules.starts(), starts) << "nothing was lost or started again";
+  EXPECT_EQ(world.rules.starts(), starts) << "a task was started again";
   EXPECT_EQ(world.rules.tasks_on_machines("job-1") + world.rules.tasks_on_machines("job-2"), 8U);
   expect_no_violations(world);
 }
 
+/// Jobs are cancelled through one upgraded controller and two of the production version.
 TEST(UpgradeStep, CancellationThroughEitherVersionEndsJob) {
   World world(952, 3, kLowerLimits, make_production_node);
   for (int i = 1; i <= 3; ++i) world.submit(array(i, 2, 400));
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Controllers that restart at once, or all together.
+/// Controllers that restart within a second, or all at the same time.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,7 +9,7 @@
 
 using wire::JobState;
 
-/// Back within a fraction of a second, between the steps of an election.
+/// Controllers crash at varying steps of an election and restart within 0.1 s.
 TEST(Restart, JobCompletesAfterCrashesDuringElection) {
   for (int step = 0; step < 20; ++step) {
     World world(600 + static_cast<unsigned>(step));
@@ -26,7 +26,7 @@
   }
 }
 
-/// For longer than a lease, with a cancellation before or after.
+/// All controllers are down, up to longer than a worker lease, with a cancellation before or after.
 TEST(Restart, OnlyUncancelledJobsContinueAfterAllControllersWereDown) {
   for (int downtime_s = 2; downtime_s < 40; downtime_s += 3) {
     World world(1900 + static_cast<unsigned>(downtime_s));
@@ -46,7 +46,8 @@
   }
 }
 
-/// Controllers hand over and back, all end, and one returns, within a second.
+/// The leader restarts, all controllers crash, and the former leader alone restarts and crashes
+/// once more, all within a few seconds. The others return after 20 s.
 TEST(Restart, SingleControllerContinuesAfterAllCrashed) {
   for (int step = 0; step < 16; ++step) {
     World world(2800 + static_cast<unsigned>(step));
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The checker of the Rules is shown to fail when a rule is broken on purpose.
+/// `RuleChecker` reports each kind of violation, and none for permitted events.
 #include "support/rules.hpp"
 
 #include <gtest/gtest.h>
@@ -18,11 +18,13 @@
     job_.cpus = job_.gpus = 1;
     job_.types = {"m12"};
   }
+  /// Replaces the checker by one that has recorded only the submission of this job.
   RuleChecker& new_checker(const wire::JobSpec& spec) {
     rules_ = std::make_unique<RuleChecker>(settings_);
     rules_->record_submitted(spec);
     return *rules_;
   }
+  /// Expects exactly one violation, of this rule.
   void expect_violation(const std::string& rule) {
     ASSERT_EQ(rules_->violations().size(), 1U) << rule;
     EXPECT_TRUE(rules_->violations()[0].starts_with(rule)) << rules_->violations()[0];
--- a/tests/stale_leader_test.cpp
+++ b/tests/stale_leader_test.cpp
@@ -13,11 +13,11 @@
 /// Whether the other controllers' messages reach the leader.
 enum class PeerLinks { cut, connected };
 
-/// The state store refuses the leader alone, another controller confirms a cancellation
-/// `cancel_after_s` seconds later, and then the state store is down for longer than `cancel_s`,
-/// while workers go on sending heartbeats to the leader. With its peer links connected the leader
+/// The state store refuses only the leader, another controller confirms a cancellation
+/// `cancel_after_s` later, and then the state store is down for longer than `cancel_s`, while the
+/// workers continue to send heartbeats to the leader. With its peer links connected, the leader
 /// learns of the cancellation from the controller that confirmed it. All workers hang for `hang_s`
-/// seconds from the confirmation on.
+/// from the confirmation on.
 void cancel_while_leader_is_refused(unsigned seed, double cancel_after_s, PeerLinks links,
                                     double hang_s) {
   World world(seed, 3 + seed % 2);
@@ -55,16 +55,17 @@
   ASSERT_EQ(world.rules.first_violation(), "") << cancel_after_s;
 }
 
-/// Layer 1, the bound W: the leader hears of nothing.
+/// The leader is not told of the cancellation. It replies to heartbeats only until its lease W
+/// ends, so the worker leases, and with them the tasks, end within `cancel_s`.
 TEST(StaleLeader, TasksEndByCancelDeadlineWithoutPeerLinks) {
   for (int step = 0; step < 12; ++step)
     cancel_while_leader_is_refused(1000 + static_cast<unsigned>(step), 0.005 + step * 0.1,
                                    PeerLinks::cut, 0);
 }
 
-/// The bound at its edges: the refusal begins at every moment of a read index's
-/// second, the confirmation follows within milliseconds, and the clocks of the
-/// leader and of the machines are as slow as the protocol allows.
+/// The worst case for `cancel_s`: the refusal begins at 50 points of the second between two read
+/// indexes, the cancellation is confirmed within milliseconds, and the clocks of the controllers
+/// and the workers are as slow as the protocol allows.
 TEST(StaleLeader, CancelDeadlineHoldsWithSlowestClocks) {
   double longest_s = 0;
   for (int step = 0; step < 50; ++step) {
@@ -88,19 +89,20 @@
     longest_s = std::max(longest_s, world.loop.now() - confirmed_at);
     ASSERT_EQ(world.rules.first_violation(), "") << step;
   }
-  // No wider than it needs to be: tasks outlive as long an outage as they may.
+  // The deadline is nearly used up, so leases do not end earlier in an outage than necessary.
   EXPECT_GT(longest_s, 40 - constants::kLeaderLeaseMargin - 1);
   EXPECT_LE(longest_s, 40);
 }
 
-/// Layer 3: told by the controller that confirmed, it ends them at once.
+/// The controller that confirmed the cancellation notifies the leader, which stops the tasks
+/// without waiting for a lease to end.
 TEST(StaleLeader, NotifiedLeaderStopsTasksImmediately) {
   for (int step = 0; step < 12; ++step)
     cancel_while_leader_is_refused(1100 + static_cast<unsigned>(step), 0.005 + step * 0.1,
                                    PeerLinks::connected, 0);
 }
 
-/// Machines hang from the moment of the confirmation and go on later.
+/// Machines hang from the confirmation on and resume 1 to 9 s later.
 TEST(StaleLeader, TasksOnHungMachinesEndByCancelDeadline) {
   for (int hang_s = 1; hang_s < 10; ++hang_s) {
     cancel_while_leader_is_refused(1200 + static_cast<unsigned>(hang_s), 0.3, PeerLinks::connected,
@@ -110,7 +112,8 @@
   }
 }
 
-/// The leader stands still in the gap and wakes with what it knew before.
+/// The leader freezes between the refusal and the outage and resumes with records that lack the
+/// cancellation.
 TEST(StaleLeader, FrozenLeaderRenewsNoWorkerLease) {
   for (int freeze_s = 2; freeze_s < 50; freeze_s += 4) {
     World world(1300 + static_cast<unsigned>(freeze_s));
@@ -132,25 +135,25 @@
   }
 }
 
-/// Layer 2: while direct commands hang, one command RPC after the other, no answer
-/// renews a lease without ending the cancelled tasks that it would keep alive.
+/// While command RPCs hang one after the other, a heartbeat reply that renews the worker's lease
+/// also has to stop the cancelled tasks, which the lease would keep alive.
 TEST(StaleLeader, HeartbeatReplyStopsCancelledTasksDuringCommandRpc) {
   World world(1400);
   world.submit(array(1, 4, 3000));
   world.run_until(45);
-  world.network.command_rpcs_blocked = true;  // each command RPC takes its 2 s and fails
+  world.network.command_rpcs_blocked = true;  // each command RPC fails after 2 s
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   auto& leader = leader_of(world);
   auto* machine = machine_of(world, *worker);
   ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1", 0.05));
   for (int i = 0; i < 40 && !machine->rpc_in_flight; ++i) world.run_for(0.01);
-  ASSERT_TRUE(machine->rpc_in_flight) << "commands are under way";
+  ASSERT_TRUE(machine->rpc_in_flight) << "no command RPC was sent";
   auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
                                 leader.token() + machine->fence);
   show_tasks(heartbeat, *machine, wire::TaskState::running, wire::EndCause::none);
   ASSERT_FALSE(heartbeat.tasks.empty());
-  for (const int sequence_step : {0, 1}) {  // as news, and crossing the reply to a command RPC
+  for (const int sequence_step : {0, 1}) {  // newer, then one that an RPC's reply overtook
     heartbeat.sequence -= static_cast<std::uint64_t>(sequence_step);
     machine->rpc_completed_at = world.loop.now();
     const auto response =
@@ -167,20 +170,20 @@
   expect_no_violations(world);
 }
 
-/// The state store refuses the leader alone, which hears nobody: what somebody
-/// has just cancelled through another controller is not started any more.
+/// The state store refuses only the leader, whose peer links are cut too. It must not start tasks
+/// of a job that was cancelled through another controller.
 TEST(StaleLeader, NoTaskStartsOnOutdatedRecords) {
   World world(1410);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 8));
   world.run_until(15);
-  world.network.command_rpcs_blocked = true;  // commands go with answers to heartbeats
+  world.network.command_rpcs_blocked = true;  // commands are sent in heartbeat replies
   world.submit(array(2, 8, 3000));
   while (placed_tasks(world, "job-2") == 0 && world.loop.now() < 60) world.run_for(0.05);
   auto* worker = worker_of(world, "job-2");
   ASSERT_NE(worker, nullptr);
-  cut_all_workers(world);  // we speak for them
-  world.run_for(3);        // recorded, and the direct way has failed
+  cut_all_workers(world);  // the test sends their heartbeats
+  world.run_for(3);        // the tasks are recorded, and the command RPCs have failed
   const auto lead = leader_index(world);
   deny_state_store(world, lead);
   world.network.cut_peer_links(lead);
@@ -195,15 +198,15 @@
         std::count_if(commands.begin(), commands.end(),
                       [](const auto& command) { return command.verb == wire::Verb::run; }));
   };
-  EXPECT_GT(run_commands_received(), 0) << "just proved";
+  EXPECT_GT(run_commands_received(), 0) << "the records were confirmed just now";
   ASSERT_TRUE(world.cancel_at((lead + 1) % 3, "job-2"));
   world.stop_state_store();
   world.run_for(5);
-  EXPECT_EQ(run_commands_received(), 0) << "its lease is renewed, but nothing starts";
+  EXPECT_EQ(run_commands_received(), 0) << "the worker lease may be renewed, but no task started";
 }
 
-/// In an outage that all see nobody confirms anything, so work that is recorded
-/// goes on to start.
+/// In an outage that affects all controllers none of them can confirm a cancellation, so tasks that
+/// are recorded may still start.
 TEST(StaleLeader, RecordedTasksStartDuringOutageForAllNodes) {
   World world(1420);
   world.cloud.capacity = 4;
@@ -217,7 +220,7 @@
     world.run_until(t);
     const auto* job = job_at_leader(world, "job-2");
     if (down || job == nullptr || job->on_machines == 0) continue;
-    // Recorded and not sent yet: the machines hear nothing for 6 s.
+    // The tasks are recorded, but no command reaches the machines for 6 s.
     drop_responses_to_all_workers(world);
     world.stop_state_store();
     down = true;
@@ -227,7 +230,7 @@
   }
   ASSERT_TRUE(down);
   EXPECT_GT(world.rules.starts(), starts)
-      << "known for longer than a start may rest on, but nobody can have cancelled it";
+      << "the records are too old for a start, but no controller can have confirmed a cancellation";
   expect_no_violations(world);
 }
 
--- a/tests/zone_cut_test.cpp
+++ b/tests/zone_cut_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Zones that are cut off from each other or from everything.
+/// Zones that are partitioned from each other (`ZonePartition`), or also from the state store
+/// (`ZoneCut`).
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,8 +10,8 @@
 
 using wire::JobState;
 
-/// Four controllers, two of them in each zone, with half of a job in the south;
-/// the leader is in the north.
+/// For a world of four controllers, two in each zone: starts a job in each zone; the leader is in
+/// the north.
 void start_in_both_zones(World& world) {
   world.cloud.capacity = 30;
   world.submit(array_in("north", 1, 4, 3000));
@@ -21,7 +22,7 @@
   ASSERT_EQ(placed_tasks(world, "job-2"), 4U);
 }
 
-/// A job in the south, while the leader is in the north.
+/// Starts a job in the south; the leader is in the north.
 void start_in_south(World& world) {
   world.cloud.capacity = 20;
   world.submit(array_in("south", 1, 2, 3000));
@@ -29,8 +30,9 @@
   move_leadership_to_north(world);
 }
 
-/// A zone that is cut off from the state store too can record no delegation. Its controllers keep
-/// the leases of its workers for W without one, and its tasks outlive the cut.
+/// A zone that is also cut off from the state store can't record a delegation. Its controllers
+/// renew the worker leases without one until the leader lease W ends, so the tasks survive a cut of
+/// 30 s.
 TEST(ZoneCut, TasksOutliveLeaderLeaseAndWorkerLease) {
   World world(45, 4);
   start_in_both_zones(world);
@@ -38,23 +40,23 @@
   const double cut_at = world.loop.now();
   world.cut_zone("south");
   world.run_until(cut_at + 30);  // W is 28.5 s, the lease 10 s
-  EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << "not given up";
+  EXPECT_EQ(placed_tasks(world, "job-2"), 4U) << "the leader gave tasks up";
   world.restore_zone("south");
   world.run_until(cut_at + 60);
   EXPECT_EQ(placed_tasks(world, "job-2"), 4U);
-  EXPECT_EQ(world.rules.starts(), starts) << "nothing had to be started again";
+  EXPECT_EQ(world.rules.starts(), starts) << "a task was started again";
   expect_no_violations(world);
 }
 
-/// The only controller of its zone can't tell whether the zone is cut off or
-/// only itself: a worker that was sent away and is back found no other.
+/// The only controller of a zone can't tell whether the whole zone is cut off or only itself. It
+/// refuses a worker first, and replies when the worker returns, having found no other controller.
 TEST(ZoneCut, OnlyControllerOfZoneRepliesToReturningWorker) {
   World world(47);
   start_in_south(world);
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   const auto heartbeat = heartbeat_of(*worker, 1, 1, leader_of(world).token());
-  worker->cut = true;  // we speak for it
+  worker->cut = true;  // the test sends its heartbeats
   world.cut_zone("south");
   world.run_for(5);
   const auto status_within = [&](double wait_s) {
@@ -64,13 +66,13 @@
   EXPECT_EQ(status_within(4), 503);
   EXPECT_EQ(status_within(0.1), 200);
   world.run_for(25);
-  EXPECT_NE(status_within(4), 200) << "its authority is over";
+  EXPECT_NE(status_within(4), 200) << "replied after the leader lease W";
   expect_no_violations(world);
 }
 
-/// A longer one ends them; they are started again only when that is certain,
-/// whenever the cut ends, and whatever the machines and the controllers inside
-/// did meanwhile.
+/// A longer cut ends the tasks in the zone. The leader starts them again only when they have
+/// certainly ended, whenever the cut ends, and also if a controller in the zone crashes or a job is
+/// cancelled during the cut.
 TEST(ZoneCut, TasksRestartOnlyAfterTheyEndedInTheZone) {
   for (int cut_s = 24; cut_s < 90; cut_s += 6) {
     World world(700 + static_cast<unsigned>(cut_s), 4);
@@ -92,8 +94,8 @@
   }
 }
 
-/// Machines that died are given up at the end of their lease though all
-/// controllers of their zone are there to have answered them.
+/// The leader gives up a dead machine when its worker lease ends. It reaches all controllers of the
+/// zone, so none of them can have renewed the lease as delegate, and it need not wait for W.
 TEST(ZoneCut, DeadMachineIsGivenUpAfterItsWorkerLease) {
   World world(46, 4);
   start_in_both_zones(world);
@@ -101,12 +103,12 @@
   auto* dead = worker_of(world, "job-2");
   ASSERT_NE(dead, nullptr);
   dead->die();
-  world.run_for(13.5);  // its lease is 10 s, a heartbeat 0.8 s
+  world.run_for(13.5);  // worker lease 10 s, heartbeat interval 0.8 s
   EXPECT_TRUE(machine_of(world, *dead)->tasks.empty());
   expect_no_violations(world);
 }
 
-/// The zone delegate: a cut between the zones, longer than a lease.
+/// The zones are partitioned for longer than a worker lease; the zone delegate renews the leases.
 TEST(ZonePartition, DelegateRenewsWorkerLeases) {
   World world(13);
   world.submit(service(1, 4));
@@ -118,11 +120,11 @@
   world.network.heal_partition();
   world.run_until(90);
   EXPECT_EQ(running_tasks(world, "job-1"), 4U);
-  EXPECT_EQ(world.rules.starts(), starts) << "no replica was lost to the cut";
+  EXPECT_EQ(world.rules.starts(), starts) << "a replica was lost in the partition";
   expect_starts_without_violations(world);
 }
 
-/// A cancellation during the cut: the zone delegate stops its tasks.
+/// The zone delegate stops the tasks of a job that is cancelled during the partition.
 TEST(ZonePartition, DelegateStopsCancelledTasks) {
   World world(14);
   world.submit(service(1, 4));
@@ -130,14 +132,14 @@
   world.network.partition_zones();
   world.run_until(50);
   world.cancel("job-1");
-  world.run_until(95);  // checked all the time: nothing is left after 40 s
+  world.run_until(95);  // the rules require that no task is left after 40 s
   world.network.heal_partition();
   world.run_until(110);
   expect_starts_without_violations(world);
 }
 
-/// With workers and a controller, for longer than a lease, while jobs that run
-/// there are cancelled outside: the zone can't hear of it.
+/// A job with tasks in the zone is cancelled outside during a cut, of which the controllers and
+/// workers in the zone can't learn. The tasks end when their leases do.
 TEST(ZoneCut, TasksCancelledOutsideEndByCancelDeadline) {
   for (int cut_s = 8; cut_s < 80; cut_s += 6) {
     World world(2900 + static_cast<unsigned>(cut_s), 4);
@@ -159,14 +161,14 @@
   }
 }
 
-/// The transaction of a delegation that was given up is applied after the next one's:
-/// it must not hang the record on a lease that nobody renews.
+/// The transaction of an abandoned delegation is applied after that of the next one. It must not
+/// attach the record to the abandoned lease, which is not renewed.
 TEST(ZonePartition, DelayedDelegationDoesNotReplaceNewerOne) {
   World world(2990);
   start_in_south(world);
   const auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
-  cut_all_workers(world);  // we speak for them
+  cut_all_workers(world);  // the test sends their heartbeats
   auto heartbeat = heartbeat_of(*worker, 1, 1000, leader_of(world).token());
   const auto send = [&] {
     ++heartbeat.sequence;
@@ -174,7 +176,7 @@
   };
   world.network.partition_zones();
   world.run_for(3);
-  // The first attempt seems lost, and is applied when the second has its record.
+  // The first attempt gets no response, and is applied after the second has written its record.
   world.store(1).faults = {false, 0, 0, 1, 3.6};
   send();
   world.run_for(1.7);
@@ -186,7 +188,7 @@
   for (int i = 0; i < 60; ++i) {
     world.run_for(0.1);
     ASSERT_TRUE(world.state.items().contains(delegation))
-        << "a delegate that may respond has its record";
+        << "the record of an active delegate is gone";
   }
 }
 
