--- a/tests/delayed_messages_test.cpp
+++ b/tests/delayed_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Heartbeats, commits and commands that arrive late, or twice.
+/// Heartbeats, commits and commands that arrive late or twice.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,8 +9,8 @@
 
 using wire::JobState;
 
-/// Across epochs, takeovers and a machine's return: they change nothing.
-TEST(LateCopies, OfHeartbeatsChangeNothing) {
+/// Half of the heartbeats arrive a second time, seconds later and across takeovers.
+TEST(DelayedHeartbeats, DuplicatesChangeNothing) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     World world(500 + seed);
     world.submit(array(1, 12, 25));
@@ -29,9 +29,9 @@
   }
 }
 
-/// Safety rules 3 and 6: late heartbeats from former epochs, which a new leader
-/// gets before it is in touch with the machine, prove nothing.
-TEST(LateHeartbeats, OfFormerEpochsDoNotFreeTasks) {
+/// Safety rules 3 and 6: a new leader receives delayed heartbeats of earlier epochs before any
+/// current one of the machine. They do not show that tasks have ended.
+TEST(DelayedHeartbeats, EarlierEpochsDoNotFreeTasks) {
   World world(20, 1);
   world.submit(service(1, 2));
   world.run_until(40);
@@ -42,9 +42,9 @@
   ASSERT_NE(world.leader(), nullptr);
   for (const std::uint64_t epoch : {1, 2}) {
     for (auto& [id, worker] : world.workers) {
-      const wire::WorkerHeartbeat late{
+      const wire::WorkerHeartbeat delayed{
           id, "", worker->type(), worker->zone(), worker->spot(), epoch, 1, 0, std::nullopt, {}};
-      world.send_to_node(0, heartbeat_request(late), [](const net::Response&) {});
+      world.send_to_node(0, heartbeat_request(delayed), [](const net::Response&) {});
     }
     world.run_for(1);
   }
@@ -55,38 +55,38 @@
   expect_starts_without_violations(world);
 }
 
-/// Until a new leader has acted, or from seconds to well over a lease: the first
-/// word that a leader hears of a machine may be one of an earlier epoch, or of
-/// an earlier attempt.
-TEST(DelayedHeartbeats, SayNothingOfTheTasksThatCameAfter) {
-  for (int held = 2; held < 40; held += 4) {
-    World world(2600 + static_cast<unsigned>(held));
+/// Copies of heartbeats are delayed by seconds to well over a worker lease, across takeovers. The
+/// first heartbeat that a new leader receives from a machine may thus be of an earlier epoch or
+/// list earlier attempts.
+TEST(DelayedHeartbeats, EarlierAttemptsDoNotAffectCurrentTasks) {
+  for (int delay_s = 2; delay_s < 40; delay_s += 4) {
+    World world(2600 + static_cast<unsigned>(delay_s));
     world.cloud.capacity = 10;
     world.submit(array(1, 8, 25));
     world.submit(array(2, 8, 3000));
     world.run_until(25);
     for (auto& [id, worker] : world.workers) {
       worker->duplicate_share = 1;
-      worker->duplicate_delay_s = held;
+      worker->duplicate_delay_s = delay_s;
     }
     world.run_until(30);
-    // Some lose their lease, and their tasks start in a later epoch.
+    // Some workers lose their lease, and their tasks start again in a later epoch.
     for (auto& [id, worker] : world.workers) worker->cut = world.random() < 0.4;
     world.run_until(43);
     reconnect_all_workers(world);
     world.crash(leader_index(world), 0.1);
     world.run_until(50);
     world.cancel("job-2");
-    world.crash(leader_index(world), held % 8 == 2 ? 0.1 : 6);
+    world.crash(leader_index(world), delay_s % 8 == 2 ? 0.1 : 6);
     world.run_until(190);
-    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done) << held;
-    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << held;
-    ASSERT_EQ(world.rules.first_violation(), "") << held;
+    EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done) << delay_s;
+    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << delay_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << delay_s;
   }
 }
 
-/// Without an answer, and after newer ones of the same controller.
-TEST(DelayedCommits, ChangeNothingThatWasSaidSince) {
+/// Commits get no response and are applied after newer ones of the same controller.
+TEST(DelayedCommits, DoNotOverwriteNewerCommits) {
   for (unsigned seed = 1; seed <= 16; ++seed) {
     World world(1800 + seed);
     world.run_until(2);
@@ -110,16 +110,15 @@
   }
 }
 
-/// The transaction of a candidacy that was given up is applied after all, while
-/// the next one's lease is there already: the leader renews the lease that its
-/// record hangs on, and stays.
-TEST(DelayedCommits, ACandidacyThatWinsLateKeepsItsOwnLease) {
+/// The transaction of an abandoned candidacy is applied after all, when the next candidacy already
+/// has a lease. The leader must renew the lease to which its record is attached, and stay leader.
+TEST(DelayedCommits, LeaderRenewsLeaseOfItsDelayedCandidacy) {
   std::size_t late_wins = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     World world(1850 + seed);
     world.run_until(5);
-    // All stand anew, and their transactions are applied after they were given
-    // up, a little before the leases end that they hang on.
+    // All nodes start a candidacy. Its transaction is applied after the node has abandoned it, and
+    // shortly before the lease ends to which it attaches the record.
     crash_all_nodes(world, 0.01);
     world.run_until(5.02);
     for (std::size_t i = 0; i < 3; ++i) world.store(i).faults = {false, 0, 0, 1, 1.9 + 0.04 * seed};
@@ -135,17 +134,17 @@
   EXPECT_GT(late_wins, 0U);
 }
 
-/// The leadership was won, but the winner's watch tells it only when the lease
-/// has run out: it may stand again, or in the end nobody does.
-TEST(DelayedCommits, WhoHearsTooLateOfItsElectionStartsAnother) {
+/// The winner of an election learns of it from its watch only after its lease has ended. It must be
+/// able to start another candidacy, or no leader is ever elected.
+TEST(DelayedCommits, ElectionRepeatsIfWinnerLearnsOfItTooLate) {
   World world(1890);
   world.run_until(5);
-  std::set<std::string> held;
+  std::set<std::string> winners;
   world.state.on_commit = [&](const wire::Transaction& transaction) {
     for (const auto& write : transaction.writes) {
       if (write.key != store::kLeadKey || !write.value) continue;
       const auto node = store::decode_lead(*write.value).node;
-      if (!held.insert(node).second) continue;
+      if (!winners.insert(node).second) continue;
       const auto index = static_cast<std::size_t>(node.back() - '0');
       world.store(index).faults.watch_stalled = true;
       world.loop.after(6, [&world, index] { world.store(index).faults.watch_stalled = false; });
@@ -153,51 +152,53 @@
   };
   crash_all_nodes(world, 0.01);
   world.run_until(45);
-  EXPECT_GE(held.size(), 2U) << "they were elected and did not hear of it";
+  EXPECT_GE(winners.size(), 2U) << "no second node was elected";
   ASSERT_NE(world.leader(), nullptr);
 }
 
-/// Commands are carried out seconds later, and the machine then goes on.
-TEST(DelayedCommands, AreVoidOrOverInTime) {
-  for (int hold = 1; hold < 60; hold += 5) {
-    World world(1500 + static_cast<unsigned>(hold));
+/// Commands are delayed by seconds, and some machines then hang and resume. A delayed command must
+/// be rejected, or its task end within `cancel_s`.
+TEST(DelayedCommands, AreRejectedOrEndByCancelDeadline) {
+  for (int delay_s = 1; delay_s < 60; delay_s += 5) {
+    World world(1500 + static_cast<unsigned>(delay_s));
     world.submit(array(1, 8, 20));
     world.run_until(20);
-    world.network.command_delay_s = hold;
+    world.network.command_delay_s = delay_s;
     world.submit(array(2, 8, 3000));
     world.submit(array(3, 8, 10));
-    world.run_until(24 + hold % 7);
+    world.run_until(24 + delay_s % 7);
     world.cancel("job-2");
     world.run_until(35);
     world.network.command_delay_s = 0;
     for (auto& [id, worker] : world.workers) {
-      if (world.random() < 0.5) worker->hang(hold % 9);
+      if (world.random() < 0.5) worker->hang(delay_s % 9);
     }
     world.run_until(170);
-    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << hold;
-    EXPECT_EQ(poll_reported_state(world, "job-3"), JobState::done) << hold;
-    ASSERT_EQ(world.rules.first_violation(), "") << hold;
+    EXPECT_EQ(poll_reported_state(world, "job-2"), JobState::cancelled) << delay_s;
+    EXPECT_EQ(poll_reported_state(world, "job-3"), JobState::done) << delay_s;
+    ASSERT_EQ(world.rules.first_violation(), "") << delay_s;
   }
 }
 
-/// A `run` is held on its way while a zone delegate keeps the machine's lease: when
-/// it arrives the job was cancelled longer than `cancel_s` ago.
-TEST(DelayedCommands, AZoneDelegateKeepsNoLeaseUnderWhichACancelledTaskMayStart) {
+/// A `run` command is delayed in the network while a zone delegate could renew the machine's lease.
+/// When it arrives, the job was cancelled more than `cancel_s` ago, so the machine's epoch must
+/// have ended.
+TEST(DelayedCommands, DelegateRenewsNoLeaseWhileCancelledRunMayBeInFlight) {
   World world(1560);
   world.cloud.capacity = 20;
-  world.submit(array_in("south", 1, 3, 3000));  // leaves room on a machine
+  world.submit(array_in("south", 1, 3, 3000));  // leaves room on one machine
   world.run_until(45);
   move_leadership_to_north(world);
   ASSERT_EQ(placed_tasks(world, "job-1"), 3U);
   world.network.command_delay_s = 70;
-  auto held = array_in("south", 2, 1, 3000);
-  held.image_gb = 0;  // runs as soon as it is told to
-  world.submit(held);
+  auto delayed_job = array_in("south", 2, 1, 3000);
+  delayed_job.image_gb = 0;  // runs as soon as the command arrives
+  world.submit(delayed_job);
   for (int i = 0; i < 200 && placed_tasks(world, "job-2") == 0; ++i) world.run_for(0.02);
-  world.run_for(0.4);  // the command RPC is under way
+  world.run_for(0.4);  // the command RPC is in flight
   world.network.partition_zones();
   world.run_for(8);
-  ASSERT_FALSE(world.node(1)->mirror().delegations().empty()) << "the south has a delegate";
+  ASSERT_FALSE(world.node(1)->mirror().delegations().empty()) << "the south has no delegate";
   world.cancel("job-2");
   world.run_for(70);
   world.network.heal_partition();
