--- a/tests/answer_order_test.cpp
+++ b/tests/answer_order_test.cpp
@@ -34,7 +34,7 @@
     return world_.response_of(lagging_, request, 6);
   }
   /// An answer may be missing, but it must not tell a state other than cancelled.
-  static void expect_nothing_but_cancelled(const std::optional<net::Response>& response) {
+  static void expect_cancelled_or_unavailable(const std::optional<net::Response>& response) {
     ASSERT_TRUE(response);
     if (response->status == 503) return;
     ASSERT_EQ(response->status, 200);
@@ -48,30 +48,30 @@
 
 /// The conflict with the accepted job gets lost on its way. The controller then finds the job in
 /// the state store, which shows that the job was accepted, but not that it is still queued.
-TEST_F(AnswersOfALaggingController, ARepeatedSubmissionWithoutAReplyOfTheStateStore) {
+TEST_F(AnswersOfALaggingController, RepeatedSubmissionReportsNoOlderStateWhenTheConflictIsLost) {
   accept_and_cancel();
   store().faults.late_write_share = 1;
-  expect_nothing_but_cancelled(ask_lagging(submit_request(job_)));
+  expect_cancelled_or_unavailable(ask_lagging(submit_request(job_)));
 }
 
 /// The same, and the controller's watch goes on in time: the user gets an answer.
-TEST_F(AnswersOfALaggingController, ARepeatedSubmissionIsAnsweredOnceTheReplicaIsCurrent) {
+TEST_F(AnswersOfALaggingController, RepeatedSubmissionIsAnsweredOnceTheMirrorIsCurrent) {
   accept_and_cancel();
   store().faults.late_write_share = 1;
   world_.loop.after(1, [&] { store().faults.watch_stalled = false; });
   const auto response = ask_lagging(submit_request(job_));
   ASSERT_TRUE(response);
   EXPECT_EQ(response->status, 200);
-  expect_nothing_but_cancelled(response);
+  expect_cancelled_or_unavailable(response);
 }
 
-TEST_F(AnswersOfALaggingController, PollsAndOtherSubmissions) {
+TEST_F(AnswersOfALaggingController, PollsAndSubmissionsReportNoOlderState) {
   accept_and_cancel();
-  expect_nothing_but_cancelled(ask_lagging(status_request(job_.id)));
-  expect_nothing_but_cancelled(ask_lagging(submit_request(job_)));
+  expect_cancelled_or_unavailable(ask_lagging(status_request(job_.id)));
+  expect_cancelled_or_unavailable(ask_lagging(submit_request(job_)));
   auto rejected = job_;
   rejected.team = "nobody";
-  expect_nothing_but_cancelled(ask_lagging(submit_request(rejected)));
+  expect_cancelled_or_unavailable(ask_lagging(submit_request(rejected)));
 }
 
 /// The record of a job changes to something that no controller can decode. The former record is not
@@ -87,7 +87,7 @@
     world_.run_for(1);
   }
   static std::string unreadable() { return wire::Packer().map(0).take(); }
-  int status_of(const net::Request& request) {
+  int http_status_of(const net::Request& request) {
     const auto response = world_.response_of(1, request, 6);
     return response ? response->status : 0;
   }
@@ -95,7 +95,7 @@
   World world_{4200};
 };
 
-TEST_F(UnreadableRecords, AJobIsNotAnsweredForUntilItsRecordCanBeRead) {
+TEST_F(UnreadableRecords, JobRequestsGet503UntilTheRecordIsDecodable) {
   const auto job = array(1, 2, 3000);
   world_.run_until(10);
   world_.submit(job);
@@ -103,21 +103,21 @@
   const auto key = store::job_key(job.id);
   const auto readable = world_.state.get(key).entry.value;
   store_value(key, unreadable());
-  EXPECT_EQ(status_of(status_request(job.id)), 503);
-  EXPECT_EQ(status_of(submit_request(job)), 503);
+  EXPECT_EQ(http_status_of(status_request(job.id)), 503);
+  EXPECT_EQ(http_status_of(submit_request(job)), 503);
   store_value(key, readable);
-  EXPECT_EQ(status_of(status_request(job.id)), 200);
+  EXPECT_EQ(http_status_of(status_request(job.id)), 200);
 }
 
-TEST_F(UnreadableRecords, AFinalRecordDoesNotEndTheController) {
+TEST_F(UnreadableRecords, FinalRecordGets503AndDoesNotStopTheController) {
   world_.run_until(10);
   store_value(store::final_key("job-9"), unreadable());
-  EXPECT_EQ(status_of(status_request("job-9")), 503);
+  EXPECT_EQ(http_status_of(status_request("job-9")), 503);
 }
 
 /// Random histories in which users look closely, and in which answers of the state store get lost,
 /// writes are applied late, watches lag, and controllers stand still, end and change the lead.
-class CloseLooks : public ::testing::Test {
+class AnswerHistories : public ::testing::Test {
  protected:
   /// Lasts some seconds and strikes one node, or all.
   static void begin_fault(World& world) {
@@ -157,7 +157,7 @@
   }
 
   /// Returns the number of jobs that were called done.
-  static std::size_t play(unsigned seed) {
+  static std::size_t run_history(unsigned seed) {
     World world(41'000 + seed, 3 + seed % 3);
     world.cloud.capacity = 30;
     world.users.cross_check_states();
@@ -182,11 +182,11 @@
   }
 };
 
-TEST_F(CloseLooks, NoAnswerGoesBack) {
+TEST_F(AnswerHistories, ReportedFinalStatesNeverChange) {
   std::size_t finished = 0;
   for (unsigned seed = 1; seed <= last_seed(30); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    finished += play(seed);
+    finished += run_history(seed);
   }
   EXPECT_GT(finished, 0U);
 }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -26,14 +26,14 @@
   EXPECT_EQ(store::encode(decode(stored)), stored);
 }
 
-TEST(StoredRecords, OfEarlierBuildsAreReadAndWrittenAlike) {
+TEST(StoredRecords, RecordsOfEarlierBuildsAreReencodedUnchanged) {
   expect_unchanged("81a16e29", store::decode_term);
   expect_unchanged("83a46e6f6465a66e6f64652d31a3696e63a437372f32a47465726d29", store::decode_lead);
   expect_unchanged("81a47a6f6e65a161", store::decode_delegation);
   expect_unchanged("82a57374617465a977697468647261776ea57461736b7310", store::decode_final);
 }
 
-TEST(StoredRecords, AJobKeepsItsFields) {
+TEST(StoredRecords, JobOfAnEarlierBuildKeepsItsFields) {
   constexpr std::string_view kStored =
       "83a473706563de0014a3756964aa6a6f622d303030343132a46c616e65a5747261696ea56f776e6572a67669"
       "73696f6ea57368617065a567726f7570a472616e6ba468696768a673686172647310a5636f72657308a56361"
@@ -53,7 +53,7 @@
   EXPECT_EQ(store::encode(job), from_hex(kStored));
 }
 
-TEST(StoredRecords, ALogValueKeepsBlocksAndMachines) {
+TEST(StoredRecords, LogValueOfAnEarlierBuildKeepsBlocksAndMachines) {
   constexpr std::string_view kStored =
       "83a16e09a1629195aa6a6f622d3030303431320103a13192932102ab686f73742d303030323331932201a0a1"
       "689295ab686f73742d303030323331af31302e312e302e3233323a39303030a26738a1610391ab686f73742d"
@@ -71,7 +71,7 @@
             from_hex(kStored));
 }
 
-TEST(PeerMessages, OfEarlierBuildsAreReadAndWrittenAlike) {
+TEST(PeerMessages, MessagesOfEarlierBuildsAreReencodedUnchanged) {
   for (const std::string_view sent :
        {std::string_view("010000000006000000000000006e6f64652d31290000000000000006000000000000006e6"
                          "f64652d32010000"
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -60,15 +60,15 @@
     };
   }
 
-  net::Reply ask(std::size_t node, const std::string& method, const std::string& path,
-                 const std::string& body = {}) {
+  net::Reply send_request(std::size_t node, const std::string& method, const std::string& path,
+                          const std::string& body = {}) {
     std::optional<net::Reply> reply;
     clients_[node]->request(method, path, body, 5, [&](net::Reply got) { reply = std::move(got); });
-    wait(8, [&] { return reply.has_value(); });
+    wait_until(8, [&] { return reply.has_value(); });
     return reply.value_or(net::Reply{});
   }
 
-  bool wait(double seconds, const std::function<bool()>& until) {
+  bool wait_until(double seconds, const std::function<bool()>& until) {
     const auto end = std::chrono::steady_clock::now() +
                      std::chrono::milliseconds(static_cast<long>(seconds * 1000));
     while (!until()) {
@@ -87,15 +87,15 @@
     return packer.take();
   }
 
-  bool becomes(const std::string& id, wire::JobState state, double seconds) {
+  bool reaches_state(const std::string& id, wire::JobState state, double seconds) {
     const auto end = std::chrono::steady_clock::now() +
                      std::chrono::milliseconds(static_cast<long>(seconds * 1000));
     while (std::chrono::steady_clock::now() < end) {
-      const auto reply = ask(0, "GET", "/api/jobs/" + id);
+      const auto reply = send_request(0, "GET", "/api/jobs/" + id);
       if (reply.status == 200 &&
           wire::decode_status(wire::Document::parse(reply.body).root()).state == state)
         return true;
-      wait(0.2, [] { return false; });
+      wait_until(0.2, [] { return false; });
     }
     return false;
   }
@@ -110,26 +110,26 @@
   std::vector<std::unique_ptr<app::ControllerProcess>> controllers_;
 };
 
-TEST_F(EndToEnd, AJobRunsAndAControllerMayEnd) {
-  ASSERT_TRUE(wait(10, [&] { return ask(0, "GET", "/ready").status == 200; }));
-  EXPECT_EQ(ask(1, "POST", "/api/jobs", submission(1, 4)).status, 201);
-  EXPECT_EQ(ask(2, "POST", "/api/jobs", submission(1, 4)).status, 200);
-  EXPECT_EQ(ask(0, "POST", "/api/jobs", "rubbish").status, 400);
-  EXPECT_EQ(ask(0, "GET", "/api/jobs/job-9").status, 404);
-  EXPECT_EQ(ask(0, "GET", "/nowhere").status, 404);
-  EXPECT_EQ(ask(0, "GET", "/api/jobs").status, 405);
-  EXPECT_TRUE(becomes("job-1", wire::JobState::done, 45));
+TEST_F(EndToEnd, JobsFinishBeforeAndAfterTwoOfThreeControllersStop) {
+  ASSERT_TRUE(wait_until(10, [&] { return send_request(0, "GET", "/ready").status == 200; }));
+  EXPECT_EQ(send_request(1, "POST", "/api/jobs", submission(1, 4)).status, 201);
+  EXPECT_EQ(send_request(2, "POST", "/api/jobs", submission(1, 4)).status, 200);
+  EXPECT_EQ(send_request(0, "POST", "/api/jobs", "rubbish").status, 400);
+  EXPECT_EQ(send_request(0, "GET", "/api/jobs/job-9").status, 404);
+  EXPECT_EQ(send_request(0, "GET", "/nowhere").status, 404);
+  EXPECT_EQ(send_request(0, "GET", "/api/jobs").status, 405);
+  EXPECT_TRUE(reaches_state("job-1", wire::JobState::done, 45));
 
   // One after the other ends; whoever is left goes on.
   controllers_[2].reset();
   controllers_[1].reset();
   bool accepted = false;
-  for (int tries = 0; tries < 10 && !accepted; ++tries)
-    accepted = ask(0, "POST", "/api/jobs", submission(2, 2)).status <= 201;
+  for (int attempts = 0; attempts < 10 && !accepted; ++attempts)
+    accepted = send_request(0, "POST", "/api/jobs", submission(2, 2)).status <= 201;
   EXPECT_TRUE(accepted);
-  EXPECT_TRUE(becomes("job-2", wire::JobState::done, 45));
-  EXPECT_EQ(ask(0, "POST", "/api/jobs/job-2/cancel").status, 200);
-  EXPECT_TRUE(becomes("job-2", wire::JobState::done, 5)) << "done stays done";
+  EXPECT_TRUE(reaches_state("job-2", wire::JobState::done, 45));
+  EXPECT_EQ(send_request(0, "POST", "/api/jobs/job-2/cancel").status, 200);
+  EXPECT_TRUE(reaches_state("job-2", wire::JobState::done, 5)) << "done stays done";
   EXPECT_EQ(world_.rules.first_violation(), "");
 }
 
--- a/tests/group_commit_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -90,7 +90,7 @@
   bool deposed_ = false;
 };
 
-TEST_F(GroupCommitTest, ACommitCostsBytesNotRecords) {
+TEST_F(GroupCommitTest, ChangedBlocksOfSeveralJobsShareOneValue) {
   for (int i = 0; i < 60; ++i) change(add_block(i));
   run(2);
   const auto before = state_.revision();
@@ -102,7 +102,7 @@
     EXPECT_EQ(stored_attempt(id), block.entry.record.tasks[0].attempt) << id;
 }
 
-TEST_F(GroupCommitTest, TheLogStaysSmallAndItsValuesWithinTheLimit) {
+TEST_F(GroupCommitTest, LogSizeAndValueSizesAreBounded) {
   for (int i = 0; i < 40; ++i) add_block(i);
   std::mt19937 random(3);
   for (int round = 0; round < 400; ++round) {
@@ -124,7 +124,7 @@
 /// Answers lost, transactions applied seconds later, one version overtaking
 /// another: what counts as written is what the log says, and what is never
 /// written twice under one number.
-TEST_F(GroupCommitTest, LostAndLateTransactionsDoNoHarm) {
+TEST_F(GroupCommitTest, LostAndLateTransactionsDoNotLoseWrittenRecords) {
   for (unsigned seed = 1; seed <= 5; ++seed) {
     std::mt19937 random(seed);
     for (int i = 0; i < 20; ++i) add_block(static_cast<int>(seed) * 100 + i);
@@ -135,9 +135,9 @@
               ->second;
       if (block.record != nullptr) change(block);
       run(0.1);
-      for (const auto& [id, one] : blocks_) {
-        if (one.record == nullptr) continue;
-        ASSERT_GE(stored_attempt(id), one.record->written) << id;
+      for (const auto& [id, other_block] : blocks_) {
+        if (other_block.record == nullptr) continue;
+        ASSERT_GE(stored_attempt(id), other_block.record->written) << id;
       }
     }
     store_.faults = {};
@@ -153,7 +153,7 @@
 
 /// Until a job's last word is written its blocks stay in the log: a leader
 /// that found none would hand out its attempt numbers again.
-TEST_F(GroupCommitTest, BlocksOutliveTheirSlotUntilTheFinalState) {
+TEST_F(GroupCommitTest, BlocksStayInTheLogUntilTheFinalStateIsWritten) {
   settings_.state.transaction_writes_max = 4;  // one last word at a time
   for (int i = 0; i < 40; ++i) change(add_block(i));
   run(10);
@@ -184,7 +184,7 @@
 
 /// While the copy of the records is read anew, page by page, jobs are missing in
 /// it: their blocks must not be taken for those of jobs that are over.
-TEST_F(GroupCommitTest, NothingIsWrittenWhileTheCopyIsReadAnew) {
+TEST_F(GroupCommitTest, NothingIsWrittenWhileTheMirrorReloads) {
   for (int i = 0; i < 30; ++i) change(add_block(i));
   run(5);
   std::mt19937 random(4);
@@ -221,7 +221,7 @@
   EXPECT_EQ(stored_attempt("job-1"), 0U);
 }
 
-TEST_F(GroupCommitTest, KeepsToTheLimitsThatAreAnnounced) {
+TEST_F(GroupCommitTest, RespectsAnnouncedLimits) {
   settings_.state.value_kb = 4;
   settings_.state_next = config::StateLimits{120, 18, 1, 4};
   state_.limits = settings_.state_limits();
@@ -231,7 +231,7 @@
   EXPECT_EQ(state_.rejected_transactions, 0U);
 }
 
-TEST_F(GroupCommitTest, TransactionsShrinkWhenTheServiceTakesLessThanItSaid) {
+TEST_F(GroupCommitTest, TransactionsShrinkWhenTheStateStoreRejectsThem) {
   settings_.state.value_kb = 4;
   state_.limits = config::StateLimits{120, 25, 1.2, 4};
   for (int i = 0; i < 80; ++i) change(add_block(i));
@@ -241,7 +241,7 @@
   EXPECT_LT(state_.rejected_transactions, 10U) << "the same again and again";
 }
 
-TEST_F(GroupCommitTest, ARecordThatFitsNowhereHoldsUpNoOther) {
+TEST_F(GroupCommitTest, OversizedRecordDoesNotBlockOthers) {
   auto& large = add_block(0);
   large.entry.record.tasks.assign(60, {0, 0, "host-000001"});
   change(large);
@@ -254,7 +254,7 @@
   }
 }
 
-TEST_F(GroupCommitTest, LargeValuesOfBeforeAreCarriedOnInSmallerOnes) {
+TEST_F(GroupCommitTest, LargeValuesAreReplacedBySmallerOnesAfterTheLimitFalls) {
   settings_.state.value_kb = 4;
   for (int i = 0; i < 60; ++i) change(add_block(i));
   run(3);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -18,7 +18,7 @@
   Loopback()
       : server_(io_, config::parse_endpoint("127.0.0.1:0"), {4, constants::kMaxBodyBytes, 2},
                 [this](Request request, Responder respond) {
-                  seen_ = request;
+                  last_request_ = request;
                   ++served_;
                   Response response{200, request.body, 0};
                   response.yields = request.path == "/yields";
@@ -26,7 +26,7 @@
                 }) {}
 
   /// What comes back for these bytes before the server closes or falls silent.
-  std::string raw(const std::string& bytes) {
+  std::string send_raw(const std::string& bytes) {
     asio::ip::tcp::socket socket(io_);
     socket.connect({asio::ip::make_address("127.0.0.1"), server_.port()});
     asio::write(socket, asio::buffer(bytes));
@@ -49,7 +49,7 @@
 
   asio::io_context io_;
   HttpServer server_;
-  std::optional<Request> seen_;
+  std::optional<Request> last_request_;
   int served_ = 0;
 };
 
@@ -66,22 +66,22 @@
   EXPECT_EQ(server_.connections(), 1U);
 }
 
-TEST_F(Loopback, RefusesWhatIsNoHttp) {
-  EXPECT_NE(raw("rubbish\r\n\r\n").find(" 400 "), std::string::npos);
-  EXPECT_NE(raw("POST /x HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n").find(" 413 "),
+TEST_F(Loopback, RejectsMalformedAndOversizedRequests) {
+  EXPECT_NE(send_raw("rubbish\r\n\r\n").find(" 400 "), std::string::npos);
+  EXPECT_NE(send_raw("POST /x HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n").find(" 413 "),
             std::string::npos);
-  EXPECT_NE(raw("GET /" + std::string(20'000, 'a') + " HTTP/1.1\r\n\r\n").find(" 431 "),
+  EXPECT_NE(send_raw("GET /" + std::string(20'000, 'a') + " HTTP/1.1\r\n\r\n").find(" 431 "),
             std::string::npos);
-  EXPECT_NE(raw("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n").find(" 400 "),
+  EXPECT_NE(send_raw("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n").find(" 400 "),
             std::string::npos);
   EXPECT_EQ(served_, 0);
-  EXPECT_NE(raw("GET /ok HTTP/1.1\r\n\r\n").find(" 200 "), std::string::npos);
+  EXPECT_NE(send_raw("GET /ok HTTP/1.1\r\n\r\n").find(" 200 "), std::string::npos);
 }
 
-TEST_F(Loopback, AChunkedBodyIsBoundedToo) {
+TEST_F(Loopback, ChunkedBodySizeIsBounded) {
   std::string bytes = "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (int i = 0; i < 20; ++i) bytes += "1000\r\n" + std::string(4096, 'x') + "\r\n";
-  EXPECT_NE(raw(bytes).find(" 413 "), std::string::npos);
+  EXPECT_NE(send_raw(bytes).find(" 413 "), std::string::npos);
 }
 
 TEST_F(Loopback, ConnectionsAreBounded) {
@@ -96,7 +96,7 @@
 
 /// Idle connections and half-sent requests once shut out whoever came after
 /// them, the balancer's checks included.
-TEST_F(Loopback, NobodyIsShutOutByThoseWhoSendNothing) {
+TEST_F(Loopback, IdleAndIncompleteConnectionsDoNotBlockNewRequests) {
   std::vector<asio::ip::tcp::socket> sockets;
   for (int i = 0; i < 12; ++i) {
     sockets.emplace_back(io_);
@@ -106,13 +106,13 @@
     io_.run_for(std::chrono::milliseconds(5));
     io_.restart();
   }
-  EXPECT_NE(raw("GET /ready HTTP/1.1\r\n\r\n").find(" 200 "), std::string::npos);
+  EXPECT_NE(send_raw("GET /ready HTTP/1.1\r\n\r\n").find(" 200 "), std::string::npos);
   EXPECT_LE(server_.connections(), 4U);
 }
 
 /// Deadlines are looked for together, once a second: a half-sent request goes
 /// when its time is over, an idle connection stays.
-TEST_F(Loopback, HalfSentRequestsAreClosedAfterTheirTime) {
+TEST_F(Loopback, IncompleteRequestsAreClosedAfterTheReadTimeout) {
   const auto connect = [this] {
     asio::ip::tcp::socket socket(io_);
     socket.connect({asio::ip::make_address("127.0.0.1"), server_.port()});
@@ -121,9 +121,9 @@
   const auto idle = connect();
   auto half_sent = connect();
   asio::write(half_sent, asio::buffer(std::string("POST /x HTTP/1.1\r\nContent-")));
-  const auto begun = std::chrono::steady_clock::now();
-  const auto waited = [&] {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+  const auto start = std::chrono::steady_clock::now();
+  const auto elapsed_s = [&] {
+    return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   };
   const auto run = [this] {
     io_.run_for(std::chrono::milliseconds(50));
@@ -132,13 +132,13 @@
   run();
   ASSERT_EQ(server_.connections(), 2U);
   const double latest = constants::kRequestReadTimeout + 2 * constants::kDeadlineCheckInterval;
-  while (server_.connections() == 2 && waited() < latest) run();
+  while (server_.connections() == 2 && elapsed_s() < latest) run();
   EXPECT_EQ(server_.connections(), 1U) << "only the idle one is left";
-  EXPECT_GE(waited(), constants::kRequestReadTimeout);
+  EXPECT_GE(elapsed_s(), constants::kRequestReadTimeout);
 }
 
 /// What the socket does not take at once goes out later, whole and in order.
-TEST(HttpServer, AnAnswerLargerThanTheSocketsBufferArrivesWhole) {
+TEST(HttpServer, ResponseLargerThanTheSocketBufferIsSentInFull) {
   asio::io_context io;
   std::string body(24 * 1024 * 1024, 'x');
   for (std::size_t i = 0; i < body.size(); i += 1000) body[i] = static_cast<char>('a' + i % 26);
@@ -174,8 +174,8 @@
 }
 
 /// More workers than sockets: each is answered and makes room for the next.
-TEST_F(Loopback, WhoYieldsIsAnsweredAndClosedWhereConnectionsAreShort) {
-  EXPECT_EQ(raw("GET /yields HTTP/1.1\r\n\r\n").find("Connection: close"), std::string::npos)
+TEST_F(Loopback, YieldingResponsesCloseTheConnectionWhenConnectionsRunShort) {
+  EXPECT_EQ(send_raw("GET /yields HTTP/1.1\r\n\r\n").find("Connection: close"), std::string::npos)
       << "there is room";
   std::vector<asio::ip::tcp::socket> sockets;
   for (int i = 0; i < 2; ++i) {
@@ -185,27 +185,27 @@
   io_.run_for(std::chrono::milliseconds(20));
   io_.restart();
   for (int i = 0; i < 5; ++i) {
-    const auto answer = raw("GET /yields HTTP/1.1\r\n\r\n");
+    const auto answer = send_raw("GET /yields HTTP/1.1\r\n\r\n");
     EXPECT_NE(answer.find(" 200 "), std::string::npos);
     EXPECT_NE(answer.find("Connection: close"), std::string::npos);
   }
-  EXPECT_EQ(raw("GET /stays HTTP/1.1\r\n\r\n").find("Connection: close"), std::string::npos);
+  EXPECT_EQ(send_raw("GET /stays HTTP/1.1\r\n\r\n").find("Connection: close"), std::string::npos);
   EXPECT_EQ(server_.connections(), 2U);
 }
 
-TEST_F(Loopback, AClientIsToldWhenNothingWasSent) {
+TEST_F(Loopback, ClientReportsRequestsThatWereNeverSent) {
   const auto port = server_.port();
-  HttpClient nobody(
+  HttpClient client(
       io_, {asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(port == 1 ? 2 : 1)}, 1);
   std::optional<Reply> reply;
-  nobody.request("GET", "/", {}, 1, [&](Reply got) { reply = std::move(got); });
+  client.request("GET", "/", {}, 1, [&](Reply got) { reply = std::move(got); });
   io_.run_for(std::chrono::milliseconds(300));
   ASSERT_TRUE(reply);
   EXPECT_EQ(reply->status, 0);
   EXPECT_TRUE(reply->never_sent);
 }
 
-TEST(HttpClient, ASilentServerCountsAsNoAnswer) {
+TEST(HttpClient, SilentServerIsReportedAsNoResponse) {
   asio::io_context io;
   asio::ip::tcp::acceptor silent(io, {asio::ip::make_address("127.0.0.1"), 0});
   HttpClient client(io, silent.local_endpoint(), 1);
@@ -217,7 +217,7 @@
   EXPECT_FALSE(reply->never_sent);  // it may have been executed
 }
 
-TEST(Endpoint, BadOnesAreNamed) {
+TEST(Endpoint, InvalidEndpointsAreRejected) {
   EXPECT_THROW((void)config::parse_endpoint("10.0.0.1"), std::invalid_argument);
   EXPECT_THROW((void)config::parse_endpoint("10.0.0.1:x"), std::invalid_argument);
   EXPECT_THROW((void)config::parse_endpoint("nowhere:80"), std::invalid_argument);
--- a/tests/odd_requests_test.cpp
+++ b/tests/odd_requests_test.cpp
@@ -18,26 +18,26 @@
 }
 
 /// The message without one of its fields, or with another one in its place.
-std::string without(const wire::JobSpec& job, std::string_view field,
-                    const std::function<void(wire::Packer&)>& instead = {}) {
+std::string packed_without(const wire::JobSpec& job, std::string_view field,
+                           const std::function<void(wire::Packer&)>& replacement = {}) {
   const auto bytes = packed(job);
   const auto document = wire::Document::parse(bytes);
   const auto& map = document.root().via.map;
   wire::Packer packer;
-  packer.map(instead ? map.size : map.size - 1);
+  packer.map(replacement ? map.size : map.size - 1);
   for (const auto& pair : map) {
     const auto name = wire::as_text(pair.key, "key");
-    if (name == field && !instead) continue;
+    if (name == field && !replacement) continue;
     packer.text(name);
     if (name == field)
-      instead(packer);
+      replacement(packer);
     else
       packer.object(pair.val);
   }
   return packer.take();
 }
 
-TEST(OddRequests, EachGetsItsStatusAtOnceAndNothingIsStored) {
+TEST(OddRequests, InvalidSubmissionsAreRejectedAtOnceAndNotStored) {
   World world(3100);
   world.cloud.capacity = 0;  // only what is answered and stored matters here
   world.run_until(10);
@@ -55,43 +55,43 @@
   for (const char* field :
        {"uid", "lane", "owner", "shape", "rank", "shards", "cores", "cards", "ram_gb", "together",
         "scatter", "loaners", "bundle", "pull_gb", "expect_s", "mark_every_s", "mark_s"}) {
-    EXPECT_EQ(submit(without(array(++number, 1), field)), 400) << field << " is missing";
-    EXPECT_EQ(
-        submit(without(array(++number, 1), field, [](wire::Packer& packer) { packer.null(); })),
-        400)
+    EXPECT_EQ(submit(packed_without(array(++number, 1), field)), 400) << field << " is missing";
+    EXPECT_EQ(submit(packed_without(array(++number, 1), field,
+                                    [](wire::Packer& packer) { packer.null(); })),
+              400)
         << field << " is null";
-    EXPECT_EQ(
-        submit(without(array(++number, 1), field, [](wire::Packer& packer) { packer.list(0); })),
-        400)
+    EXPECT_EQ(submit(packed_without(array(++number, 1), field,
+                                    [](wire::Packer& packer) { packer.list(0); })),
+              400)
         << field << " is a list";
   }
-  auto odd = array(++number, 1);
-  odd.team = "nobody";
-  EXPECT_EQ(submit(packed(odd)), 422);
-  odd = array(++number, 1);
-  odd.cpus = 13;
-  EXPECT_EQ(submit(packed(odd)), 422) << "larger than any machine";
-  odd = array(++number, 1);
-  odd.types = {"m99"};
-  EXPECT_EQ(submit(packed(odd)), 422) << "no such type";
-  odd = array(++number, 1);
-  odd.zone = "west";
-  EXPECT_EQ(submit(packed(odd)), 422) << "no such zone";
-  odd = service(++number, 9);
-  odd.team = "red";
-  EXPECT_EQ(submit(packed(odd)), 422) << "a service needs its team's limit for all tasks";
+  auto submission = array(++number, 1);
+  submission.team = "nobody";
+  EXPECT_EQ(submit(packed(submission)), 422);
+  submission = array(++number, 1);
+  submission.cpus = 13;
+  EXPECT_EQ(submit(packed(submission)), 422) << "larger than any machine";
+  submission = array(++number, 1);
+  submission.types = {"m99"};
+  EXPECT_EQ(submit(packed(submission)), 422) << "no such type";
+  submission = array(++number, 1);
+  submission.zone = "west";
+  EXPECT_EQ(submit(packed(submission)), 422) << "no such zone";
+  submission = service(++number, 9);
+  submission.team = "red";
+  EXPECT_EQ(submit(packed(submission)), 422) << "a service needs its team's limit for all tasks";
   EXPECT_EQ(jobs_stored(), 0);
-  odd.kind = wire::JobKind::array;
-  odd.id = "job-" + std::to_string(++number);
-  EXPECT_EQ(submit(packed(odd)), 201) << "an array for one";
+  submission.kind = wire::JobKind::array;
+  submission.id = "job-" + std::to_string(++number);
+  EXPECT_EQ(submit(packed(submission)), 201) << "an array for one";
   for (const char* field : {"builds", "yard", "due_s"})
-    EXPECT_EQ(submit(without(array(++number, 1), field)), 201) << field << " may be omitted";
+    EXPECT_EQ(submit(packed_without(array(++number, 1), field)), 201) << field << " may be omitted";
   EXPECT_EQ(jobs_stored(), 4);
 }
 
 /// An id that was accepted keeps its answer, whatever is sent with it; one that
 /// was not is unknown.
-TEST(OddRequests, RepeatsAndCancellationsOfAllKinds) {
+TEST(OddRequests, RepeatedRequestsKeepTheirAnswerAndUnknownJobsGet404) {
   World world(3110);
   const auto first = array(1, 2, 3);
   world.submit(first);
@@ -112,9 +112,9 @@
   auto other = array(2, 9, 1);
   other.team = "nobody";
   EXPECT_EQ(state_of("/api/jobs", packed(other)), "running") << "a repeat that could never run";
-  EXPECT_EQ(state_of("/api/jobs", without(array(2, 1), "lane")), "running")
+  EXPECT_EQ(state_of("/api/jobs", packed_without(array(2, 1), "lane")), "running")
       << "a repeat that lacks a field";
-  EXPECT_EQ(state_of("/api/jobs", without(first, "shape")), "done");
+  EXPECT_EQ(state_of("/api/jobs", packed_without(first, "shape")), "done");
   EXPECT_EQ(state_of("/api/jobs", packed(first)), "done");
   EXPECT_EQ(state_of("/api/jobs/job-1/cancel"), "done");
   EXPECT_EQ(state_of("/api/jobs/job-1/cancel"), "done") << "and stays so";
@@ -137,7 +137,7 @@
 
 /// A heartbeat with hundreds of tasks that nobody knows gets an answer of bounded
 /// size, and the machine no work while it holds them.
-TEST(BadInput, HundredsOfUnknownTasksAreAnsweredWithinBounds) {
+TEST(BadInput, ReplyToHundredsOfUnknownTasksIsBounded) {
   World world(42);
   world.run_until(5);
   wire::WorkerHeartbeat heartbeat{"host-999999", "", "m12", "north", false, 1, 1, 0,
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -12,40 +12,42 @@
 
 /// Whatever comes in on a controller's port, on however many connections:
 /// rubbish ends its own connection, and those that know the way are heard.
-TEST(Transport, BadMessagesEndTheirConnectionOnly) {
+TEST(Transport, InvalidMessagesCloseOnlyTheirOwnConnection) {
   asio::io_context io;
   asio::ip::tcp::acceptor probe(io, {asio::ip::make_address("127.0.0.1"), 0});
-  const auto here = probe.local_endpoint();
+  const auto receiver_endpoint = probe.local_endpoint();
   probe.close();
-  std::vector<Message> heard;
-  TcpTransport transport(io, here, {{"other", "", "127.0.0.1:1"}},
-                         [&](Message message) { heard.push_back(std::move(message)); });
+  std::vector<Message> received;
+  TcpTransport transport(io, receiver_endpoint, {{"other", "", "127.0.0.1:1"}},
+                         [&](Message message) { received.push_back(std::move(message)); });
   const auto run = [&] {
     io.run_for(std::chrono::milliseconds(30));
     io.restart();
   };
-  const std::vector<std::string> rubbish = {std::string("\xff\xff\xff\xff", 4),
-                                            std::string("\x03\x00\x00\x00xyz", 7),
-                                            "GET / HTTP/1.1\r\n\r\n", std::string("\x10\x00", 2)};
+  const std::vector<std::string> invalid_messages = {
+      std::string("\xff\xff\xff\xff", 4), std::string("\x03\x00\x00\x00xyz", 7),
+      "GET / HTTP/1.1\r\n\r\n", std::string("\x10\x00", 2)};
   std::vector<asio::ip::tcp::socket> sockets;
   for (int i = 0; i < 60; ++i) {
-    sockets.emplace_back(io).connect(here);
+    sockets.emplace_back(io).connect(receiver_endpoint);
     asio::error_code ignored;
-    asio::write(sockets.back(), asio::buffer(rubbish[static_cast<std::size_t>(i) % rubbish.size()]),
-                ignored);
+    asio::write(
+        sockets.back(),
+        asio::buffer(invalid_messages[static_cast<std::size_t>(i) % invalid_messages.size()]),
+        ignored);
     if (i % 8 == 0) run();
   }
   run();
-  EXPECT_TRUE(heard.empty());
-  asio::ip::tcp::socket good(io);
-  good.connect(here);
+  EXPECT_TRUE(received.empty());
+  asio::ip::tcp::socket valid_socket(io);
+  valid_socket.connect(receiver_endpoint);
   const auto body = encode(Heartbeat{"other", 7, "other", true, true, 12, 1.5});
   std::string frame(4, '\0');
   frame[0] = static_cast<char>(body.size());
-  asio::write(good, asio::buffer(frame + body));
+  asio::write(valid_socket, asio::buffer(frame + body));
   run();
-  ASSERT_EQ(heard.size(), 1U);
-  EXPECT_EQ(std::get<Heartbeat>(heard.front()).revision, 12U);
+  ASSERT_EQ(received.size(), 1U);
+  EXPECT_EQ(std::get<Heartbeat>(received.front()).revision, 12U);
   // The first of the bad ones was closed by the other side.
   asio::error_code error;
   char byte = 0;
@@ -61,46 +63,48 @@
     asio::ip::tcp::acceptor probe(io, {asio::ip::make_address("127.0.0.1"), 0});
     return probe.local_endpoint();
   };
-  const auto here = free_port();
-  const auto there = free_port();
-  std::vector<std::uint64_t> heard;
+  const auto receiver_endpoint = free_port();
+  const auto sender_endpoint = free_port();
+  std::vector<std::uint64_t> received;
   std::size_t longest = 0;
-  TcpTransport receiver(io, here, {{"sender", "", "127.0.0.1:" + std::to_string(there.port())}},
+  TcpTransport receiver(io, receiver_endpoint,
+                        {{"sender", "", "127.0.0.1:" + std::to_string(sender_endpoint.port())}},
                         [&](Message message) {
                           const auto& reply = std::get<ForwardedReply>(message);
-                          heard.push_back(reply.id);
+                          received.push_back(reply.id);
                           longest = std::max(longest, reply.body.size());
                         });
-  TcpTransport sender(io, there, {{"receiver", "", "127.0.0.1:" + std::to_string(here.port())}},
+  TcpTransport sender(io, sender_endpoint,
+                      {{"receiver", "", "127.0.0.1:" + std::to_string(receiver_endpoint.port())}},
                       [](const Message&) {});
   for (std::uint64_t id = 0; id < 300; ++id)
     sender.send("receiver", ForwardedReply{id, 200, std::string(id % 7 == 0 ? 3000 : 20, 'x')});
   sender.flush();
-  for (int i = 0; i < 100 && heard.size() < 300; ++i) {
+  for (int i = 0; i < 100 && received.size() < 300; ++i) {
     io.run_for(std::chrono::milliseconds(20));
     io.restart();
   }
-  ASSERT_EQ(heard.size(), 300U);
-  for (std::uint64_t id = 0; id < 300; ++id) ASSERT_EQ(heard[id], id);
+  ASSERT_EQ(received.size(), 300U);
+  for (std::uint64_t id = 0; id < 300; ++id) ASSERT_EQ(received[id], id);
   EXPECT_EQ(longest, 3000U);
   // A byte at a time, by hand.
   const auto body = encode(ForwardedReply{77, 200, "slow"});
   std::string bytes(4, '\0');
   bytes[0] = static_cast<char>(body.size());
-  asio::ip::tcp::socket slow(io);
-  slow.connect(here);
+  asio::ip::tcp::socket slow_socket(io);
+  slow_socket.connect(receiver_endpoint);
   for (const char byte : bytes + body) {
-    asio::write(slow, asio::buffer(&byte, 1));
+    asio::write(slow_socket, asio::buffer(&byte, 1));
     io.run_for(std::chrono::milliseconds(2));
     io.restart();
   }
-  ASSERT_EQ(heard.size(), 301U);
-  EXPECT_EQ(heard.back(), 77U);
+  ASSERT_EQ(received.size(), 301U);
+  EXPECT_EQ(received.back(), 77U);
 }
 
 /// However the bytes are cut up, the messages come out whole and in order, and
 /// one that is announced as too large ends the stream.
-TEST(FrameReader, CutsAnyPiecesIntoMessages) {
+TEST(FrameReader, ReassemblesMessagesFromPiecesOfAnySize) {
   const std::vector<std::string> messages = {"", "a", std::string(300, 'b'),
                                              std::string(70'000, 'c'), "last"};
   std::string stream;
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -16,7 +16,7 @@
     std::ofstream(path_) << text;
     return load_properties(path_);
   }
-  void expect_complaint(const std::string& text, const std::string& about) {
+  void expect_error(const std::string& text, const std::string& about) {
     try {
       (void)load(text);
       ADD_FAILURE() << text << " was accepted";
@@ -27,7 +27,7 @@
   }
 };
 
-TEST_F(PropertiesFile, ReadsJavaStyle) {
+TEST_F(PropertiesFile, ReadsJavaPropertiesSyntax) {
   const auto tuning =
       load("# a comment\n! another\nsched.threshold.tasks = 4\nfleet.idle.share: 1.5\n");
   EXPECT_DOUBLE_EQ(tuning.threshold_tasks, 4);
@@ -35,11 +35,11 @@
   EXPECT_DOUBLE_EQ(tuning.forecast_share, constants::kForecastShare);
 }
 
-TEST_F(PropertiesFile, NamesFileAndKeyOfWhatIsWrong) {
-  expect_complaint("sched.treshold = 4\n", "sched.treshold");
-  expect_complaint("fleet.foresight = fast\n", "fleet.foresight");
-  expect_complaint("fleet.foresight = 11\n", "fleet.foresight: must lie between 0 and 10");
-  expect_complaint("fleet.foresight = nan\n", "fleet.foresight");
+TEST_F(PropertiesFile, ErrorsNameTheFileAndTheKey) {
+  expect_error("sched.treshold = 4\n", "sched.treshold");
+  expect_error("fleet.foresight = fast\n", "fleet.foresight");
+  expect_error("fleet.foresight = 11\n", "fleet.foresight: must lie between 0 and 10");
+  expect_error("fleet.foresight = nan\n", "fleet.foresight");
   EXPECT_THROW((void)load_properties("/nonexistent/x.properties"), SettingsError);
 }
 
--- a/tests/read_index_test.cpp
+++ b/tests/read_index_test.cpp
@@ -12,11 +12,11 @@
 class ReadIndexTest : public ::testing::Test {
  protected:
   /// How a read ended; nothing while it waits.
-  enum class End { current, not_shown };
+  enum class Result { current, failed };
 
-  void request(double patience_s) {
-    read_index_.request(patience_s, [this](const LinearizableRead* read) {
-      end_ = read == nullptr ? End::not_shown : End::current;
+  void request(double timeout_s) {
+    read_index_.request(timeout_s, [this](const LinearizableRead* read) {
+      result_ = read == nullptr ? Result::failed : Result::current;
     });
   }
   void run_for(double seconds) {
@@ -31,7 +31,7 @@
   test::FakeStore store_{time_, state_, 1};
   store::Mirror mirror_;
   ReadIndex read_index_{loop_, queue_, store_, mirror_, 0.1};
-  std::optional<End> end_;
+  std::optional<Result> result_;
 };
 
 /// What the mirror has not listed yet is not missing.
@@ -39,10 +39,10 @@
   mirror_.load({{}, true, state_.revision()});
   request(5);
   run_for(1);
-  EXPECT_FALSE(end_) << "more pages follow";
+  EXPECT_FALSE(result_) << "more pages follow";
   mirror_.load({{}, false, state_.revision()});
   run_for(0.1);
-  EXPECT_EQ(end_, End::current);
+  EXPECT_EQ(result_, Result::current);
 }
 
 TEST_F(ReadIndexTest, WaitsUntilTheMirrorHasReachedTheRevision) {
@@ -50,23 +50,23 @@
   (void)state_.commit({{}, {{"elm/x", wire::Packer().integer(1).take(), 0}}});
   request(5);
   run_for(1);
-  EXPECT_FALSE(end_) << "the mirror lacks the change";
+  EXPECT_FALSE(result_) << "the mirror lacks the change";
   mirror_.apply({state_.revision(), {}});
   run_for(0.1);
-  EXPECT_EQ(end_, End::current);
+  EXPECT_EQ(result_, Result::current);
 }
 
 /// Also when the mirror becomes current in the same moment, as after a suspension of the process.
-TEST_F(ReadIndexTest, ShowsNothingAfterItsDeadline) {
+TEST_F(ReadIndexTest, FailsAfterItsDeadline) {
   request(1);
   run_for(2);
-  EXPECT_EQ(end_, End::not_shown);
-  end_.reset();
+  EXPECT_EQ(result_, Result::failed);
+  result_.reset();
   request(1);
   time_.run_until(time_.now() + 2);
   mirror_.load({{}, false, state_.revision()});
   read_index_.check();
-  EXPECT_EQ(end_, End::not_shown);
+  EXPECT_EQ(result_, Result::failed);
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -10,7 +10,7 @@
 namespace elmstall::config {
 namespace {
 
-constexpr const char* kGood = R"(node_name = "n-0"
+constexpr const char* kValidSettings = R"(node_name = "n-0"
 area = "east"
 api_addr = "127.0.0.1:8080"
 mesh_addr = "127.0.0.1:8081"
@@ -61,8 +61,8 @@
     return load_settings(path_);
   }
   /// The good file with one piece of text replaced; returns the complaint.
-  std::string complaint(const std::string& from, const std::string& to) {
-    std::string text = kGood;
+  std::string error_after_replacing(const std::string& from, const std::string& to) {
+    std::string text = kValidSettings;
     const auto at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
     text.replace(at, from.size(), to);
@@ -75,8 +75,8 @@
   }
 };
 
-TEST_F(SettingsFile, ReadsWhatThePlatformHandsOver) {
-  const auto settings = load(kGood);
+TEST_F(SettingsFile, ReadsAValidFile) {
+  const auto settings = load(kValidSettings);
   EXPECT_EQ(settings.node, "n-0");
   ASSERT_EQ(settings.peers.size(), 1U);
   EXPECT_EQ(settings.peers[0].endpoint, "127.0.0.1:9081");
@@ -87,10 +87,10 @@
   EXPECT_NEAR(settings.leader_lease_s(), 28.5, 0.1);
 }
 
-TEST_F(SettingsFile, NamesFileAndKeyOfWhatIsWrong) {
+TEST_F(SettingsFile, ErrorsNameTheFileAndTheKey) {
   const auto expect_names = [&](const std::string& from, const std::string& to,
                                 const std::string& key) {
-    const auto text = complaint(from, to);
+    const auto text = error_after_replacing(from, to);
     EXPECT_NE(text.find(key), std::string::npos) << text;
     EXPECT_NE(text.find(path_), std::string::npos) << text;
   };
@@ -106,11 +106,11 @@
   expect_names("area = \"east\"", "area = ", ":2");
 }
 
-TEST_F(SettingsFile, KeepsToTheSmallerOfTheLimitsNowAndToCome) {
-  EXPECT_FALSE(load(kGood).state_next);
-  EXPECT_DOUBLE_EQ(load(kGood).state_limits().value_kb, 4);
+TEST_F(SettingsFile, UsesTheSmallerOfPresentAndAnnouncedLimits) {
+  EXPECT_FALSE(load(kValidSettings).state_next);
+  EXPECT_DOUBLE_EQ(load(kValidSettings).state_limits().value_kb, 4);
   const auto settings = load(
-      std::string(kGood) +
+      std::string(kValidSettings) +
       "[deployment.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 20\nnovelty = 1\n");
   ASSERT_TRUE(settings.state_next);
   const auto limits = settings.state_limits();
@@ -121,29 +121,30 @@
   EXPECT_DOUBLE_EQ(settings.state.value_kb, 4) << "the partition of the records stays";
 }
 
-TEST_F(SettingsFile, NamesWhatIsWrongInTheLimitsToCome) {
-  const auto complaint_about = [&](const std::string& line) {
-    return complaint("txn_ops = 8\n", "txn_ops = 8\n[deployment.state.next]\n" + line + "\n");
+TEST_F(SettingsFile, ErrorsNameTheKeyOfAnnouncedLimits) {
+  const auto error_for_line = [&](const std::string& line) {
+    return error_after_replacing("txn_ops = 8\n",
+                                 "txn_ops = 8\n[deployment.state.next]\n" + line + "\n");
   };
   for (const std::string key : {"rps", "write_rps", "value_kb", "txn_ops"}) {
     for (const std::string value : {"0", "-1.0", "\"many\"", "nan"}) {
-      const auto text = complaint_about(key + " = " + value);
+      const auto text = error_for_line(key + " = " + value);
       EXPECT_NE(text.find("deployment.state.next." + key), std::string::npos) << value << text;
     }
   }
-  const auto no_table = complaint("txn_ops = 8\n", "txn_ops = 8\nnext = 3\n");
-  EXPECT_NE(no_table.find("deployment.state.next"), std::string::npos) << no_table;
+  const auto not_a_table = error_after_replacing("txn_ops = 8\n", "txn_ops = 8\nnext = 3\n");
+  EXPECT_NE(not_a_table.find("deployment.state.next"), std::string::npos) << not_a_table;
 }
 
 TEST_F(SettingsFile, GangTimesMayBeAbsent) {
-  EXPECT_DOUBLE_EQ(load(kGood).gang_wait_s, constants::kGangWaitDefault);
-  EXPECT_DOUBLE_EQ(load(kGood).gang_peer_s, constants::kGangPeerDefault);
-  const auto text =
-      complaint("cancel_s = 40.0\n", "cancel_s = 40.0\ngang_wait_s = -1.0\ngang_peer_s = 8.0\n");
+  EXPECT_DOUBLE_EQ(load(kValidSettings).gang_wait_s, constants::kGangWaitDefault);
+  EXPECT_DOUBLE_EQ(load(kValidSettings).gang_peer_s, constants::kGangPeerDefault);
+  const auto text = error_after_replacing(
+      "cancel_s = 40.0\n", "cancel_s = 40.0\ngang_wait_s = -1.0\ngang_peer_s = 8.0\n");
   EXPECT_NE(text.find("deployment.workers.gang_wait_s"), std::string::npos) << text;
 }
 
-TEST_F(SettingsFile, SaysThatAFileIsMissing) {
+TEST_F(SettingsFile, MissingFileIsAnError) {
   EXPECT_THROW((void)load_settings("/nonexistent/x.toml"), SettingsError);
 }
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -80,7 +80,7 @@
 
 /// So that a block of an earlier version, whole and started, fits into one value
 /// of the smallest limit under which nothing has to be held back.
-TEST(Records, AFullBlockFitsIntoASmallerValueWithItsFrame) {
+TEST(Records, FullBlockOfAnEarlierVersionFitsIntoASmallerValue) {
   BlockEntry entry{"job-00000412", 99'999, {}};
   const auto size = block_size(16);
   entry.record.done.assign(size, false);
@@ -105,19 +105,19 @@
   record.spec.image = std::string(200, 'i');
   record.spec.tasks = 9;
   record.spec.types.assign(500, "m12");
-  const auto most = value_bytes(2);
-  ASSERT_GT(json_size(record), most);
-  const auto cancelled = cancelled_record(record, most);
+  const auto max_bytes = value_bytes(2);
+  ASSERT_GT(json_size(record), max_bytes);
+  const auto cancelled = cancelled_record(record, max_bytes);
   EXPECT_TRUE(cancelled.cancelled);
-  EXPECT_LE(json_size(cancelled), most);
+  EXPECT_LE(json_size(cancelled), max_bytes);
   const auto read = decode_job(encode(cancelled));
   EXPECT_EQ(read.spec.tasks, 9U);
   EXPECT_TRUE(read.cancelled);
   record.spec.types.resize(2);
-  EXPECT_EQ(cancelled_record(record, most).spec.types.size(), 2U);
+  EXPECT_EQ(cancelled_record(record, max_bytes).spec.types.size(), 2U);
 }
 
-TEST(Mirror, TheHighestNumberHoldsInWhateverOrderValuesCome) {
+TEST(Mirror, HighestValueNumberWinsInAnyOrder) {
   const auto value = [](std::uint64_t number, std::uint64_t attempt) {
     return slot_value(number, {{"job-1", 0, {{false, false, false}, {{0, attempt, "host-1"}}}}});
   };
@@ -139,7 +139,7 @@
   EXPECT_EQ(mirror.blocks("job-1"), nullptr);
 }
 
-TEST(Mirror, SkipsARecordThatCantBeRead) {
+TEST(Mirror, SkipsUndecodableRecords) {
   Mirror mirror;
   mirror.load(
       {{{slot_key(0), "\x81\xa1n\xa1x", 1}, {job_key("job-1"), job_value("job-1", false), 2}},
@@ -149,7 +149,7 @@
   EXPECT_NE(mirror.job("job-1"), nullptr);
 }
 
-TEST(Mirror, IsWholeOnlyOnceTheWatchPassedTheLastPage) {
+TEST(Mirror, IsLoadedOnceTheWatchHasPassedTheLastPage) {
   Mirror mirror;
   mirror.load({{{job_key("job-1"), job_value("job-1", false), 5}}, true, 10});
   EXPECT_FALSE(mirror.loaded());
@@ -171,7 +171,7 @@
   EXPECT_EQ(mirror.status("job-2").state, wire::JobState::cancelled);
 }
 
-TEST(Mirror, CountsComeFromTheBlocks) {
+TEST(Mirror, TaskCountsComeFromTheBlocks) {
   Mirror mirror;
   BlockRecord block;
   block.done = {true, false, false};
@@ -186,7 +186,7 @@
   EXPECT_EQ(status.running, 1U);
 }
 
-TEST(Mirror, OldFinalStatesAreLetGo) {
+TEST(Mirror, OldestFinalStatesAreEvicted) {
   Mirror mirror;
   for (std::size_t i = 0; i < constants::kFinalStateCacheSize + 10; ++i)
     mirror.cache_final_state("job-" + std::to_string(i), {});
@@ -194,7 +194,7 @@
   EXPECT_TRUE(mirror.final_state("job-20000"));
 }
 
-TEST(PeerMessages, SurviveTheRoundTripAndRefuseRubbish) {
+TEST(PeerMessages, ValidMessagesSurviveTheRoundTripAndInvalidOnesAreRejected) {
   const auto back =
       peer::decode(peer::encode(peer::ForwardedHeartbeat{"node-1", 7, std::string("a\0b", 3)}));
   EXPECT_EQ(std::get<peer::ForwardedHeartbeat>(back).id, 7U);
@@ -203,7 +203,7 @@
   EXPECT_THROW((void)peer::decode(""), std::exception);
 }
 
-TEST(ConcurrencyLimit, ShrinksWhenTimesGrowAndRecovers) {
+TEST(ConcurrencyLimit, ShrinksWhenRequestsTakeLongerAndRecovers) {
   api::ConcurrencyLimit limit;
   const auto serve = [&](double seconds, int times) {
     for (int i = 0; i < times; ++i) {
@@ -212,11 +212,11 @@
     }
   };
   serve(0.03, 50);
-  const double calm = limit.limit();
+  const double limit_before_overload = limit.limit();
   serve(1.0, 50);
-  EXPECT_LT(limit.limit(), calm / 2);
+  EXPECT_LT(limit.limit(), limit_before_overload / 2);
   serve(0.03, 200);
-  EXPECT_GT(limit.limit(), calm / 2);
+  EXPECT_GT(limit.limit(), limit_before_overload / 2);
 }
 
 TEST(ConcurrencyLimit, ShedsBeyondTheLimit) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -67,7 +67,7 @@
   EXPECT_TRUE(back.spot);
 }
 
-TEST(Codec, RefusesWhatTheProtocolExcludes) {
+TEST(Codec, RejectsMalformedJobs) {
   expect_malformed("");
   expect_malformed("\xc1");
   expect_malformed(packed(sample_job()) + "x");              // trailing bytes
@@ -99,7 +99,7 @@
   EXPECT_EQ(Document::parse(more.take()).fields().text("uid"), "job-1");
 }
 
-TEST(Codec, SurvivesSeededMutations) {
+TEST(Codec, MutatedMessagesAreDecodedOrRejected) {
   // Whatever arrives is decoded or refused; nothing else may happen.
   std::mt19937 random(7);
   const std::string good = packed(sample_job());
@@ -130,7 +130,7 @@
   EXPECT_GT(refused, 10'000U);
 }
 
-TEST(Codec, HeartbeatsKeepWordsThatAreNewToUs) {
+TEST(Codec, HeartbeatsWithUnknownTaskStatesAreDecoded) {
   // A task state that a later platform adds must not cost the whole heartbeat:
   // unanswered heartbeats let the worker's lease run out.
   Packer packer;
