--- a/tests/answer_order_test.cpp
+++ b/tests/answer_order_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// No answer goes back: once a user was told that a job is done or cancelled, no controller says
-/// anything else of it, whichever request is asked and whatever the controller knows at that time.
+/// Once a user was told that a job is done or cancelled, no controller may report any other state
+/// of it, for any kind of request and however far the controller's mirror lags behind.
 #include <gtest/gtest.h>
 
 #include "support/histories.hpp"
@@ -11,8 +11,8 @@
 
 using wire::JobState;
 
-/// A job that is accepted and cancelled through one controller, while another one does not hear of
-/// it: its watch is held. The job has no final record yet, for its machines can't be asked.
+/// A job is accepted and cancelled through the leader, while the watch of another controller is
+/// stalled. The job has no final record yet, because its machines can't be reached.
 class AnswersOfALaggingController : public ::testing::Test {
  protected:
   void accept_and_cancel() {
@@ -33,7 +33,7 @@
   std::optional<net::Response> ask_lagging(const net::Request& request) {
     return world_.response_of(lagging_, request, 6);
   }
-  /// An answer may be missing, but it must not tell a state other than cancelled.
+  /// The request may be refused with 503, but must not report a state other than cancelled.
   static void expect_cancelled_or_unavailable(const std::optional<net::Response>& response) {
     ASSERT_TRUE(response);
     if (response->status == 503) return;
@@ -46,15 +46,15 @@
   wire::JobSpec job_ = array(1, 2, 3000);
 };
 
-/// The conflict with the accepted job gets lost on its way. The controller then finds the job in
-/// the state store, which shows that the job was accepted, but not that it is still queued.
+/// The state store's conflict response is lost. The controller then finds the job in the state
+/// store, which shows that the job was accepted, but not that it is still queued.
 TEST_F(AnswersOfALaggingController, RepeatedSubmissionReportsNoOlderStateWhenTheConflictIsLost) {
   accept_and_cancel();
   store().faults.late_write_share = 1;
   expect_cancelled_or_unavailable(ask_lagging(submit_request(job_)));
 }
 
-/// The same, and the controller's watch goes on in time: the user gets an answer.
+/// The same, but the controller's watch resumes before the request times out.
 TEST_F(AnswersOfALaggingController, RepeatedSubmissionIsAnsweredOnceTheMirrorIsCurrent) {
   accept_and_cancel();
   store().faults.late_write_share = 1;
@@ -74,8 +74,8 @@
   expect_cancelled_or_unavailable(ask_lagging(submit_request(rejected)));
 }
 
-/// The record of a job changes to something that no controller can decode. The former record is not
-/// the present one, whatever revision the mirror has reached.
+/// The record of a job is replaced by bytes that no controller can decode. The previous record is
+/// outdated, and must not be used for answers even if the mirror has reached the present revision.
 class UnreadableRecords : public ::testing::Test {
  protected:
   void store_value(const std::string& key, const std::string& value) {
@@ -115,11 +115,12 @@
   EXPECT_EQ(http_status_of(status_request("job-9")), 503);
 }
 
-/// Random histories in which users look closely, and in which answers of the state store get lost,
-/// writes are applied late, watches lag, and controllers stand still, end and change the lead.
+/// Random histories in which users check each newly reported state at all controllers, while
+/// responses of the state store are lost, writes are applied late, watches lag, controllers freeze
+/// and crash, and the leader changes.
 class AnswerHistories : public ::testing::Test {
  protected:
-  /// Lasts some seconds and strikes one node, or all.
+  /// Starts a random fault of some seconds, which affects one node or all.
   static void begin_fault(World& world) {
     const auto node = world.pick(world.node_count());
     const double length = 1 + 6 * world.random();
@@ -131,7 +132,7 @@
       case 0:
         faults.watch_stalled = true;
         return end([](FakeStore::Faults& ended) { ended.watch_stalled = false; });
-      case 1:  // carried out at once, only the answer is lost
+      case 1:  // the write is applied almost at once, and only the response is lost
         faults.late_write_share = 0.7;
         faults.late_write_delay_s = 0.002;
         return end([](FakeStore::Faults& ended) {
@@ -156,7 +157,7 @@
     }
   }
 
-  /// Returns the number of jobs that were called done.
+  /// Returns the number of jobs that were reported as done.
   static std::size_t run_history(unsigned seed) {
     World world(41'000 + seed, 3 + seed % 3);
     world.cloud.capacity = 30;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Records and messages as earlier builds wrote them: controllers are restarted
-// one after the other, so both must be read, and written in the same form.
+/// \file
+/// Records and messages as earlier builds wrote them. During a rolling restart, controllers of both
+/// builds run at the same time, so the present build must read them and write the same bytes.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,7 +20,7 @@
   return bytes;
 }
 
-/// What it was read from comes out when it is written again.
+/// Decoding and encoding again must give the same bytes.
 template <typename Decode>
 void expect_unchanged(std::string_view digits, Decode&& decode) {
   const auto stored = from_hex(digits);
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Whole controllers over loopback: real HTTP, peer network and clients against the
-/// simulations of the state store, cloud and workers.
+/// Complete controllers over loopback, with real HTTP and real connections between controllers,
+/// against simulations of the state store, the cloud and the workers.
 #include <gtest/gtest.h>
 
 #include "app/controller_process.hpp"
@@ -19,7 +19,7 @@
   static constexpr std::size_t kNodes = 3;
 
   EndToEnd() : world_(5, 0), state_(io_, world_), cloud_(io_, world_) {
-    // Short, so that real seconds suffice.
+    // Short intervals, because the test runs in real time.
     world_.settings.heartbeat_interval_s = 0.3;
     world_.settings.list_lag_s = 0.2;
     world_.machine_types.front().ready_s = 1;
@@ -120,7 +120,7 @@
   EXPECT_EQ(send_request(0, "GET", "/api/jobs").status, 405);
   EXPECT_TRUE(reaches_state("job-1", wire::JobState::done, 45));
 
-  // One after the other ends; whoever is left goes on.
+  // Two of the three controllers stop. The remaining one must accept and finish jobs.
   controllers_[2].reset();
   controllers_[1].reset();
   bool accepted = false;
@@ -129,7 +129,8 @@
   EXPECT_TRUE(accepted);
   EXPECT_TRUE(reaches_state("job-2", wire::JobState::done, 45));
   EXPECT_EQ(send_request(0, "POST", "/api/jobs/job-2/cancel").status, 200);
-  EXPECT_TRUE(reaches_state("job-2", wire::JobState::done, 5)) << "done stays done";
+  EXPECT_TRUE(reaches_state("job-2", wire::JobState::done, 5))
+      << "a finished job can't be cancelled";
   EXPECT_EQ(world_.rules.first_violation(), "");
 }
 
--- a/tests/group_commit_test.cpp
+++ b/tests/group_commit_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The ledger log: whatever gets lost, late or twice on the way to the state
-/// service, what a new leader would read is what this leader counts as written.
+/// The group commit: when transactions or their responses are lost, delayed or applied late, a new
+/// leader still reads from the ledger log every record that this leader counts as written.
 #include "state/group_commit.hpp"
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 using store::BlockEntry;
 using Kind = GroupCommit::Record::Kind;
 
-/// One leader's group commit over the plain state store, with blocks whose
-/// attempt numbers stand for their versions.
+/// The group commit of one leader over the simulated state store. The attempt number of a block's
+/// only task serves as the version of the block.
 class GroupCommitTest : public ::testing::Test {
  protected:
   struct Block {
@@ -94,7 +94,7 @@
   for (int i = 0; i < 60; ++i) change(add_block(i));
   run(2);
   const auto before = state_.revision();
-  // One task of each of ten jobs changes: one value, one revision.
+  // A change of one task of each of ten jobs is written as one value, in one revision.
   for (int i = 0; i < 10; ++i) change(blocks_.at("job-" + std::to_string(i)));
   run(1);
   EXPECT_EQ(state_.revision(), before + 1);
@@ -116,14 +116,14 @@
     ++slots;
     EXPECT_LE(wire::json_size(wire::Document::parse(item.value).root()), 1024U);
   }
-  // 40 entries of about 70 bytes are three values' worth.
+  // 40 entries of about 70 bytes fill about three values.
   EXPECT_LE(slots, 16U);
   EXPECT_GE(slots, constants::kInitialSlots);
 }
 
-/// Answers lost, transactions applied seconds later, one version overtaking
-/// another: what counts as written is what the log says, and what is never
-/// written twice under one number.
+/// Responses are lost and transactions are applied seconds later, so that an older version of a
+/// block may be applied after a newer one. The log must hold at least the version that counts as
+/// written, and two values must never be written under the same number.
 TEST_F(GroupCommitTest, LostAndLateTransactionsDoNotLoseWrittenRecords) {
   for (unsigned seed = 1; seed <= 5; ++seed) {
     std::mt19937 random(seed);
@@ -151,14 +151,14 @@
   EXPECT_FALSE(deposed_);
 }
 
-/// Until a job's last word is written its blocks stay in the log: a leader
-/// that found none would hand out its attempt numbers again.
+/// A job's blocks stay in the log until its final state is written. A new leader that found none
+/// would assign the attempt numbers of its tasks again.
 TEST_F(GroupCommitTest, BlocksStayInTheLogUntilTheFinalStateIsWritten) {
-  settings_.state.transaction_writes_max = 4;  // one last word at a time
+  settings_.state.transaction_writes_max = 4;  // one final state per transaction
   for (int i = 0; i < 40; ++i) change(add_block(i));
   run(10);
-  // Far more last words than one transaction takes, while every commit
-  // overwrites a slot.
+  // There are far more final states than fit into one transaction, and every commit overwrites a
+  // slot.
   for (auto& [id, block] : blocks_) {
     group_commit_->finish({id, {wire::JobState::done, 2}, {block.record}});
     block.record = nullptr;
@@ -182,8 +182,8 @@
   }
 }
 
-/// While the copy of the records is read anew, page by page, jobs are missing in
-/// it: their blocks must not be taken for those of jobs that are over.
+/// While the mirror reloads page by page, it lacks some jobs. Their blocks must not be treated as
+/// those of finished jobs, which are left out of the log.
 TEST_F(GroupCommitTest, NothingIsWrittenWhileTheMirrorReloads) {
   for (int i = 0; i < 30; ++i) change(add_block(i));
   run(5);
@@ -204,7 +204,7 @@
     refresh();
     for (const auto& [id, block] : blocks_)
       ASSERT_GE(stored_attempt(id), block.record->written) << id << " in round " << round;
-    // Every value gets some of each.
+    // Changes jobs of all pages, so that values hold both jobs of the first page and others.
     for (int i = 0; i < 4; ++i)
       change(std::next(blocks_.begin(), static_cast<std::ptrdiff_t>(random() % 30))->second);
     run(0.3);
@@ -238,7 +238,8 @@
   run(10);
   for (auto& [id, block] : blocks_) EXPECT_EQ(stored_attempt(id), 1U) << id;
   EXPECT_GT(state_.rejected_transactions, 0U);
-  EXPECT_LT(state_.rejected_transactions, 10U) << "the same again and again";
+  EXPECT_LT(state_.rejected_transactions, 10U)
+      << "a rejected transaction must not be repeated at the same size";
 }
 
 TEST_F(GroupCommitTest, OversizedRecordDoesNotBlockOthers) {
@@ -260,8 +261,7 @@
   run(3);
   settings_.state_next = config::StateLimits{120, 18, 1, 4};
   state_.limits = settings_.state_limits();
-  // Every record changes now and then; the log is no larger than what it holds
-  // calls for.
+  // Every record changes in each round. The log must not grow beyond what its records need.
   for (int round = 0; round < 6; ++round) {
     for (auto& [id, block] : blocks_) change(block);
     run(6);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The real server and client over loopback.
+/// The HTTP server and client over loopback connections.
 #include <gtest/gtest.h>
 
 #include <asio.hpp>
@@ -25,7 +25,7 @@
                   respond(std::move(response));
                 }) {}
 
-  /// What comes back for these bytes before the server closes or falls silent.
+  /// Sends the bytes over a new connection, and returns what the server sends back within 200 ms.
   std::string send_raw(const std::string& bytes) {
     asio::ip::tcp::socket socket(io_);
     socket.connect({asio::ip::make_address("127.0.0.1"), server_.port()});
@@ -94,8 +94,9 @@
   EXPECT_EQ(server_.connections(), 4U);
 }
 
-/// Idle connections and half-sent requests once shut out whoever came after
-/// them, the balancer's checks included.
+/// Guards against a fault in which idle connections and incomplete requests used up all
+/// connections, so that later clients, including the load balancer's health checks, were not
+/// served.
 TEST_F(Loopback, IdleAndIncompleteConnectionsDoNotBlockNewRequests) {
   std::vector<asio::ip::tcp::socket> sockets;
   for (int i = 0; i < 12; ++i) {
@@ -110,8 +111,8 @@
   EXPECT_LE(server_.connections(), 4U);
 }
 
-/// Deadlines are looked for together, once a second: a half-sent request goes
-/// when its time is over, an idle connection stays.
+/// The deadlines of all connections are checked together, once a second. A connection with an
+/// incomplete request is closed after its deadline, and an idle one stays open.
 TEST_F(Loopback, IncompleteRequestsAreClosedAfterTheReadTimeout) {
   const auto connect = [this] {
     asio::ip::tcp::socket socket(io_);
@@ -133,11 +134,12 @@
   ASSERT_EQ(server_.connections(), 2U);
   const double latest = constants::kRequestReadTimeout + 2 * constants::kDeadlineCheckInterval;
   while (server_.connections() == 2 && elapsed_s() < latest) run();
-  EXPECT_EQ(server_.connections(), 1U) << "only the idle one is left";
+  EXPECT_EQ(server_.connections(), 1U) << "only the idle connection is left";
   EXPECT_GE(elapsed_s(), constants::kRequestReadTimeout);
 }
 
-/// What the socket does not take at once goes out later, whole and in order.
+/// The part of a response that the socket does not accept at once is sent later, complete and in
+/// order.
 TEST(HttpServer, ResponseLargerThanTheSocketBufferIsSentInFull) {
   asio::io_context io;
   std::string body(24 * 1024 * 1024, 'x');
@@ -149,7 +151,7 @@
   asio::ip::tcp::socket socket(io);
   socket.connect({asio::ip::make_address("127.0.0.1"), server.port()});
   asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
-  // The reader takes nothing for a while.
+  // The client reads nothing for 100 ms, so that the socket's buffer fills up.
   io.run_for(std::chrono::milliseconds(100));
   io.restart();
   std::string answer;
@@ -173,10 +175,11 @@
   EXPECT_TRUE(received() == body);
 }
 
-/// More workers than sockets: each is answered and makes room for the next.
+/// With more workers than connections, each worker gets its response, and its connection is closed
+/// to make room for the next one.
 TEST_F(Loopback, YieldingResponsesCloseTheConnectionWhenConnectionsRunShort) {
   EXPECT_EQ(send_raw("GET /yields HTTP/1.1\r\n\r\n").find("Connection: close"), std::string::npos)
-      << "there is room";
+      << "few connections are open";
   std::vector<asio::ip::tcp::socket> sockets;
   for (int i = 0; i < 2; ++i) {
     sockets.emplace_back(io_);
--- a/tests/odd_requests_test.cpp
+++ b/tests/odd_requests_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Malformed, misfitting and repeated requests of users.
+/// Malformed, unsatisfiable and repeated requests of users, and unexpected heartbeats.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,15 +9,13 @@
 
 using wire::JobState;
 
-// --- odd requests --------------------------------------------------------------------
-
 std::string packed(const wire::JobSpec& job) {
   wire::Packer packer;
   wire::pack_job(packer, job);
   return packer.take();
 }
 
-/// The message without one of its fields, or with another one in its place.
+/// The packed job without `field`, or with the value that `replacement` packs.
 std::string packed_without(const wire::JobSpec& job, std::string_view field,
                            const std::function<void(wire::Packer&)>& replacement = {}) {
   const auto bytes = packed(job);
@@ -39,7 +37,7 @@
 
 TEST(OddRequests, InvalidSubmissionsAreRejectedAtOnceAndNotStored) {
   World world(3100);
-  world.cloud.capacity = 0;  // only what is answered and stored matters here
+  world.cloud.capacity = 0;  // no job needs to run in this test
   world.run_until(10);
   const auto jobs_stored = [&] {
     return std::count_if(
@@ -83,14 +81,15 @@
   EXPECT_EQ(jobs_stored(), 0);
   submission.kind = wire::JobKind::array;
   submission.id = "job-" + std::to_string(++number);
-  EXPECT_EQ(submit(packed(submission)), 201) << "an array for one";
+  EXPECT_EQ(submit(packed(submission)), 201)
+      << "an array does not need the limit for all tasks at once";
   for (const char* field : {"builds", "yard", "due_s"})
     EXPECT_EQ(submit(packed_without(array(++number, 1), field)), 201) << field << " may be omitted";
   EXPECT_EQ(jobs_stored(), 4);
 }
 
-/// An id that was accepted keeps its answer, whatever is sent with it; one that
-/// was not is unknown.
+/// A repeated submission of an accepted id is answered with the job's state, whatever else it
+/// contains. Requests for ids that were never accepted get 404.
 TEST(OddRequests, RepeatedRequestsKeepTheirAnswerAndUnknownJobsGet404) {
   World world(3110);
   const auto first = array(1, 2, 3);
@@ -111,13 +110,14 @@
   };
   auto other = array(2, 9, 1);
   other.team = "nobody";
-  EXPECT_EQ(state_of("/api/jobs", packed(other)), "running") << "a repeat that could never run";
+  EXPECT_EQ(state_of("/api/jobs", packed(other)), "running")
+      << "a repeat with a job that could never run";
   EXPECT_EQ(state_of("/api/jobs", packed_without(array(2, 1), "lane")), "running")
       << "a repeat that lacks a field";
   EXPECT_EQ(state_of("/api/jobs", packed_without(first, "shape")), "done");
   EXPECT_EQ(state_of("/api/jobs", packed(first)), "done");
   EXPECT_EQ(state_of("/api/jobs/job-1/cancel"), "done");
-  EXPECT_EQ(state_of("/api/jobs/job-1/cancel"), "done") << "and stays so";
+  EXPECT_EQ(state_of("/api/jobs/job-1/cancel"), "done") << "a repeated cancellation";
   EXPECT_EQ(status_of("POST", "/api/jobs/job-77/cancel"), 404);
   EXPECT_EQ(status_of("GET", "/api/jobs/job-77"), 404);
   EXPECT_EQ(status_of("GET", "/api/jobs/what"), 404);
@@ -135,8 +135,8 @@
   }
 }
 
-/// A heartbeat with hundreds of tasks that nobody knows gets an answer of bounded
-/// size, and the machine no work while it holds them.
+/// A heartbeat with hundreds of tasks of unknown jobs gets a reply of bounded size. The machine is
+/// marked, so that it gets no work while it holds such tasks.
 TEST(BadInput, ReplyToHundredsOfUnknownTasksIsBounded) {
   World world(42);
   world.run_until(5);
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Controllers' own connections over loopback.
+/// The connections between controllers, over loopback.
 #include <gtest/gtest.h>
 
 #include <asio.hpp>
@@ -10,8 +10,8 @@
 namespace elmstall::peer {
 namespace {
 
-/// Whatever comes in on a controller's port, on however many connections:
-/// rubbish ends its own connection, and those that know the way are heard.
+/// Invalid bytes on any number of connections to a controller's port close only these connections.
+/// Valid messages on other connections are still received.
 TEST(Transport, InvalidMessagesCloseOnlyTheirOwnConnection) {
   asio::io_context io;
   asio::ip::tcp::acceptor probe(io, {asio::ip::make_address("127.0.0.1"), 0});
@@ -48,7 +48,7 @@
   run();
   ASSERT_EQ(received.size(), 1U);
   EXPECT_EQ(std::get<Heartbeat>(received.front()).revision, 12U);
-  // The first of the bad ones was closed by the other side.
+  // The transport has closed the first connection with invalid bytes.
   asio::error_code error;
   char byte = 0;
   sockets.front().non_blocking(true);
@@ -56,7 +56,7 @@
   EXPECT_NE(error, asio::error::would_block);
 }
 
-/// However the bytes are cut up on the way, and many messages at once.
+/// Many messages in one flush, and one message that arrives byte by byte.
 TEST(Transport, MessagesArriveWholeAndInOrder) {
   asio::io_context io;
   const auto free_port = [&io] {
@@ -87,7 +87,7 @@
   ASSERT_EQ(received.size(), 300U);
   for (std::uint64_t id = 0; id < 300; ++id) ASSERT_EQ(received[id], id);
   EXPECT_EQ(longest, 3000U);
-  // A byte at a time, by hand.
+  // One message, sent byte by byte.
   const auto body = encode(ForwardedReply{77, 200, "slow"});
   std::string bytes(4, '\0');
   bytes[0] = static_cast<char>(body.size());
@@ -102,8 +102,8 @@
   EXPECT_EQ(received.back(), 77U);
 }
 
-/// However the bytes are cut up, the messages come out whole and in order, and
-/// one that is announced as too large ends the stream.
+/// The messages are complete and in order for any size of the received pieces. A frame whose length
+/// prefix is too large is an error.
 TEST(FrameReader, ReassemblesMessagesFromPiecesOfAnySize) {
   const std::vector<std::string> messages = {"", "a", std::string(300, 'b'),
                                              std::string(70'000, 'c'), "last"};
--- a/tests/read_index_test.cpp
+++ b/tests/read_index_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a read index vouches for.
+/// When a read index confirms that the mirror is current, and when it fails.
 #include "election/read_index.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 class ReadIndexTest : public ::testing::Test {
  protected:
-  /// How a read ended; nothing while it waits.
+  /// The result of a read.
   enum class Result { current, failed };
 
   void request(double timeout_s) {
@@ -31,10 +31,10 @@
   test::FakeStore store_{time_, state_, 1};
   store::Mirror mirror_;
   ReadIndex read_index_{loop_, queue_, store_, mirror_, 0.1};
-  std::optional<Result> result_;
+  std::optional<Result> result_;  ///< empty while the read waits
 };
 
-/// What the mirror has not listed yet is not missing.
+/// A record that is absent from a partly loaded mirror may exist in the state store.
 TEST_F(ReadIndexTest, WaitsUntilAMirrorThatIsBeingLoadedIsComplete) {
   mirror_.load({{}, true, state_.revision()});
   request(5);
@@ -56,7 +56,8 @@
   EXPECT_EQ(result_, Result::current);
 }
 
-/// Also when the mirror becomes current in the same moment, as after a suspension of the process.
+/// This holds even if the mirror becomes current at the same moment as the deadline is noticed,
+/// which happens after a suspension of the process.
 TEST_F(ReadIndexTest, FailsAfterItsDeadline) {
   request(1);
   run_for(2);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -60,7 +60,8 @@
     std::ofstream(path_) << text;
     return load_settings(path_);
   }
-  /// The good file with one piece of text replaced; returns the complaint.
+  /// Loads the valid settings with `from` replaced by `to`, and returns the error message, or
+  /// "accepted" if there is none.
   std::string error_after_replacing(const std::string& from, const std::string& to) {
     std::string text = kValidSettings;
     const auto at = text.find(from);
@@ -83,7 +84,7 @@
   EXPECT_EQ(settings.state.transaction_writes_max, 8);
   EXPECT_DOUBLE_EQ(settings.team("a")->gpus_max, 8);
   EXPECT_EQ(settings.team("b"), nullptr);
-  // 40 s to honour a cancellation, less a lease and the margins.
+  // 40 s to stop the tasks of a cancelled job, less a worker's lease of 10 s and the margins.
   EXPECT_NEAR(settings.leader_lease_s(), 28.5, 0.1);
 }
 
@@ -114,11 +115,12 @@
       "[deployment.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 20\nnovelty = 1\n");
   ASSERT_TRUE(settings.state_next);
   const auto limits = settings.state_limits();
-  EXPECT_DOUBLE_EQ(limits.rps, 120) << "left out: as it is";
+  EXPECT_DOUBLE_EQ(limits.rps, 120) << "an absent limit stays as it is";
   EXPECT_DOUBLE_EQ(limits.write_rps, 18);
   EXPECT_DOUBLE_EQ(limits.value_kb, 2);
-  EXPECT_EQ(limits.transaction_writes_max, 8) << "a larger one to come holds nothing now";
-  EXPECT_DOUBLE_EQ(settings.state.value_kb, 4) << "the partition of the records stays";
+  EXPECT_EQ(limits.transaction_writes_max, 8) << "a larger announced limit does not apply yet";
+  EXPECT_DOUBLE_EQ(settings.state.value_kb, 4)
+      << "jobs are divided into blocks by the present limit";
 }
 
 TEST_F(SettingsFile, ErrorsNameTheKeyOfAnnouncedLimits) {
--- a/tests/status_responder_test.cpp
+++ b/tests/status_responder_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What may be told of a job, and the last check before it is told.
+/// Which job states may be reported, and the last check before a response is sent.
 #include "api/status_responder.hpp"
 
 #include <gtest/gtest.h>
@@ -54,7 +54,8 @@
   EXPECT_EQ(respond(ConfirmedStatus::of_final_record(done, "job-1").value(), 12).status, 200);
 }
 
-/// The question came before the final state was told: no fault, but the user hears the newer state.
+/// The request arrived before the final state was reported. This is no defect, so it does not count
+/// as withheld, but the response must contain the newer state.
 TEST_F(StatusResponderTest, OlderStateIsSupersededByTheReportedFinalState) {
   time_.run_until(10);
   const auto cancelled = mirror_with_job(true);
@@ -84,7 +85,8 @@
     EXPECT_FALSE(AppliedCommit::of({outcome, 5, {}}));
 }
 
-/// The answer to the commit took long: what it created may have ended since.
+/// The state store's response to a commit may arrive late: the job that the commit created may have
+/// been cancelled or finished since.
 TEST_F(StatusResponderTest, CommitDoesNotConfirmAStatusThatTheMirrorContradicts) {
   const auto commit = AppliedCommit::of({store::Outcome::ok, 7, {}});
   EXPECT_TRUE(ConfirmedStatus::created(*commit, mirror_, "job-1")) << "the mirror is behind";
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// The stored records, the mirror, messages between controllers, and the concurrency limit.
 #include <gtest/gtest.h>
 
 #include "api/concurrency_limit.hpp"
@@ -62,7 +64,8 @@
   EXPECT_TRUE(back.machines[1].removed);
 }
 
-/// The size that limits are counted by is never more than what was reckoned.
+/// The JSON size, to which the state store's limits apply, must not exceed the computed upper
+/// bound.
 TEST(Records, AFullBlockTakesLessThanHalfOfItsValue) {
   for (const double kb : {1.0, 4.0, 16.0}) {
     BlockEntry entry{"job-00000412", 99'999, {}};
@@ -78,8 +81,8 @@
   }
 }
 
-/// So that a block of an earlier version, whole and started, fits into one value
-/// of the smallest limit under which nothing has to be held back.
+/// A block of an earlier version, with all tasks started, fits into one value under the smallest
+/// limits at which no task's start has to be delayed.
 TEST(Records, FullBlockOfAnEarlierVersionFitsIntoASmallerValue) {
   BlockEntry entry{"job-00000412", 99'999, {}};
   const auto size = block_size(16);
@@ -91,13 +94,14 @@
     const auto value = encode_slot(1'000'000, {pack(entry).bytes}, {});
     EXPECT_LE(wire::json_size(wire::Document::parse(value).root()), value_bytes(kb)) << kb;
   }
-  EXPECT_LT(max_started_tasks(1), size) << "below, tasks of a block wait for each other";
+  EXPECT_LT(max_started_tasks(1), size)
+      << "below 1.5 KiB, some tasks of a block must wait for others";
   EXPECT_FALSE(startable_at_once(40, 1, 16));
   EXPECT_TRUE(startable_at_once(40, 2, 16));
 }
 
-/// What a cancelled job needs no more goes, if its record is too large with it;
-/// an earlier version reads the rest.
+/// If the record is too large, the fields that a cancelled job no longer needs are removed. Earlier
+/// versions can read the remaining record.
 TEST(Records, ACancelledJobsRecordFitsUnderASmallerLimit) {
   JobRecord record;
   record.spec.id = "job-1";
@@ -133,7 +137,7 @@
   mirror.apply({11, {{slot_key(1), value(6, 5), 10}, {slot_key(2), value(9, 3), 11}}});
   EXPECT_EQ(mirror.blocks("job-1")->at(0).record.tasks[0].attempt, 3U);
   EXPECT_EQ(mirror.blocks("job-1")->at(0).slot, 2U);
-  // With the job goes what is known of it, and old values don't bring it back.
+  // Removing the job removes its blocks, and later values don't restore them.
   mirror.apply({12, {{job_key("job-1"), std::nullopt, 12}}});
   mirror.apply({13, {{slot_key(3), value(10, 4), 13}}});
   EXPECT_EQ(mirror.blocks("job-1"), nullptr);
@@ -157,7 +161,7 @@
   mirror.load({{{job_key("job-2"), job_value("job-2", true), 12}}, false, 12});
   EXPECT_FALSE(mirror.loaded());
   EXPECT_EQ(mirror.watch_start_revision(), 10U);
-  // What lies between is replayed, and an older value never wins.
+  // The changes between both pages are replayed, and an older value never replaces a newer one.
   mirror.apply({12,
                 {{job_key("job-2"), job_value("job-2", false), 11},
                  {job_key("job-1"), std::nullopt, 11},
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// Encoding and decoding of the messages of users and workers.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -100,7 +102,7 @@
 }
 
 TEST(Codec, MutatedMessagesAreDecodedOrRejected) {
-  // Whatever arrives is decoded or refused; nothing else may happen.
+  // Any bytes must be decoded or rejected with a DecodeError, without a crash or another exception.
   std::mt19937 random(7);
   const std::string good = packed(sample_job());
   std::size_t refused = 0;
@@ -131,8 +133,8 @@
 }
 
 TEST(Codec, HeartbeatsWithUnknownTaskStatesAreDecoded) {
-  // A task state that a later platform adds must not cost the whole heartbeat:
-  // unanswered heartbeats let the worker's lease run out.
+  // A task state that a later version of the platform adds must not make the whole heartbeat
+  // invalid: the worker's lease expires if its heartbeats are not answered.
   Packer packer;
   packer.map(6).key("host").text("host-1").key("build").text("g8").key("yard").text("a");
   packer.key("shift").integer(1).key("tick").integer(2).key("shards").list(1);
