--- a/tests/answer_order_test.cpp
+++ b/tests/answer_order_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// No answer goes back: once a user was told that a job is done or cancelled, no controller says
-/// anything else of it, whichever request is asked and whatever the controller knows at that time.
+/// Once a user was told that a job is done or cancelled, no controller may report any other state
+/// of it, for any kind of request and however far the controller's mirror lags behind.
 #include <gtest/gtest.h>
 
 #include "support/histories.hpp"
@@ -11,8 +11,8 @@
 
 using wire::JobState;
 
-/// A job that is accepted and cancelled through one controller, while another one does not hear of
-/// it: its watch is held. The job has no final record yet, for its machines can't be asked.
+/// A job is accepted and cancelled through the leader, while the watch of another controller is
+/// stalled. The job has no final record yet, because its machines can't be reached.
 class AnswersOfALaggingController : public ::testing::Test {
  protected:
   void accept_and_cancel() {
@@ -33,8 +33,8 @@
   std::optional<net::Response> ask_lagging(const net::Request& request) {
     return world_.response_of(lagging_, request, 6);
   }
-  /// An answer may be missing, but it must not tell a state other than cancelled.
-  static void expect_nothing_but_cancelled(const std::optional<net::Response>& response) {
+  /// The request may be refused with 503, but must not report a state other than cancelled.
+  static void expect_cancelled_or_unavailable(const std::optional<net::Response>& response) {
     ASSERT_TRUE(response);
     if (response->status == 503) return;
     ASSERT_EQ(response->status, 200);
@@ -46,36 +46,36 @@
   wire::JobSpec job_ = array(1, 2, 3000);
 };
 
-/// The conflict with the accepted job gets lost on its way. The controller then finds the job in
-/// the state store, which shows that the job was accepted, but not that it is still queued.
-TEST_F(AnswersOfALaggingController, ARepeatedSubmissionWithoutAReplyOfTheStateStore) {
+/// The state store's conflict response is lost. The controller then finds the job in the state
+/// store, which shows that the job was accepted, but not that it is still queued.
+TEST_F(AnswersOfALaggingController, RepeatedSubmissionReportsNoOlderStateWhenTheConflictIsLost) {
   accept_and_cancel();
   store().faults.late_write_share = 1;
-  expect_nothing_but_cancelled(ask_lagging(submit_request(job_)));
+  expect_cancelled_or_unavailable(ask_lagging(submit_request(job_)));
 }
 
-/// The same, and the controller's watch goes on in time: the user gets an answer.
-TEST_F(AnswersOfALaggingController, ARepeatedSubmissionIsAnsweredOnceTheReplicaIsCurrent) {
+/// The same, but the controller's watch resumes before the request times out.
+TEST_F(AnswersOfALaggingController, RepeatedSubmissionIsAnsweredOnceTheMirrorIsCurrent) {
   accept_and_cancel();
   store().faults.late_write_share = 1;
   world_.loop.after(1, [&] { store().faults.watch_stalled = false; });
   const auto response = ask_lagging(submit_request(job_));
   ASSERT_TRUE(response);
   EXPECT_EQ(response->status, 200);
-  expect_nothing_but_cancelled(response);
+  expect_cancelled_or_unavailable(response);
 }
 
-TEST_F(AnswersOfALaggingController, PollsAndOtherSubmissions) {
+TEST_F(AnswersOfALaggingController, PollsAndSubmissionsReportNoOlderState) {
   accept_and_cancel();
-  expect_nothing_but_cancelled(ask_lagging(status_request(job_.id)));
-  expect_nothing_but_cancelled(ask_lagging(submit_request(job_)));
+  expect_cancelled_or_unavailable(ask_lagging(status_request(job_.id)));
+  expect_cancelled_or_unavailable(ask_lagging(submit_request(job_)));
   auto rejected = job_;
   rejected.team = "nobody";
-  expect_nothing_but_cancelled(ask_lagging(submit_request(rejected)));
+  expect_cancelled_or_unavailable(ask_lagging(submit_request(rejected)));
 }
 
-/// The record of a job changes to something that no controller can decode. The former record is not
-/// the present one, whatever revision the mirror has reached.
+/// The record of a job is replaced by bytes that no controller can decode. The previous record is
+/// outdated, and must not be used for answers even if the mirror has reached the present revision.
 class UnreadableRecords : public ::testing::Test {
  protected:
   void store_value(const std::string& key, const std::string& value) {
@@ -87,7 +87,7 @@
     world_.run_for(1);
   }
   static std::string unreadable() { return wire::Packer().map(0).take(); }
-  int status_of(const net::Request& request) {
+  int http_status_of(const net::Request& request) {
     const auto response = world_.response_of(1, request, 6);
     return response ? response->status : 0;
   }
@@ -95,7 +95,7 @@
   World world_{4200};
 };
 
-TEST_F(UnreadableRecords, AJobIsNotAnsweredForUntilItsRecordCanBeRead) {
+TEST_F(UnreadableRecords, JobRequestsGet503UntilTheRecordIsDecodable) {
   const auto job = array(1, 2, 3000);
   world_.run_until(10);
   world_.submit(job);
@@ -103,23 +103,24 @@
   const auto key = store::job_key(job.id);
   const auto readable = world_.state.get(key).entry.value;
   store_value(key, unreadable());
-  EXPECT_EQ(status_of(status_request(job.id)), 503);
-  EXPECT_EQ(status_of(submit_request(job)), 503);
+  EXPECT_EQ(http_status_of(status_request(job.id)), 503);
+  EXPECT_EQ(http_status_of(submit_request(job)), 503);
   store_value(key, readable);
-  EXPECT_EQ(status_of(status_request(job.id)), 200);
+  EXPECT_EQ(http_status_of(status_request(job.id)), 200);
 }
 
-TEST_F(UnreadableRecords, AFinalRecordDoesNotEndTheController) {
+TEST_F(UnreadableRecords, FinalRecordGets503AndDoesNotStopTheController) {
   world_.run_until(10);
   store_value(store::final_key("job-9"), unreadable());
-  EXPECT_EQ(status_of(status_request("job-9")), 503);
+  EXPECT_EQ(http_status_of(status_request("job-9")), 503);
 }
 
-/// Random histories in which users look closely, and in which answers of the state store get lost,
-/// writes are applied late, watches lag, and controllers stand still, end and change the lead.
-class CloseLooks : public ::testing::Test {
+/// Random histories in which users check each newly reported state at all controllers, while
+/// responses of the state store are lost, writes are applied late, watches lag, controllers freeze
+/// and crash, and the leader changes.
+class AnswerHistories : public ::testing::Test {
  protected:
-  /// Lasts some seconds and strikes one node, or all.
+  /// Starts a random fault of some seconds, which affects one node or all.
   static void begin_fault(World& world) {
     const auto node = world.pick(world.node_count());
     const double length = 1 + 6 * world.random();
@@ -131,7 +132,7 @@
       case 0:
         faults.watch_stalled = true;
         return end([](FakeStore::Faults& ended) { ended.watch_stalled = false; });
-      case 1:  // carried out at once, only the answer is lost
+      case 1:  // the write is applied almost at once, and only the response is lost
         faults.late_write_share = 0.7;
         faults.late_write_delay_s = 0.002;
         return end([](FakeStore::Faults& ended) {
@@ -156,8 +157,8 @@
     }
   }
 
-  /// Returns the number of jobs that were called done.
-  static std::size_t play(unsigned seed) {
+  /// Returns the number of jobs that were reported as done.
+  static std::size_t run_history(unsigned seed) {
     World world(41'000 + seed, 3 + seed % 3);
     world.cloud.capacity = 30;
     world.users.cross_check_states();
@@ -182,11 +183,11 @@
   }
 };
 
-TEST_F(CloseLooks, NoAnswerGoesBack) {
+TEST_F(AnswerHistories, ReportedFinalStatesNeverChange) {
   std::size_t finished = 0;
   for (unsigned seed = 1; seed <= last_seed(30); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    finished += play(seed);
+    finished += run_history(seed);
   }
   EXPECT_GT(finished, 0U);
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// The stored records, the mirror, messages between controllers, and the concurrency limit.
 #include <gtest/gtest.h>
 
 #include "api/concurrency_limit.hpp"
@@ -62,7 +64,8 @@
   EXPECT_TRUE(back.machines[1].removed);
 }
 
-/// The size that limits are counted by is never more than what was reckoned.
+/// The JSON size, to which the state store's limits apply, must not exceed the computed upper
+/// bound.
 TEST(Records, AFullBlockTakesLessThanHalfOfItsValue) {
   for (const double kb : {1.0, 4.0, 16.0}) {
     BlockEntry entry{"job-00000412", 99'999, {}};
@@ -78,9 +81,9 @@
   }
 }
 
-/// So that a block of an earlier version, whole and started, fits into one value
-/// of the smallest limit under which nothing has to be held back.
-TEST(Records, AFullBlockFitsIntoASmallerValueWithItsFrame) {
+/// A block of an earlier version, with all tasks started, fits into one value under the smallest
+/// limits at which no task's start has to be delayed.
+TEST(Records, FullBlockOfAnEarlierVersionFitsIntoASmallerValue) {
   BlockEntry entry{"job-00000412", 99'999, {}};
   const auto size = block_size(16);
   entry.record.done.assign(size, false);
@@ -91,13 +94,14 @@
     const auto value = encode_slot(1'000'000, {pack(entry).bytes}, {});
     EXPECT_LE(wire::json_size(wire::Document::parse(value).root()), value_bytes(kb)) << kb;
   }
-  EXPECT_LT(max_started_tasks(1), size) << "below, tasks of a block wait for each other";
+  EXPECT_LT(max_started_tasks(1), size)
+      << "below 1.5 KiB, some tasks of a block must wait for others";
   EXPECT_FALSE(startable_at_once(40, 1, 16));
   EXPECT_TRUE(startable_at_once(40, 2, 16));
 }
 
-/// What a cancelled job needs no more goes, if its record is too large with it;
-/// an earlier version reads the rest.
+/// If the record is too large, the fields that a cancelled job no longer needs are removed. Earlier
+/// versions can read the remaining record.
 TEST(Records, ACancelledJobsRecordFitsUnderASmallerLimit) {
   JobRecord record;
   record.spec.id = "job-1";
@@ -105,19 +109,19 @@
   record.spec.image = std::string(200, 'i');
   record.spec.tasks = 9;
   record.spec.types.assign(500, "m12");
-  const auto most = value_bytes(2);
-  ASSERT_GT(json_size(record), most);
-  const auto cancelled = cancelled_record(record, most);
+  const auto max_bytes = value_bytes(2);
+  ASSERT_GT(json_size(record), max_bytes);
+  const auto cancelled = cancelled_record(record, max_bytes);
   EXPECT_TRUE(cancelled.cancelled);
-  EXPECT_LE(json_size(cancelled), most);
+  EXPECT_LE(json_size(cancelled), max_bytes);
   const auto read = decode_job(encode(cancelled));
   EXPECT_EQ(read.spec.tasks, 9U);
   EXPECT_TRUE(read.cancelled);
   record.spec.types.resize(2);
-  EXPECT_EQ(cancelled_record(record, most).spec.types.size(), 2U);
+  EXPECT_EQ(cancelled_record(record, max_bytes).spec.types.size(), 2U);
 }
 
-TEST(Mirror, TheHighestNumberHoldsInWhateverOrderValuesCome) {
+TEST(Mirror, HighestValueNumberWinsInAnyOrder) {
   const auto value = [](std::uint64_t number, std::uint64_t attempt) {
     return slot_value(number, {{"job-1", 0, {{false, false, false}, {{0, attempt, "host-1"}}}}});
   };
@@ -133,13 +137,13 @@
   mirror.apply({11, {{slot_key(1), value(6, 5), 10}, {slot_key(2), value(9, 3), 11}}});
   EXPECT_EQ(mirror.blocks("job-1")->at(0).record.tasks[0].attempt, 3U);
   EXPECT_EQ(mirror.blocks("job-1")->at(0).slot, 2U);
-  // With the job goes what is known of it, and old values don't bring it back.
+  // Removing the job removes its blocks, and later values don't restore them.
   mirror.apply({12, {{job_key("job-1"), std::nullopt, 12}}});
   mirror.apply({13, {{slot_key(3), value(10, 4), 13}}});
   EXPECT_EQ(mirror.blocks("job-1"), nullptr);
 }
 
-TEST(Mirror, SkipsARecordThatCantBeRead) {
+TEST(Mirror, SkipsUndecodableRecords) {
   Mirror mirror;
   mirror.load(
       {{{slot_key(0), "\x81\xa1n\xa1x", 1}, {job_key("job-1"), job_value("job-1", false), 2}},
@@ -149,7 +153,7 @@
   EXPECT_NE(mirror.job("job-1"), nullptr);
 }
 
-TEST(Mirror, IsWholeOnlyOnceTheWatchPassedTheLastPage) {
+TEST(Mirror, IsLoadedOnceTheWatchHasPassedTheLastPage) {
   Mirror mirror;
   mirror.load({{{job_key("job-1"), job_value("job-1", false), 5}}, true, 10});
   EXPECT_FALSE(mirror.loaded());
@@ -157,7 +161,7 @@
   mirror.load({{{job_key("job-2"), job_value("job-2", true), 12}}, false, 12});
   EXPECT_FALSE(mirror.loaded());
   EXPECT_EQ(mirror.watch_start_revision(), 10U);
-  // What lies between is replayed, and an older value never wins.
+  // The changes between both pages are replayed, and an older value never replaces a newer one.
   mirror.apply({12,
                 {{job_key("job-2"), job_value("job-2", false), 11},
                  {job_key("job-1"), std::nullopt, 11},
@@ -171,7 +175,7 @@
   EXPECT_EQ(mirror.status("job-2").state, wire::JobState::cancelled);
 }
 
-TEST(Mirror, CountsComeFromTheBlocks) {
+TEST(Mirror, TaskCountsComeFromTheBlocks) {
   Mirror mirror;
   BlockRecord block;
   block.done = {true, false, false};
@@ -186,7 +190,7 @@
   EXPECT_EQ(status.running, 1U);
 }
 
-TEST(Mirror, OldFinalStatesAreLetGo) {
+TEST(Mirror, OldestFinalStatesAreEvicted) {
   Mirror mirror;
   for (std::size_t i = 0; i < constants::kFinalStateCacheSize + 10; ++i)
     mirror.cache_final_state("job-" + std::to_string(i), {});
@@ -194,7 +198,7 @@
   EXPECT_TRUE(mirror.final_state("job-20000"));
 }
 
-TEST(PeerMessages, SurviveTheRoundTripAndRefuseRubbish) {
+TEST(PeerMessages, ValidMessagesSurviveTheRoundTripAndInvalidOnesAreRejected) {
   const auto back =
       peer::decode(peer::encode(peer::ForwardedHeartbeat{"node-1", 7, std::string("a\0b", 3)}));
   EXPECT_EQ(std::get<peer::ForwardedHeartbeat>(back).id, 7U);
@@ -203,7 +207,7 @@
   EXPECT_THROW((void)peer::decode(""), std::exception);
 }
 
-TEST(ConcurrencyLimit, ShrinksWhenTimesGrowAndRecovers) {
+TEST(ConcurrencyLimit, ShrinksWhenRequestsTakeLongerAndRecovers) {
   api::ConcurrencyLimit limit;
   const auto serve = [&](double seconds, int times) {
     for (int i = 0; i < times; ++i) {
@@ -212,11 +216,11 @@
     }
   };
   serve(0.03, 50);
-  const double calm = limit.limit();
+  const double limit_before_overload = limit.limit();
   serve(1.0, 50);
-  EXPECT_LT(limit.limit(), calm / 2);
+  EXPECT_LT(limit.limit(), limit_before_overload / 2);
   serve(0.03, 200);
-  EXPECT_GT(limit.limit(), calm / 2);
+  EXPECT_GT(limit.limit(), limit_before_overload / 2);
 }
 
 TEST(ConcurrencyLimit, ShedsBeyondTheLimit) {
