--- a/src/api/concurrency_limit.hpp
+++ b/src/api/concurrency_limit.hpp
@@ -50,8 +50,8 @@
     const double gradient =
         std::clamp(constants::kOverloadTimeRatio * shortest_s_ / recent_s_, kGradientMin, 1.0);
     // The square root lets the limit grow as long as the gradient does not push it down.
-    const double wanted = limit_ * gradient + std::sqrt(limit_);
-    limit_ += constants::kMovingAverageWeight * (wanted - limit_);
+    const double target = limit_ * gradient + std::sqrt(limit_);
+    limit_ += constants::kMovingAverageWeight * (target - limit_);
     limit_ = std::clamp(limit_, constants::kMinRequestLimit, maximum_);
   }
 
--- a/src/api/status_responder.cpp
+++ b/src/api/status_responder.cpp
@@ -22,11 +22,11 @@
 }
 
 net::Response StatusResponder::respond(int http_status, const ConfirmedStatus& confirmed,
-                                       wire::TaskCounts counts, double asked_at) {
+                                       wire::TaskCounts counts, double received_at) {
   const auto& status = confirmed.status();
   const auto* reported = reported_states_.find(status.id);
   if (reported != nullptr && reported->status.state != status.state) {
-    if (asked_at > reported->at) return withhold(*reported, confirmed);
+    if (received_at > reported->at) return withhold(*reported, confirmed);
     ++counts_.superseded;
     spdlog::debug("answer superseded: job={} told={} now={} path={} revision={}", status.id,
                   wire::to_text(reported->status.state), wire::to_text(status.state),
--- a/src/api/status_responder.hpp
+++ b/src/api/status_responder.hpp
@@ -38,15 +38,15 @@
   StatusResponder(const runtime::EventLoop& event_loop, const store::Mirror& mirror)
       : loop_(event_loop), mirror_(mirror) {}
 
-  /// The response to a request that this controller received at `asked_at`, in seconds of the event
-  /// loop's steady clock.
+  /// The response to a request that this controller received at `received_at`, in seconds of the
+  /// event loop's steady clock.
   ///
   /// Once this controller has reported a job as done or cancelled, it reports no other state of it.
   /// If that happened while the request was in progress, the response contains the final state. If
   /// it happened before the request, an earlier check failed to exclude this answer: the response
   /// is 503, and an error is logged ("Reads never go back" in docs/design.md).
   [[nodiscard]] net::Response respond(int http_status, const ConfirmedStatus& confirmed,
-                                      wire::TaskCounts counts, double asked_at);
+                                      wire::TaskCounts counts, double received_at);
   /// Numbers of answers by source.
   [[nodiscard]] const AnswerCounts& counts() const { return counts_; }
   /// Number of jobs whose reported final state is kept.
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -27,7 +27,7 @@
   }
   const double now = loop_.now();
   auto call = std::make_shared<Call>();
-  call->asked_at = now;
+  call->received_at = now;
   call->deadline = now + timeout_s;
   call->respond = [this, now, respond = std::move(respond)](net::Response response) {
     // A 503 is caused by a failure of the state store, so its duration does not reflect this
@@ -38,9 +38,9 @@
   return call;
 }
 
-void UserApi::retry_before_deadline(const CallPtr& call, std::function<void()> again) {
+void UserApi::retry_before_deadline(const CallPtr& call, std::function<void()> retry) {
   if (loop_.now() + k::kStateRetry >= call->deadline) return reply_unavailable(call);
-  loop_.after(k::kStateRetry / 2, scope_.wrap(std::move(again)));
+  loop_.after(k::kStateRetry / 2, scope_.wrap(std::move(retry)));
 }
 
 bool UserApi::in_mirror(const std::string& id) const {
@@ -51,7 +51,7 @@
 
 void UserApi::reply_status(const CallPtr& call, int http_status, const ConfirmedStatus& status,
                            wire::TaskCounts counts) {
-  call->respond(responder_.respond(http_status, status, counts, call->asked_at));
+  call->respond(responder_.respond(http_status, status, counts, call->received_at));
 }
 
 void UserApi::reply_error(const CallPtr& call, int http_status, std::string_view text) {
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -69,10 +69,10 @@
   /// A request in progress.
   struct Call {
     net::Responder respond;
-    double asked_at = 0;  ///< seconds on the event loop's steady clock
-    double deadline = 0;  ///< seconds on the same clock
-    wire::JobSpec spec;   ///< of a submission
-    std::string id;       ///< of the job
+    double received_at = 0;  ///< seconds on the event loop's steady clock
+    double deadline = 0;     ///< seconds on the same clock
+    wire::JobSpec spec;      ///< of a submission
+    std::string id;          ///< of the job
   };
   using CallPtr = std::shared_ptr<Call>;
 
@@ -80,8 +80,8 @@
   /// Counts the request against the concurrency limit. Returns nullptr when the request is shed,
   /// which has then been answered.
   CallPtr admit(net::Responder respond, double timeout_s);
-  /// Calls `again` after a pause, or answers with 503 if the deadline does not allow that.
-  void retry_before_deadline(const CallPtr& call, std::function<void()> again);
+  /// Calls `retry` after a pause, or answers with 503 if the deadline does not allow that.
+  void retry_before_deadline(const CallPtr& call, std::function<void()> retry);
 
   // Answers.
   void reply_status(const CallPtr& call, int http_status, const ConfirmedStatus& status,
--- a/src/autoscaler/health_review.cpp
+++ b/src/autoscaler/health_review.cpp
@@ -47,8 +47,8 @@
 
 void HealthReview::review(double now) {
   Findings findings;
-  for (auto& [id, slot] : model_.machines()) {
-    auto& machine = *slot;
+  for (auto& [id, owned_machine] : model_.machines()) {
+    auto& machine = *owned_machine;
     if (machine.terminating || machine.reported_failed) {
       terminations_.mark(machine);
     } else if (machine.heartbeat_received) {
--- a/src/autoscaler/pool_survey.cpp
+++ b/src/autoscaler/pool_survey.cpp
@@ -27,14 +27,14 @@
 }
 
 void count_machine(std::vector<sched::Pool>& pools, const state::Machine& machine,
-                   double silent_after_s, double now) {
+                   double heartbeat_timeout_s, double now) {
   const auto pool = std::find_if(pools.begin(), pools.end(), [&](const sched::Pool& other) {
     return other.spot == machine.spot && other.zone == machine.zone;
   });
   if (pool == pools.end()) return;
   if (!machine.heartbeat_received) {
     ++pool->booting;
-  } else if (machine.silent_for(now) < silent_after_s) {
+  } else if (machine.silent_for(now) < heartbeat_timeout_s) {
     ++pool->alive;
   }
 }
--- a/src/controller/routes.hpp
+++ b/src/controller/routes.hpp
@@ -24,7 +24,7 @@
   std::string job_id;                       ///< of poll_job and cancel_job; not checked
 };
 
-/// The route of a request. `path` may carry a query, which is ignored.
-[[nodiscard]] Route find_route(const std::string& method, const std::string& path);
+/// The route of a request. The query is ignored.
+[[nodiscard]] Route find_route(const std::string& method, const std::string& path_and_query);
 
 }  // namespace elmstall::controller
--- a/src/dispatch/command_composer.cpp
+++ b/src/dispatch/command_composer.cpp
@@ -67,9 +67,9 @@
 std::vector<wire::WorkerCommand> CommandComposer::compose(state::Machine& machine, double now,
                                                           bool may_start_tasks) {
   Commands commands = cancellations(machine);
-  for (const auto& name : machine.unrecorded_tasks) {
+  for (const auto& unrecorded : machine.unrecorded_tasks) {
     if (commands.size() >= k::kMaxCommands) break;
-    commands.push_back({Verb::stop, name.job, name.index, name.attempt, 0});
+    commands.push_back({Verb::stop, unrecorded.job, unrecorded.index, unrecorded.attempt, 0});
   }
   add_clears(machine, commands);
   for (auto* task : machine.tasks) {
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -92,12 +92,12 @@
   if (!std::exchange(due_, false) || !context_.lease.valid()) return;
   const double now = context_.event_loop.now();
   const bool may_start_tasks = context_.lease.may_start_tasks();
-  auto& attention = context_.model.machines_to_command();
-  for (auto it = attention.begin(); it != attention.end();) {
+  auto& machines = context_.model.machines_to_command();
+  for (auto it = machines.begin(); it != machines.end();) {
     auto& machine = **it;
     const bool needs_commands = machine.synchronized && awaits_commands(machine);
     if (!needs_commands) {
-      it = attention.erase(it);  // its next heartbeat, or a change, adds it again
+      it = machines.erase(it);  // its next heartbeat, or a change, adds it again
       continue;
     }
     if (rpc_possible(machine)) {
@@ -166,11 +166,12 @@
   // No task may be moved off a machine before the machine has shown the new token (rule 3), and
   // its next heartbeat may take long to arrive.
   const double now = context_.event_loop.now();
-  std::size_t begun = 0;
+  std::size_t started_rpcs = 0;
   for (auto& [id, machine] : context_.model.machines()) {
-    if (begun == k::kSynchronizationsPerTick || rpcs_in_flight_ >= k::kCommandRpcsMax) return;
+    if (started_rpcs == k::kSynchronizationsPerTick || rpcs_in_flight_ >= k::kCommandRpcsMax)
+      return;
     if (!needs_synchronization(*machine, now)) continue;
-    ++begun;
+    ++started_rpcs;
     machine->rpc_backoff_until = now + kSynchronizationPause;
     start_rpc(*machine, {});
   }
--- a/src/placement/direct_placement.cpp
+++ b/src/placement/direct_placement.cpp
@@ -10,7 +10,7 @@
 
 namespace elmstall::placement {
 
-std::vector<state::Job*> DirectPlacement::open_jobs_by_precedence(double now) {
+std::vector<state::Job*> DirectPlacement::jobs_by_precedence(double now) {
   std::vector<state::Job*> jobs;
   for (auto* job : model_.jobs_with_unqueued_tasks()) {
     if (is_placed_directly(*job) && !job->cancelled && job->failed_until <= now && !job->all_done())
@@ -25,28 +25,27 @@
   return jobs;
 }
 
-void DirectPlacement::place_open_jobs(double now) {
-  for (auto* job : open_jobs_by_precedence(now)) {
-    if (place(*job, now) == Progress::nothing_to_place)
-      model_.jobs_with_unqueued_tasks().erase(job);
+void DirectPlacement::place_jobs(double now) {
+  for (auto* job : jobs_by_precedence(now)) {
+    if (place(*job, now) == Progress::complete) model_.jobs_with_unqueued_tasks().erase(job);
   }
 }
 
 DirectPlacement::Progress DirectPlacement::place(state::Job& job, double now) {
   if (job.is_gang()) {
-    const bool still_open = gangs_.advance(job, machines_.with_room_for_gangs(), now);
-    return still_open ? Progress::still_open : Progress::nothing_to_place;
+    const bool incomplete = gangs_.advance(job, machines_.with_room_for_gangs(), now);
+    return incomplete ? Progress::incomplete : Progress::complete;
   }
   choose_zone(job, now);
   return place_tasks(job, now);
 }
 
 DirectPlacement::Progress DirectPlacement::place_tasks(state::Job& job, double now) {
-  auto progress = Progress::nothing_to_place;
+  auto progress = Progress::complete;
   for (std::uint32_t number = 0; number < job.block_count; ++number) {
     for (auto& task : model_.load_block(job, number, nullptr).tasks) {
       if (!task.is_pending()) continue;
-      progress = Progress::still_open;
+      progress = Progress::incomplete;
       if (task.not_before() > now || !model_.recordable(task)) continue;
       // All tasks of a job have the same needs: if this one can't be placed, nor can the others.
       if (!place_task(task, now)) return progress;
--- a/src/placement/direct_placement.hpp
+++ b/src/placement/direct_placement.hpp
@@ -26,15 +26,16 @@
         preemption_(preemption),
         gangs_(gangs) {}
 
-  /// Advances all open jobs of these kinds by one step, by precedence and then by age. Jobs with
-  /// nothing left to place are no longer open afterwards.
-  void place_open_jobs(double now);
+  /// Advances all jobs of these kinds in Model::jobs_with_unqueued_tasks() by one step, by
+  /// precedence and then by age. Jobs with nothing left to place are removed from that set.
+  void place_jobs(double now);
 
  private:
-  /// Whether a job remains in the set of open jobs.
-  enum class Progress : std::uint8_t { still_open, nothing_to_place };
+  /// Whether the placement of a job is complete. The job is then no longer one of
+  /// Model::jobs_with_unqueued_tasks().
+  enum class Progress : std::uint8_t { incomplete, complete };
 
-  [[nodiscard]] std::vector<state::Job*> open_jobs_by_precedence(double now);
+  [[nodiscard]] std::vector<state::Job*> jobs_by_precedence(double now);
   [[nodiscard]] Progress place(state::Job& job, double now);
   [[nodiscard]] Progress place_tasks(state::Job& job, double now);
   /// Starts one task, or makes room for it; false if neither is possible now.
--- a/src/placement/job_queues.cpp
+++ b/src/placement/job_queues.cpp
@@ -97,13 +97,13 @@
   return total.complete && job.next_block >= job.block_count;
 }
 
-void JobQueues::enqueue_open_jobs(double now) {
-  auto& open = model_.jobs_with_unqueued_tasks();
-  for (auto it = open.begin(); it != open.end();) {
+void JobQueues::enqueue_jobs(double now) {
+  auto& jobs = model_.jobs_with_unqueued_tasks();
+  for (auto it = jobs.begin(); it != jobs.end();) {
     auto& job = **it;
     const bool over = job.cancelled || job.all_done();
     const bool nothing_left = over || (!is_placed_directly(job) && enqueue_job(job, now));
-    it = nothing_left ? open.erase(it) : std::next(it);
+    it = nothing_left ? jobs.erase(it) : std::next(it);
   }
 }
 
--- a/src/placement/job_queues.hpp
+++ b/src/placement/job_queues.hpp
@@ -38,7 +38,7 @@
 
   /// Puts the pending tasks of all open jobs into the queues. Jobs with nothing left to put there
   /// are no longer open afterwards.
-  void enqueue_open_jobs(double now);
+  void enqueue_jobs(double now);
   /// Takes the task out of its queue, if it is in one.
   void dequeue(state::Task& task);
   /// Sorts all queues anew and balances each group, once per `constants::kReorderInterval`.
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -22,8 +22,8 @@
   gangs_.begin_round();
   machines_.update(now);
   preemption_.assign_planned(now);
-  direct_placement_.place_open_jobs(now);
-  queues_.enqueue_open_jobs(now);
+  direct_placement_.place_jobs(now);
+  queues_.enqueue_jobs(now);
   queues_.reorder_and_balance(now);
   starter_.start_where_cached(now);
   starter_.start_on_machines_with_room(now);
--- a/src/placement/task_stop.cpp
+++ b/src/placement/task_stop.cpp
@@ -13,13 +13,13 @@
 
 /// Whether the task's machine will receive a stop command soon enough, and will run long enough
 /// after that, for a checkpoint to be written.
-bool can_write_checkpoint(const state::Task& task, double silent_after_s, double now) {
+bool can_write_checkpoint(const state::Task& task, double heartbeat_timeout_s, double now) {
   const auto& machine = *task.machine();
   const double time_needed_s = task.job->spec.checkpoint_s + constants::kGangCheckpointMargin;
   const bool interrupted_too_soon =
       machine.interruption_at && *machine.interruption_at - now < time_needed_s;
   return machine.synchronized && !machine.unresponsive && !interrupted_too_soon &&
-         now - machine.last_heartbeat < silent_after_s;
+         now - machine.last_heartbeat < heartbeat_timeout_s;
 }
 
 /// Whether every task of the gang can write a checkpoint. One that can't makes those of the others
@@ -27,9 +27,9 @@
 bool can_checkpoint_gang(const state::Model& model, const state::Job& job,
                          const std::vector<state::Task*>& tasks, double now) {
   if (job.gang.state != GangState::running || job.spec.checkpoint_every_s <= 0) return false;
-  const double silent_after_s = model.settings().heartbeat_timeout_s();
+  const double heartbeat_timeout_s = model.settings().heartbeat_timeout_s();
   return std::all_of(tasks.begin(), tasks.end(), [&](const state::Task* task) {
-    return task->may_be_on_machine() && can_write_checkpoint(*task, silent_after_s, now);
+    return task->may_be_on_machine() && can_write_checkpoint(*task, heartbeat_timeout_s, now);
   });
 }
 
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -16,7 +16,7 @@
 double LeaseExpiry::inherited_until() const {
   // The former leader may have replied to heartbeats until its leader lease ran out. Its last
   // reply may have renewed a worker lease, which then lasts for its full length.
-  return started_ + settings_.leader_lease_s() + settings_.lease_expired_after_s();
+  return started_at_ + settings_.leader_lease_s() + settings_.lease_expired_after_s();
 }
 
 void LeaseExpiry::update_delegations(double now) {
@@ -88,7 +88,7 @@
     if (!machine->retired) {
       // The machine is retired before its lease ends, so that all controllers that might reply to
       // it know of the retirement by then.
-      const double silent_since = std::max(latest_renewal, started_);
+      const double silent_since = std::max(latest_renewal, started_at_);
       if (now >= std::min(latest_lease_end, silent_since + settings_.heartbeat_timeout_s()))
         retire(*machine);
       continue;
--- a/src/reconcile/lease_expiry.hpp
+++ b/src/reconcile/lease_expiry.hpp
@@ -27,16 +27,16 @@
   /// Receives a machine whose tasks certainly do not run any more.
   using Expired = std::function<void(state::Machine&)>;
 
-  /// `started`: when this leadership began. `expired`: called for each machine whose tasks are
+  /// `started_at`: when this leadership began. `expired`: called for each machine whose tasks are
   /// certainly gone. The references have to outlive this object.
   LeaseExpiry(const config::Settings& settings, const store::Mirror& mirror, state::Model& model,
-              state::GroupCommit& group_commit, double started, PeerStates read_state,
+              state::GroupCommit& group_commit, double started_at, PeerStates read_state,
               Expired expired)
       : settings_(settings),
         mirror_(mirror),
         model_(model),
         group_commit_(group_commit),
-        started_(started),
+        started_at_(started_at),
         read_state_(std::move(read_state)),
         expired_(std::move(expired)) {}
 
@@ -60,7 +60,7 @@
   const store::Mirror& mirror_;
   state::Model& model_;
   state::GroupCommit& group_commit_;
-  double started_;
+  double started_at_;
   PeerStates read_state_;
   Expired expired_;
   bool any_delegated_ = true;  ///< some machine may have a zone delegate
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -81,10 +81,10 @@
 }
 
 Block& Model::load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored) {
-  auto& slot = job.blocks[number];
-  if (slot) return *slot;
-  slot = std::make_unique<Block>();
-  auto& block = *slot;
+  auto& entry = job.blocks[number];
+  if (entry) return *entry;
+  entry = std::make_unique<Block>();
+  auto& block = *entry;
   const auto size = store::block_size(settings_.state.value_kb);
   block.job = &job;
   block.number = number;
@@ -133,12 +133,12 @@
 }
 
 Machine& Model::machine(const std::string& id) {
-  auto& slot = machines_[id];
-  if (!slot) {
-    slot = std::make_unique<Machine>();
-    slot->id = id;
+  auto& entry = machines_[id];
+  if (!entry) {
+    entry = std::make_unique<Machine>();
+    entry->id = id;
   }
-  return *slot;
+  return *entry;
 }
 
 Machine* Model::find_machine(const std::string& id) {
--- a/tests/support/gangs.hpp
+++ b/tests/support/gangs.hpp
@@ -55,14 +55,14 @@
     double hung_since = -1;
   };
 
-  void start(const AttemptKey& name, Attempt& attempt);
-  void check_attempt(const AttemptKey& name);
-  void complete(const AttemptKey& name, Attempt& attempt);
-  void fail(const AttemptKey& name, Attempt& attempt, double within_s);
-  void check_saved(const AttemptKey& name, Attempt& attempt);
+  void start(const AttemptKey& key, Attempt& attempt);
+  void check_attempt(const AttemptKey& key);
+  void complete(const AttemptKey& key, Attempt& attempt);
+  void fail(const AttemptKey& key, Attempt& attempt, double within_s);
+  void check_saved(const AttemptKey& key, Attempt& attempt);
   [[nodiscard]] double run_time(const std::string& job);
   /// Progress of the job in seconds, up to now or to the first stop request.
-  [[nodiscard]] double total_progress(const AttemptKey& name, const Attempt& attempt);
+  [[nodiscard]] double total_progress(const AttemptKey& key, const Attempt& attempt);
 
   World& world_;
   std::map<AttemptKey, Attempt> attempts_;
