--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Admission of submissions: decides whether a well-formed job can ever run on this site. A job
-/// that can't is rejected at once (422), because it would otherwise wait for ever.
+/// Admission of submissions: checks whether a well-formed job can ever run in this deployment. A
+/// job that can't is rejected at once (422), because it would otherwise wait for ever.
 #pragma once
 
 #include <cstdint>
--- a/src/api/concurrency_limit.hpp
+++ b/src/api/concurrency_limit.hpp
@@ -3,7 +3,7 @@
 /// are much longer than the shortest ones, which indicates overload, and grows otherwise. Requests
 /// beyond the limit are shed.
 ///
-/// Time is measured by the caller. Runs on the controller's event loop.
+/// The caller passes the durations of requests. Runs on the controller's event loop.
 #pragma once
 
 #include <algorithm>
@@ -39,7 +39,7 @@
     --in_progress_;
     if (seconds < 0) return;
     seconds = std::max(seconds, constants::kMinMeasuredRequestTime);
-    // The shortest time grows a little with each measurement, so that it follows changes of the
+    // The shortest time grows a little with each request, so that it follows changes of the
     // requests' own cost over hours.
     shortest_s_ = shortest_s_ <= 0
                       ? seconds
@@ -49,7 +49,7 @@
                     : recent_s_ + constants::kMovingAverageWeight * (seconds - recent_s_);
     const double gradient =
         std::clamp(constants::kOverloadTimeRatio * shortest_s_ / recent_s_, kGradientMin, 1.0);
-    // The square root lets the limit grow as long as the gradient does not push it down.
+    // With the square root the limit grows as long as the gradient is close to 1.
     const double target = limit_ * gradient + std::sqrt(limit_);
     limit_ += constants::kMovingAverageWeight * (target - limit_);
     limit_ = std::clamp(limit_, constants::kMinRequestLimit, maximum_);
@@ -69,8 +69,8 @@
 
   double maximum_;
   double limit_ = constants::kInitialRequestLimit;
-  double shortest_s_ = 0;  ///< the shortest time of a request, seconds; 0: none measured yet
-  double recent_s_ = 0;    ///< the moving average of recent times, seconds; 0: none measured yet
+  double shortest_s_ = 0;  ///< the shortest time of a request, seconds; 0: none yet
+  double recent_s_ = 0;    ///< the moving average of recent times, seconds; 0: none yet
   int in_progress_ = 0;
   std::size_t shed_ = 0;
 };
--- a/src/autoscaler/demand_estimator.hpp
+++ b/src/autoscaler/demand_estimator.hpp
@@ -26,9 +26,9 @@
   DemandEstimator(const config::Settings& settings, state::Model& model,
                   const placement::RunTimeEstimates& estimates, TermStart term_start);
 
-  /// The demand of one machine type, in machines. Adds new jobs to the measured arrival rate of
-  /// the type. A job is new if it is younger than every job that earlier calls have looked at,
-  /// for whatever machine type: a job that could run on several types counts for the first only.
+  /// The demand for one machine type, in machines. Adds new jobs to the arrival rate of the type.
+  /// A job is new if it is younger than every job that earlier calls have examined, for whatever
+  /// machine type: a job that could run on several types counts for the first only.
   /// `now`: seconds on the event loop's steady clock.
   [[nodiscard]] sched::Demand estimate(const wire::MachineType& machine_type, double now);
 
@@ -60,7 +60,7 @@
   const placement::RunTimeEstimates& estimates_;
   TermStart term_start_;
   std::map<std::string, sched::ArrivalRate> arrivals_;  ///< by machine type, in machines
-  std::uint64_t newest_counted_serial_ = 0;  ///< of the jobs that earlier calls have looked at
+  std::uint64_t newest_counted_serial_ = 0;  ///< of the jobs that earlier calls have examined
 };
 
 }  // namespace elmstall::autoscaler
--- a/src/autoscaler/fleet_autoscaler.hpp
+++ b/src/autoscaler/fleet_autoscaler.hpp
@@ -41,10 +41,10 @@
   void terminate(state::Machine& machine);
 
  private:
-  /// Decides the size of the fleet, for one machine type after the other.
+  /// Plans the size of the fleet, for one machine type after the other.
   void plan(double now);
   void plan_machine_type(const wire::MachineType& machine_type, double now);
-  /// Whether this leader knows of every machine that former leaders have provisioned.
+  /// Whether the model contains every machine that former leaders have provisioned.
   [[nodiscard]] bool fleet_fully_known(double now) const;
 
   const config::Settings& settings_;
--- a/src/autoscaler/health_review.hpp
+++ b/src/autoscaler/health_review.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// Decides which machines have to be deleted because they are faulty: they have failed, are
-/// quarantined, sent no first heartbeat in time, stopped sending heartbeats (silent), or show no
-/// effect of commands (unresponsive).
+/// Selects the faulty machines that have to be deleted: they have failed, are quarantined, sent no
+/// first heartbeat in time, stopped sending heartbeats (silent), or show no effect of commands
+/// (unresponsive).
 ///
 /// A single machine that becomes silent has most likely failed. When many become silent at once,
 /// the cause is most likely a network partition, and deleting them would lose all their work. So
-/// the review first counts the machines affected and only then decides.
+/// the review counts the affected machines before it marks any of them.
 #pragma once
 
 #include <cstddef>
@@ -26,7 +26,7 @@
   HealthReview(const config::Settings& settings, state::Model& model,
                const MachineList& machine_list, Terminations& terminations, double takeover_at);
 
-  /// Looks at every machine and marks those for deletion that have to be replaced.
+  /// Checks every machine and marks those for deletion that have to be replaced.
   /// `now`: seconds on the event loop's steady clock.
   void review(double now);
 
--- a/src/autoscaler/pool_survey.hpp
+++ b/src/autoscaler/pool_survey.hpp
@@ -11,7 +11,7 @@
 
 namespace elmstall::autoscaler {
 
-/// The pools of one machine type, ordered by the site's order of zones and, within a zone,
+/// The pools of one machine type, in the order of the zones in the settings and, within a zone,
 /// ordinary before spot. Machines that get no more tasks are not counted: those that are
 /// terminating, quarantined, failed, about to be interrupted, or silent.
 /// `now`: seconds on the event loop's steady clock.
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -56,8 +56,8 @@
   if (found == zone_plan.demand.end()) return false;
   auto& demand = found->second;
   if (demand.machines <= 0 || (machine.spot && !demand.spot_allowed)) return false;
-  // Only as many machines as the work needs are kept. A gang that waits for two zones would
-  // otherwise keep all machines of one zone, and the other zone would get none.
+  // Only as many machines as the work needs are kept. A gang that needs machines in two zones
+  // would otherwise keep all machines of one zone, and the other zone would get none.
   demand.machines -= 1;
   return true;
 }
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -158,8 +158,8 @@
 /// Seconds. Followers start an election after a random delay of up to this time.
 inline constexpr double kElectionJitter = 0.1;
 /// Candidacies that a node keeps track of while it is not elected. The transaction of an abandoned
-/// candidacy can be applied only as long as its lease lives (`kLeadLease`), and no more than a
-/// dozen candidacies begin in that time at one every `kStateRetry`.
+/// candidacy can be applied only until its lease expires (`kLeadLease`), and no more than a dozen
+/// candidacies begin in that time at one every `kStateRetry`.
 inline constexpr std::size_t kCandidaciesKept = 12;
 /// Seconds. Largest age of the leader's confirmed records at which it starts a task, so that it
 /// does not start cancelled ones, unless no controller reaches the state store (rule 1). A read
@@ -174,8 +174,9 @@
 /// Seconds. Subtracted from `kDelegationLease`, so that a zone delegate stops answering heartbeats
 /// before its record can have been deleted.
 inline constexpr double kDelegationMargin = 0.5;
-/// Seconds. Largest age of a zone delegate's confirmed records at which it answers heartbeats, so
-/// that it does not renew leases in ignorance of cancellations.
+/// Seconds. Largest age of a zone delegate's confirmed records at which it answers heartbeats.
+/// Older records may lack cancellations, and the renewed leases would let the cancelled tasks run
+/// on.
 inline constexpr double kDelegateMaxRecordsAge = 5.0;
 /// Seconds. A worker that returns within this time after its heartbeat was refused has not reached
 /// any other controller. Each of the few controllers that it tries takes a timeout of 4 s and a
@@ -189,7 +190,7 @@
 inline constexpr double kTickInterval = 0.25;
 /// Seconds. Interval of the leader's decisions. All changes in between are processed together.
 inline constexpr double kDecideInterval = 0.05;
-/// Seconds. Time for which the state store is asked to hold a watch open.
+/// Seconds. How long the state store holds a watch open while nothing changes.
 inline constexpr double kWatchHold = 10.0;
 /// Seconds. Pause before the leader opens a watch again. Every watch counts as one request against
 /// the state store's rate limit, so changes should arrive in batches.
@@ -273,27 +274,27 @@
 inline constexpr double kMinMeasuredRequestTime = 0.02;
 /// Ratio of the recent duration of requests to the shortest one, up to which there is no overload.
 inline constexpr double kOverloadTimeRatio = 4.0;
-/// Ratio by which the recorded shortest duration grows with every measurement, so that an old one
-/// does not persist.
+/// Ratio by which the recorded shortest duration grows with every request, so that an old one does
+/// not persist.
 inline constexpr double kShortestTimeGrowth = 1.002;
 
 // --- placement: queues of tasks ----------------------------------------------------------------
-/// Tasks. A list sends its excess to other lists when its anticipated wait z exceeds the mean of
+/// Tasks. A queue sends its excess to other queues when its anticipated wait z exceeds the mean of
 /// its group by the run time of this many tasks: the threshold in section IV-A of the paper by Tang
 /// et al. (see sched/balance.hpp).
 inline constexpr double kThresholdTasks = 10.0;
 /// Seconds. Assumed run time of a job class without an estimate.
 inline constexpr double kDefaultTaskTime = 60.0;
-/// Weight of a new measurement in exponential moving averages.
+/// Weight of a new value in exponential moving averages.
 inline constexpr double kMovingAverageWeight = 0.2;
-/// Seconds. Interval at which the lists are sorted again, because their order depends on the time
+/// Seconds. Interval at which the queues are sorted again, because their order depends on the time
 /// left until the deadlines.
 inline constexpr double kReorderInterval = 1.0;
 /// Seconds. Assumed completion objective of work without one, so large that such work comes last in
 /// its priority.
 inline constexpr double kDefaultCompletionObjective = 1e6;
 /// Weight of a job's remaining work, which is the sum of its tasks' run times in seconds, in the
-/// order of the lists: larger jobs come later. When the capacity does not suffice for all jobs,
+/// order of the queues: larger jobs come later. When the capacity does not suffice for all jobs,
 /// more of them meet their objective if the small ones run first.
 inline constexpr double kRemainingWorkWeight = 1.0;
 /// Seconds. A job that has waited this long without the start of any task becomes the first of its
@@ -307,7 +308,7 @@
 inline constexpr double kTierStep = 0.5;
 /// Steps. Largest number of steps by which an objective is postponed.
 inline constexpr int kMaxTier = 8;
-/// Tasks. Largest number of tasks of one job that are in lists at the same time. Further blocks of
+/// Tasks. Largest number of tasks of one job that are in queues at the same time. Further blocks of
 /// a large job, which may have 100,000 tasks, are added as they are needed.
 inline constexpr std::size_t kWindowTasks = 256;
 
@@ -342,8 +343,8 @@
 /// longer than the replacement needs to fetch its image: for a commit, a command, and the
 /// heartbeats that report the result.
 inline constexpr double kGangReplaceMargin = 3.0;
-/// Seconds. How much longer than its checkpoint takes a machine must live for a gang to write one,
-/// so that the commands can reach all machines.
+/// Seconds. A gang writes a checkpoint only if each of its machines keeps running for at least this
+/// much longer than that takes, so that the commands can reach all machines.
 inline constexpr double kGangCheckpointMargin = 2.0;
 
 // --- autoscaler: provision and terminate -------------------------------------------------------
@@ -375,7 +376,7 @@
 /// Seconds. Machines are rented in a zone for work that is bound to it and has waited this long,
 /// however many machines are idle in other zones.
 inline constexpr double kZoneMaxWait = 3.0;
-/// Seconds. Length of the window over which the arrival rate of flexible work is measured.
+/// Seconds. Time constant of the moving average of the arrival rate of flexible work.
 inline constexpr double kArrivalRateWindow = 90.0;
 /// Seconds. Arrivals in this time after a takeover are not counted, because users then retry the
 /// submissions that failed before it.
@@ -394,8 +395,7 @@
 /// Share of the expected change of demand for which machines are rented in advance.
 inline constexpr double kForecastShare = 1.0;
 /// Share of `ready_s` for which an idle machine is kept. A new machine is paid for during its
-/// boot, before it runs anything. A shorter time delays starts, and a longer one costs more money
-/// (docs/measurements.md).
+/// boot, before it runs anything. A shorter time delays starts, and a longer one costs more money.
 inline constexpr double kIdleShare = 0.75;
 /// Machines. Size of the fleet up to which `kIdleShare` applies. In larger fleets the time
 /// decreases with the square root of the size, because random changes of demand are relatively
--- a/src/controller/leader.hpp
+++ b/src/controller/leader.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The leading controller's view of the deployment. It exists from an election
-/// until the end of that term and coordinates the units that make decisions: it rebuilds
-/// their state from the records, hands them heartbeats and changes of records, and
-/// lets them decide, commit and command once per batch. Runs on the controller's event loop; times
+/// The state and the work of the leading controller. It exists from an election until the end of
+/// that term and coordinates the units that make decisions: it rebuilds their state from the
+/// records, passes heartbeats and changes of records to them, and after each batch runs the
+/// decisions, the commit and the delivery of commands. Runs on the controller's event loop; times
 /// are seconds of its steady clock.
 #pragma once
 
@@ -31,11 +31,11 @@
     const config::Settings& settings;       ///< settings of this controller
     runtime::EventLoop& event_loop;         ///< clock and timers
     runtime::CommandQueue& queue;           ///< runs the callbacks, one after the other
-    store::StateStore& store;               ///< client of the state service
+    store::StateStore& store;               ///< client of the state store
     clients::Cloud& cloud;                  ///< lists, provisions and terminates machines
     clients::WorkerRpc& worker_rpc;         ///< sends command RPCs to workers
     const store::Mirror& mirror;            ///< local replica of the records
-    const election::ReadIndex& read_index;  ///< tells how recent the mirror is
+    const election::ReadIndex& read_index;  ///< shows how recent the mirror is
     /// Returns what another controller has reported of its copy of the records.
     reconcile::LeaseExpiry::PeerStates peer_read_state;
     /// Returns whether every controller is reachable and none reaches the state store.
--- a/src/controller/machine_type_source.hpp
+++ b/src/controller/machine_type_source.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Asks the cloud for the machine types until it answers. Runs on the controller's event loop.
+/// Requests the machine types from the cloud until it answers. Runs on the controller's event loop.
 #pragma once
 
 #include <functional>
--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -105,8 +105,8 @@
 bool Node::ready() const {
   if (!mirror_.loaded() || machine_types_.empty()) return false;
   if (state_reachable(k::kUnreadyAfter)) return true;
-  // When every controller sees the same outage, removing all of them from the load balancer is of
-  // no use. At least one reachable controller must confirm the outage; others are not counted.
+  // When an outage affects every controller, removing all of them from the load balancer is of no
+  // use. At least one reachable controller must confirm the outage; others are not counted.
   return peers_.reachable_peers_without_state_store();
 }
 
@@ -116,8 +116,8 @@
                                                             const net::Responder& respond) {
   try {
     auto heartbeat = wire::decode_heartbeat(wire::Document::parse(body).root());
-    // A worker that knows a later term drops replies of an earlier one, and would
-    // keep reporting to this node until its lease expires (rule 5).
+    // A worker that has received a token of a later term drops replies of an earlier one, and would
+    // keep sending its heartbeats to this node until its lease expires (rule 5).
     learn_term(wire::term_of_token(heartbeat.token), "");
     return heartbeat;
   } catch (const wire::DecodeError& error) {
--- a/src/controller/node.hpp
+++ b/src/controller/node.hpp
@@ -33,7 +33,7 @@
   /// The node's connections to the outside. They have to outlive it.
   struct Ports {
     runtime::EventLoop& event_loop;  ///< clock and timers
-    store::StateStore& store;        ///< client of the state service
+    store::StateStore& store;        ///< client of the state store
     clients::Cloud& cloud;           ///< lists, provisions and terminates machines
     clients::WorkerRpc& worker_rpc;  ///< sends command RPCs to workers
   };
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -10,7 +10,7 @@
 
 PeerMonitor::PeerMonitor(const config::Settings& settings, const runtime::EventLoop& event_loop)
     : settings_(settings), loop_(event_loop) {
-  // No peer counts as silent before it has had time to send a heartbeat. Otherwise a restarted
+  // Every peer counts as reachable until it has had time to send a heartbeat. Otherwise a restarted
   // node would become the delegate of its zone for no reason.
   for (const auto& peer : settings.peers) peers_[peer.name].last_heartbeat = event_loop.now();
 }
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -16,13 +16,13 @@
 /// The latest heartbeat of each other controller, and what follows from all of them.
 class PeerMonitor {
  public:
-  /// No peer counts as silent at first. Both references have to outlive this object.
+  /// Every peer counts as reachable at first. Both references have to outlive this object.
   PeerMonitor(const config::Settings& settings, const runtime::EventLoop& event_loop);
 
   /// Takes in a heartbeat of another controller.
   void on_heartbeat(const peer::Heartbeat& heartbeat);
 
-  /// Whether a heartbeat of the peer arrived within the last `constants::kPeerSilence` seconds.
+  /// Whether a heartbeat of the peer arrived within the last `constants::kPeerTimeout` seconds.
   [[nodiscard]] bool reachable(const std::string& peer) const;
   /// Whether every peer is reachable, and each reports that it does not reach the state store.
   [[nodiscard]] bool all_without_state_store() const;
--- a/src/controller/routes.hpp
+++ b/src/controller/routes.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out which part of the HTTP interface a request is for. Pure functions.
+/// Maps requests to the endpoints of the HTTP interface. Pure functions.
 #pragma once
 
 #include <cstdint>
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -2,10 +2,10 @@
 /// Candidacy for leadership.
 ///
 /// The leader is the controller that the record `lead` names. That record is attached to a
-/// lease of the state store, which deletes it when the lease ends. A node that sees no leader
-/// waits for a short random time, has a lease granted, and writes `term` and `lead`
-/// in one transaction that requires both to be unchanged. It has won only when its
-/// own mirror shows the record (docs/design.md, rule 10). Runs on the controller's event loop.
+/// lease of the state store, which deletes it when the lease ends. A node whose mirror shows no
+/// leader waits for a short random time, requests a lease, and writes `term` and `lead` in one
+/// transaction that requires both to be unchanged. It has won only when its own mirror shows the
+/// record (docs/design.md, rule 10). Runs on the controller's event loop.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
   double sent_at = 0;       ///< when its transaction was sent; seconds of the steady clock
 };
 
-/// Stands for election on behalf of one controller, and notices when it has won.
+/// Stands for election on behalf of one controller, and detects when it has won.
 class Election {
  public:
   /// What an election works with. The references have to outlive it.
@@ -38,7 +38,7 @@
     const config::Settings& settings;  ///< settings of this controller
     runtime::EventLoop& event_loop;    ///< clock and timers
     runtime::CommandQueue& queue;      ///< runs the callbacks, one after the other
-    store::StateStore& store;          ///< client of the state service
+    store::StateStore& store;          ///< client of the state store
     const store::Mirror& mirror;       ///< local replica of the records
     const TermTracker& terms;          ///< highest known term and its leader
     /// Called when the mirror shows that this candidacy has won.
--- a/src/election/leader_lease.hpp
+++ b/src/election/leader_lease.hpp
@@ -34,8 +34,9 @@
   [[nodiscard]] bool valid() const;
 
   /// Whether tasks may be started (rule 1). Either the term and the copy of the records were
-  /// confirmed in the last `constants::kStartKnowledge` seconds, or every controller reports that
-  /// the state store does not answer it, so that none can have confirmed a cancellation.
+  /// confirmed in the last `constants::kTaskStartMaxRecordsAge` seconds, or every controller
+  /// reports that the state store does not answer it, so that none can have confirmed a
+  /// cancellation.
   [[nodiscard]] bool may_start_tasks() const;
 
   /// Seconds since both the term and the copy of the records were known to be current.
--- a/src/election/leadership_renewal.hpp
+++ b/src/election/leadership_renewal.hpp
@@ -21,7 +21,7 @@
   struct Context {
     runtime::EventLoop& event_loop;  ///< clock and timers
     runtime::CommandQueue& queue;    ///< runs the callbacks, one after the other
-    store::StateStore& store;        ///< client of the state service
+    store::StateStore& store;        ///< client of the state store
     const store::Mirror& mirror;     ///< local replica of the records
     /// Called when the reply to a request sent at `sent_at` has proved the term current.
     std::function<void(double sent_at)> confirmed;
--- a/src/election/read_index.hpp
+++ b/src/election/read_index.hpp
@@ -9,7 +9,7 @@
 /// These depend on a read index ("Reads never go back" in docs/design.md):
 /// - every answer to a user that is not a final state, including 404. Final states never
 ///   change, so they are answered at once.
-/// - starting a task: the leader's knowledge of cancellations must be recent (rule 1).
+/// - starting a task: the leader's copy of the cancellations must be recent (rule 1).
 /// - answering workers' heartbeats, for the leader and for zone delegates (rule 5).
 ///
 /// The last two do not wait for a read index of their own. They compare current_as_of() with
@@ -62,7 +62,7 @@
         min_interval_s_(min_interval_s) {}
 
   /// Requests a read index for one read, whose deadline is `timeout_s` from now. The deadline
-  /// is looked at only once the state store has answered; a request that fails calls back with
+  /// is checked only once the state store has answered; a request that fails calls back with
   /// null. The callback is never called from within this function.
   void request(double timeout_s, Callback callback);
   /// Calls back the reads that the mirror is current for by now, and those whose deadline has
@@ -83,7 +83,7 @@
     std::uint64_t required_revision = 0;  ///< of the mirror; known once the state store answered
   };
 
-  /// Asks the state store for its revision on behalf of all unsent reads. Does nothing if there
+  /// Requests the state store's revision on behalf of all unsent reads. Does nothing if there
   /// are none or a request is in flight, and waits if the last one was too recent.
   void send_probe();
   void on_probe_result(std::vector<PendingRead> reads, const store::GetResult& result);
--- a/src/election/term_tracker.hpp
+++ b/src/election/term_tracker.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps the highest term that this node knows of, and the name of its leader.
+/// Keeps the highest term that this node has received, and the name of its leader.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace elmstall::election {
 
-/// Term and leader as this node knows them. Neither proves that the leader still leads.
+/// The highest known term and its leader. Neither proves that the leader still leads.
 class TermTracker {
  public:
   /// Takes in a term that a record, a peer or a worker's token carries. `leader` is empty if
--- a/src/election/zone_delegate.cpp
+++ b/src/election/zone_delegate.cpp
@@ -34,8 +34,8 @@
 
 void ZoneDelegate::on_heartbeat(PendingHeartbeat heartbeat, const Connectivity& connectivity) {
   const bool other_zone = heartbeat.heartbeat.zone != context_.settings.zone;
-  // A worker that knows a later term would drop this reply. It would keep reporting to this node
-  // until its lease expires.
+  // A worker that has received a token of a later term would drop this reply. It would keep sending
+  // its heartbeats to this node until its lease expires.
   const bool later_term = wire::term_of_token(heartbeat.heartbeat.token) > context_.mirror.term();
   if (other_zone || later_term) return heartbeat.respond({kServiceUnavailable, {}, 0});
   if (may_reply(heartbeat.heartbeat.machine, connectivity))
@@ -62,8 +62,8 @@
                                         const Connectivity& connectivity) const {
   if (connectivity.leader_reachable || connectivity.state_reachable) return false;
   if (!context_.mirror.loaded()) return false;
-  // As with a leader, the knowledge of the term and of cancellations must be recent enough at the
-  // moment of the reply (docs/design.md, rule 5).
+  // As with a leader, the copy of the records, which contains the term and the cancellations, must
+  // be recent enough at the moment of the reply (docs/design.md, rule 5).
   const double now = context_.event_loop.now();
   const double records_age = now - context_.read_index.current_as_of();
   if (records_age >= context_.settings.leader_lease_s()) return false;
@@ -95,7 +95,7 @@
   if (cancelled_run_may_be_in_flight(heartbeat)) return respond({kServiceUnavailable, {}, 0});
   replied_at_ = context_.event_loop.now();
   // The leader may have raised this machine's fence. The worker would drop a reply with a lower
-  // token than it has seen, and its lease would run out.
+  // token than the last one that it received, and its lease would run out.
   const auto term = context_.mirror.term();
   const auto token = wire::term_of_token(heartbeat.token) == term ? heartbeat.token
                                                                   : wire::first_token_of_term(term);
@@ -115,8 +115,8 @@
 
 bool ZoneDelegate::cancelled_run_may_be_in_flight(const wire::WorkerHeartbeat& heartbeat) const {
   // A worker carries out a `run` that was delayed in the network whenever it arrives, as long as
-  // it has seen no higher token and its epoch has not ended. A zone delegate has no higher token
-  // to give, so it lets the epoch end instead ("Held commands" in docs/design.md).
+  // it has received no higher token and its epoch has not ended. A zone delegate has no higher
+  // token to send, so it lets the epoch end instead ("Held commands" in docs/design.md).
   const auto& mirror = context_.mirror;
   for (const auto& id : mirror.cancelled()) {
     const auto* blocks = mirror.blocks(id);
--- a/src/election/zone_delegate.hpp
+++ b/src/election/zone_delegate.hpp
@@ -38,9 +38,9 @@
     const config::Settings& settings;  ///< settings of this controller
     runtime::EventLoop& event_loop;    ///< clock and timers
     runtime::CommandQueue& queue;      ///< runs the callbacks, one after the other
-    store::StateStore& store;          ///< client of the state service
+    store::StateStore& store;          ///< client of the state store
     const store::Mirror& mirror;       ///< local replica of the records
-    const ReadIndex& read_index;       ///< tells how recent the mirror is
+    const ReadIndex& read_index;       ///< shows how recent the mirror is
   };
 
   /// Starts without a delegation.
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -19,7 +19,7 @@
 /// whenever something in it changes.
 struct Heartbeat {
   std::string node;               ///< name of the sender
-  std::uint64_t term = 0;         ///< highest term that the sender knows
+  std::uint64_t term = 0;         ///< highest term known to the sender
   std::string leader;             ///< name of that term's leader; empty if unknown
   bool state_reachable = false;   ///< the state store answers the sender
   bool leader_reachable = false;  ///< the sender receives the leader's heartbeats
--- a/src/peer/tcp_transport.cpp
+++ b/src/peer/tcp_transport.cpp
@@ -167,7 +167,7 @@
   Incoming& operator=(const Incoming&) = delete;
 
   void read() {
-    // One read often brings several messages, and hardly ever only a part of one.
+    // One read often returns several messages, and hardly ever only a part of one.
     socket_.async_read_some(asio::buffer(read_buffer_),
                             [self = shared_from_this()](asio::error_code error, std::size_t size) {
                               if (error) return;
--- a/src/peer/transport.hpp
+++ b/src/peer/transport.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The transport for messages between controllers, as the rest of the program sees it.
+/// The interface of the transport for messages between controllers.
 ///
-/// Delivery is best effort: any message may be lost, and no rule of docs/design.md relies on one
+/// Delivery is best effort: any message may be lost, and no rule of docs/design.md requires one
 /// to arrive. There is no acknowledgement, and errors are not reported.
 #pragma once
 
--- a/src/placement/direct_placement.hpp
+++ b/src/placement/direct_placement.hpp
@@ -38,7 +38,7 @@
   [[nodiscard]] std::vector<state::Job*> jobs_by_precedence(double now);
   [[nodiscard]] Progress place(state::Job& job, double now);
   [[nodiscard]] Progress place_tasks(state::Job& job, double now);
-  /// Starts one task, or makes room for it; false if neither is possible now.
+  /// Assigns one task to a machine, or makes room for it; false if neither is possible now.
   bool place_task(state::Task& task, double now);
   /// The machine with the best score among those with room for the job's next task, or null.
   [[nodiscard]] state::Machine* best_machine_with_room(const state::Job& job) const;
--- a/src/placement/eligibility.hpp
+++ b/src/placement/eligibility.hpp
@@ -1,8 +1,7 @@
 /// @file
-/// Predicates that say which machines may receive work at all, and which jobs and tasks may be
-/// matched with which machines. Everything in the placement package builds on them. All functions
-/// are free of side effects and run on the controller's event loop; times are seconds of its
-/// steady clock.
+/// Predicates that the whole placement package uses: which machines may receive work at all, and
+/// which jobs and tasks may be matched with which machines. All functions are free of side effects
+/// and run on the controller's event loop; times are seconds of its steady clock.
 #pragma once
 
 #include <string>
--- a/src/placement/gang_attempts.cpp
+++ b/src/placement/gang_attempts.cpp
@@ -62,7 +62,7 @@
     return change_gang_state(job, GangState::running, now);
   if (std::none_of(tasks.begin(), tasks.end(), is_lost)) return;
   if (job.on_machines == 0) return end(job, "all its tasks were lost", now);
-  // A gang whose tasks have begun to run, or were told to end, accepts no replacement. Its
+  // No task is replaced in a gang whose tasks have begun to run, or are being stopped. Its
   // remaining tasks are ended to make room for the next attempt.
   if (job.gang.replacement_disabled) return end(job, "a task was lost", now);
   if (others_still_waiting(job)) return replace_lost_tasks(job, with_room, now);
@@ -73,7 +73,7 @@
 
 bool GangAttempts::others_still_waiting(state::Job& job) const {
   // A heartbeat shows an earlier state. Therefore each of the other tasks must have been reported
-  // as waiting in a heartbeat that was sent after the machine was told to run it.
+  // as waiting in a heartbeat that was sent after the machine received the command to run it.
   const auto tasks = load_gang_tasks(model_, job);
   return std::all_of(tasks.begin(), tasks.end(), [](const state::Task* task) {
     if (!task->may_be_on_machine() || !task->run_sent()) return true;
--- a/src/placement/gang_attempts.hpp
+++ b/src/placement/gang_attempts.hpp
@@ -26,7 +26,7 @@
   /// Advances an attempt in state `starting`: it is running once all its tasks run; lost tasks are
   /// replaced, or else the attempt ends.
   void advance_start(state::Job& job, const state::MachineSet& with_room, double now);
-  /// Whether machines may be told to run the attempt's tasks: the assignments of all of them are
+  /// Whether commands to run the attempt's tasks may be sent: the assignments of all of them are
   /// committed (rule 1).
   [[nodiscard]] bool is_committed(state::Job& job);
   /// Ends all tasks of the attempt without time for a checkpoint. `reason` goes to the log.
--- a/src/placement/gang_candidates.cpp
+++ b/src/placement/gang_candidates.cpp
@@ -14,8 +14,8 @@
 /// Slots. Limit of the slots counted on one machine, because the smallest task may need hardly
 /// any resources.
 constexpr std::size_t kMaxCountedSlots = 1000;
-/// Slots. What it costs to put the first task on an empty machine: half a slot, so that it decides
-/// only between machines that are otherwise alike.
+/// Slots. Waste of putting the first task on an empty machine. At half a slot it matters only
+/// between machines that are otherwise alike.
 constexpr double kEmptyMachineWaste = 0.5;
 
 /// Whether a task of another image is fetching it there, which would slow down a fetch for the job.
--- a/src/placement/gang_coordinator.cpp
+++ b/src/placement/gang_coordinator.cpp
@@ -117,7 +117,8 @@
     case GangState::stopping:
     case GangState::ending:
       if (job.on_machines == 0) attempts_.finish(job, now);
-      // While tasks are left on machines, the end of each of them makes the job open again.
+      // While tasks are left on machines, the end of each of them adds the job to
+      // Model::jobs_with_unqueued_tasks() again.
       return gang.state == GangState::waiting;
     case GangState::done:
       return false;
--- a/src/placement/gang_coordinator.hpp
+++ b/src/placement/gang_coordinator.hpp
@@ -51,8 +51,8 @@
   /// task of a gang. Returns false when there is nothing to do until one of its tasks changes.
   bool advance(state::Job& job, const state::MachineSet& with_room, double now);
 
-  /// Whether the task's machine may be told to run it: the places of all tasks of its attempt are
-  /// committed (rule 1).
+  /// Whether a command to run the task may be sent: the assignments of all tasks of its attempt
+  /// are committed (rule 1).
   [[nodiscard]] bool may_run(const state::Task& task);
 
  private:
--- a/src/placement/gang_tasks.hpp
+++ b/src/placement/gang_tasks.hpp
@@ -15,7 +15,7 @@
 
 /// The gang's tasks whose blocks are in memory, by block and index.
 [[nodiscard]] std::vector<state::Task*> gang_tasks_in_memory(const state::Job& job);
-/// All tasks of the gang; brings its blocks into memory.
+/// All tasks of the gang; loads its blocks into memory.
 [[nodiscard]] std::vector<state::Task*> load_gang_tasks(state::Model& model, state::Job& job);
 /// All tasks of the gang that are on no machine and planned for none.
 [[nodiscard]] std::vector<state::Task*> load_pending_gang_tasks(state::Model& model,
--- a/src/placement/job_queues.cpp
+++ b/src/placement/job_queues.cpp
@@ -89,7 +89,7 @@
     total.complete = total.complete && enqueued.complete;
   };
   for (const auto& [number, block] : job.blocks) add_block(*block);
-  // The blocks of a large job are brought into memory only as they are needed.
+  // The blocks of a large job are loaded into memory only as they are needed.
   while (total.pending < constants::kWindowTasks && job.next_block < job.block_count) {
     const auto number = job.next_block++;
     if (!job.blocks.contains(number)) add_block(model_.load_block(job, number, nullptr));
--- a/src/placement/job_queues.hpp
+++ b/src/placement/job_queues.hpp
@@ -21,7 +21,7 @@
 /// Owner of all queues.
 class JobQueues {
  public:
-  /// Decides whether a queued task may be taken.
+  /// Returns whether a queued task may be taken.
   using TaskFilter = std::function<bool(sched::TaskId)>;
 
   /// All arguments have to outlive this object.
@@ -36,8 +36,8 @@
   /// Moves tasks that had no eligible machine to the queues of machines added since then.
   void distribute_shared_queues();
 
-  /// Puts the pending tasks of all open jobs into the queues. Jobs with nothing left to put there
-  /// are no longer open afterwards.
+  /// Puts the pending tasks of all jobs in Model::jobs_with_unqueued_tasks() into the queues. Jobs
+  /// with nothing left to put there are removed from that set.
   void enqueue_jobs(double now);
   /// Takes the task out of its queue, if it is in one.
   void dequeue(state::Task& task);
--- a/src/placement/machine_index.cpp
+++ b/src/placement/machine_index.cpp
@@ -37,8 +37,8 @@
 }  // namespace
 
 void MachineIndex::update(double now) {
-  // Some conditions, such as a machine's silence, change with time alone. Therefore all machines
-  // are examined periodically, besides those that have changed.
+  // Some conditions, such as the age of a machine's last heartbeat, change with time alone.
+  // Therefore all machines are examined periodically, besides those that have changed.
   if (now >= next_review_) {
     next_review_ = now + constants::kReviewInterval;
     model_.refresh_least_need();
@@ -61,7 +61,7 @@
 }
 
 void MachineIndex::update_worker(const state::Machine& machine) {
-  // How many tasks run at once follows from the size of the tasks that run there now.
+  // The number of slots is derived from the mean size of the tasks that run there now.
   const double used_share = machine.used.share_of(machine.capacity);
   const double task_share = machine.tasks.empty()
                                 ? kAssumedTaskShare
--- a/src/placement/machine_index.hpp
+++ b/src/placement/machine_index.hpp
@@ -34,7 +34,7 @@
   }
   /// The machines with room, in the order in which queued tasks should fill them.
   [[nodiscard]] std::vector<state::Machine*> in_filling_order() const;
-  /// Machines examined by `update` so far: a measure of the cost of decisions.
+  /// Machines examined by `update` so far: the cost of decisions, for tests and metrics.
   [[nodiscard]] std::size_t machines_examined() const { return machines_examined_; }
 
  private:
--- a/src/placement/queue_position.hpp
+++ b/src/placement/queue_position.hpp
@@ -26,7 +26,7 @@
   }
 };
 
-/// Seconds from submission within which the job should be complete: what its owner demands, or
+/// Seconds from submission within which the job should be complete: what its owner requested, or
 /// else the service-level objective for its class. Empty if neither exists.
 [[nodiscard]] std::optional<double> completion_objective_s(const config::Settings& settings,
                                                            const state::Job& job);
--- a/src/placement/queued_task_starter.hpp
+++ b/src/placement/queued_task_starter.hpp
@@ -20,12 +20,12 @@
   QueuedTaskStarter(state::Model& model, JobQueues& queues, const MachineIndex& machines)
       : model_(model), queues_(queues), machines_(machines) {}
 
-  /// Assigns queued tasks, in queue order, to machines that hold their image. Fetching an image
-  /// takes as long as a good part of a task, so it does not matter whose queue the task is in.
+  /// Assigns queued tasks, in queue order, to machines that hold their image, whichever queue the
+  /// tasks are in: fetching an image takes a large part of the time that a task runs.
   void start_where_cached(double now);
   /// Fills every machine with room from the queues.
   void start_on_machines_with_room(double now);
-  /// Machines examined so far: a measure of the cost of decisions.
+  /// Machines examined so far: the cost of decisions, for tests and metrics.
   [[nodiscard]] std::size_t machines_examined() const { return machines_examined_; }
 
  private:
--- a/src/placement/run_time_estimates.hpp
+++ b/src/placement/run_time_estimates.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Corrections of the run times that owners expect of their tasks, learned per class of jobs. Such
-/// estimates are often wrong, and on some days all of them in the same direction. Kept in memory
-/// only; runs on the controller's event loop.
+/// Corrections of the run times that owners expect of their tasks, derived from completed tasks per
+/// class of jobs. Expected run times are often wrong, and on some days all of them in the same
+/// direction. Kept in memory only; runs on the controller's event loop.
 #pragma once
 
 #include <algorithm>
@@ -15,8 +15,8 @@
 /// Running average, for each class of jobs, of the actual to the expected run time.
 class RunTimeEstimates {
  public:
-  /// Updates the average with the run time of a completed task, in seconds. Nothing is learned
-  /// unless both times are positive.
+  /// Updates the average with the run time of a completed task, in seconds. Has no effect unless
+  /// both times are positive.
   void learn(const std::string& job_class, double expected_s, double actual_s) {
     if (expected_s <= 0 || actual_s <= 0) return;
     const double ratio = std::clamp(actual_s / expected_s, kMinRatio, kMaxRatio);
@@ -32,8 +32,8 @@
   }
 
  private:
-  /// Ratios. Each measurement is clamped to these bounds, so that a single wrong estimate does not
-  /// distort the average.
+  /// Ratios. The ratio of each task is clamped to these bounds, so that a single wrong expectation
+  /// does not distort the average.
   static constexpr double kMinRatio = 0.1;
   static constexpr double kMaxRatio = 10.0;
   /// Ratio. Expected run times are used unchanged until a task of the class has completed.
--- a/src/reconcile/fencing.cpp
+++ b/src/reconcile/fencing.cpp
@@ -11,7 +11,7 @@
 }
 
 void Fencing::raise(state::Machine& machine) {
-  // A fence must never reach the tokens of the next term.
+  // The token must stay below the tokens of the next term.
   const bool exhausted = machine.fence == wire::kMaxFence;
   if (exhausted) return;
   ++machine.fence;
--- a/src/reconcile/fencing.hpp
+++ b/src/reconcile/fencing.hpp
@@ -1,10 +1,10 @@
 /// @file
 /// Fencing tokens of one term.
 ///
-/// A token consists of the term and, in its low bits, a fence count for one
-/// machine. A worker refuses commands whose token is lower than the highest it has
-/// seen. Raising the fence of a machine therefore voids all commands that were sent
-/// to it before (docs/design.md, rule 3). Runs on the controller's event loop.
+/// A token consists of the term and, in its low bits, a fence count for one machine. A worker
+/// refuses commands whose token is lower than the highest it has received. Raising the fence of a
+/// machine therefore voids all commands that were sent to it before (docs/design.md, rule 3). Runs
+/// on the controller's event loop.
 #pragma once
 
 #include <cstdint>
--- a/src/reconcile/heartbeat_reader.hpp
+++ b/src/reconcile/heartbeat_reader.hpp
@@ -24,7 +24,7 @@
 /// How the leader received a worker's status.
 enum class HeartbeatSource : std::uint8_t {
   worker,         ///< sent by the worker on its own, so it can reach a controller
-  command_reply,  ///< the reply to a command RPC: proves only that controllers reach it
+  command_reply,  ///< the reply to a command RPC: proves only that this controller reaches it
 };
 
 /// Applies the heartbeats of all machines to the leader's model.
@@ -35,7 +35,7 @@
     state::Model& model;                     ///< the leader's model of jobs and machines
     placement::Planner& planner;             ///< owner of the queues of tasks
     placement::GangCoordinator& gangs;       ///< starts and ends gangs as a whole
-    placement::RunTimeEstimates& estimates;  ///< learns from the run times of completed tasks
+    placement::RunTimeEstimates& estimates;  ///< updated with the run times of completed tasks
     Fencing& fencing;                        ///< fencing tokens of this term
     LeaseExpiry& lease_expiry;               ///< cancels the retirement of machines
     /// Called after each heartbeat, because scheduling decisions and commands may have become
--- a/src/reconcile/lease_expiry.cpp
+++ b/src/reconcile/lease_expiry.cpp
@@ -86,8 +86,8 @@
     if (latest_lease_end == state::kNever || machine->delegated || machine->record == nullptr)
       continue;
     if (!machine->retired) {
-      // The machine is retired before its lease ends, so that all controllers that might reply to
-      // it know of the retirement by then.
+      // The machine is retired before its lease ends, so that the retirement has reached the
+      // mirrors of all controllers that might reply to it by then.
       const double silent_since = std::max(latest_renewal, started_at_);
       if (now >= std::min(latest_lease_end, silent_since + settings_.heartbeat_timeout_s()))
         retire(*machine);
--- a/src/reconcile/lease_expiry.hpp
+++ b/src/reconcile/lease_expiry.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Decides when the tasks of a silent machine are certain not to run any more: rule 6 of the safety
-/// argument in docs/design.md. Runs on the controller's event loop; times are seconds of its
-/// steady clock.
+/// Determines when the tasks of a silent machine, which sends no heartbeats, are certain not to run
+/// any more: rule 6 of the safety argument in docs/design.md. Runs on the controller's event loop;
+/// times are seconds of its steady clock.
 #pragma once
 
 #include <cstdint>
--- a/src/reconcile/responsiveness.cpp
+++ b/src/reconcile/responsiveness.cpp
@@ -46,7 +46,7 @@
 
 void Responsiveness::check(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                            double now) {
-  // A heartbeat proves that a machine works, not that it receives replies. If the replies are
+  // A heartbeat proves that a machine runs, but not that it receives replies. If the replies are
   // lost in transit, its lease runs out.
   if (acknowledges_replies(machine, heartbeat)) {
     if (machine.unresponsive) spdlog::info("machine {} responds to replies again", machine.id);
--- a/src/reconcile/task_failures.hpp
+++ b/src/reconcile/task_failures.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Decides whether the machine or the job is the likely cause of task failures. Runs on the
-/// controller's event loop.
+/// Attributes task failures to the machine or to the job, whichever is the likely cause. Runs on
+/// the controller's event loop.
 #pragma once
 
 #include "state/model.hpp"
--- a/src/sched/balance.hpp
+++ b/src/sched/balance.hpp
@@ -4,7 +4,7 @@
 ///
 /// The symbols of the paper, as they are used here:
 ///  - z_i is the anticipated wait of worker i: the seconds until the tasks that are queued there or
-///    are on their way to it have been completed.
+///    in transit to it have been completed.
 ///  - sat(x) is x for positive x and 0 otherwise.
 ///  - p_ij is the share of its excess that worker j sends to worker i. Equation (1) sets it to
 ///    sat(mean - z_i) divided by the sum of sat(mean - z_k) over all workers k other than j, where
--- a/src/sched/group.cpp
+++ b/src/sched/group.cpp
@@ -84,7 +84,8 @@
   }
   change_worker(*found, [](Worker& worker) { worker = {}; });
   workers_.erase(found);
-  // Rounding errors add up in this sum too (see count_out). Without workers it is set to 0.
+  // Rounding errors add up in this sum too (see subtract_from_totals). Without workers it is set to
+  // 0.
   if (workers_.empty()) total_load_ = 0;
 }
 
--- a/src/sched/group.hpp
+++ b/src/sched/group.hpp
@@ -36,20 +36,20 @@
   [[nodiscard]] bool before(const QueuedTask& other) const;
 };
 
-/// A worker with the tasks that wait for it.
+/// A worker with its queue of tasks.
 struct Worker {
   std::vector<QueuedTask> queue;  ///< in the order in which the tasks are to start
   std::size_t in_transit = 0;  ///< tasks that are assigned to it and not yet seen in its heartbeats
   double slots = 1;            ///< tasks of the usual size that run at once
   bool has_room = false;       ///< whether another task could start now
 
-  /// Tasks that wait for the worker or are on their way to it, per slot.
+  /// Tasks that are queued for the worker or in transit to it, per slot.
   [[nodiscard]] double load() const {
     return static_cast<double>(queue.size() + in_transit) / slots;
   }
 };
 
-/// Tells whether a worker may run a task, now or later.
+/// Returns whether a worker may run a task, now or later.
 using Eligible = std::function<bool(TaskId, const std::string& worker)>;
 
 /// A group's queues: one per worker, and a shared one for the tasks that no worker could run when
--- a/src/state/commit_limits.hpp
+++ b/src/state/commit_limits.hpp
@@ -33,7 +33,7 @@
   /// Writes in one transaction above which no further value of the log is added.
   [[nodiscard]] std::size_t max_values() const;
 
-  /// To be called when the state store called a transaction malformed.
+  /// To be called when the state store has rejected a transaction as malformed.
   ShrinkResult shrink();
   /// To be called for every transaction that was applied.
   void on_accepted();
--- a/src/state/commit_record.hpp
+++ b/src/state/commit_record.hpp
@@ -53,7 +53,7 @@
   /// Revision of the state store at which `written` was committed, 0 if nothing was. For a
   /// retired machine this is R of rule 6.
   std::uint64_t revision = 0;
-  /// The block or machine is gone: this record is written once more to say so, and is then
+  /// The block or machine is gone: its removal is still to be written, after which this record is
   /// dropped.
   bool remove = false;
   /// Keys that must not exist when the newest version is written. The record of a retired
--- a/src/state/gang.hpp
+++ b/src/state/gang.hpp
@@ -46,7 +46,7 @@
     claiming,  ///< places are kept for some or all tasks; no assignment is recorded
     starting,  ///< every task was given a machine, and not all have been seen to run
     running,   ///< every task has been seen to run
-    stopping,  ///< the tasks were told to save a checkpoint and exit
+    stopping,  ///< the tasks are to save a checkpoint and exit
     ending,    ///< the attempt has failed, and its remaining tasks are being stopped
     done,      ///< all tasks are completed
   };
--- a/src/state/group_commit.cpp
+++ b/src/state/group_commit.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-/// Seconds. Pause after a transaction that failed a precondition. It gives the watch time to
-/// bring the change because of which the transaction failed.
+/// Seconds. Pause after a transaction that failed a precondition, until the watch has most likely
+/// delivered the change that made it fail.
 constexpr double kConflictPause = 0.05;
-/// Seconds. Pause before a transaction is built anew that was read back and not applied. It
-/// need not be long, for the read-back took its time already.
+/// Seconds. Pause before a transaction is built anew that was read back and not applied. It is
+/// short, because the read-back has taken time already.
 constexpr double kReadBackPause = 0.05;
 
 bool failed_on(const store::CommitResult& result, const std::string& key) {
@@ -177,7 +177,7 @@
 }
 
 void GroupCommit::on_conflict(const Pending& pending, const store::CommitResult& result) {
-  // Rule 5: a controller that learns of a later term stops leading at once.
+  // Rule 5: a controller that receives evidence of a later term stops leading at once.
   if (failed_on(result, std::string(store::kTermKey))) return events_.term_ended();
   // Only this leader writes the log. If a slot has changed, then an earlier transaction of
   // this leader, which was thought to be lost, was applied after all.
@@ -186,7 +186,7 @@
       [&](const SlotValue& value) { return failed_on(result, store::slot_key(value.slot)); });
   if (slot_changed) return read_back(pending);
   // Other controllers write the remaining records too. The next transaction is built once the
-  // watch has brought their change to the mirror.
+  // watch has delivered their change to the mirror.
   required_mirror_revision_ = std::max(required_mirror_revision_, result.revision);
   pause(kConflictPause);
 }
--- a/src/state/group_commit.hpp
+++ b/src/state/group_commit.hpp
@@ -70,7 +70,7 @@
                   std::uint32_t slot);
   /// The block or machine has changed: its present state must be written.
   void mark_dirty(Record& record);
-  /// The block or machine is gone. `last` is the packed entry that says so; once it is written
+  /// The block or machine is gone. `last` is the packed entry that records this; once it is written
   /// the record is dropped. The caller must not use the record again.
   void discard(Record& record, store::PackedEntry last);
   /// The job is over: its final state must be written. Has no effect if the job is finishing
@@ -98,7 +98,7 @@
   void note_finished(const std::string& job);
   void drop(Record& record);
 
-  /// Finds out whether a transaction was applied whose outcome is not known.
+  /// Determines whether a transaction was applied whose outcome is not known.
   void read_back(const Pending& pending);
   /// Reads one slot on behalf of read_back(), which starts over if the read fails.
   void read_slot(const Pending& pending, std::uint32_t slot,
--- a/src/state/job.hpp
+++ b/src/state/job.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Jobs and the blocks of their tasks, as the leader knows them. Model creates and destroys both.
+/// Jobs and the blocks of their tasks in the leader's model. Model creates and destroys both.
 /// Used on the controller's event loop only; times are seconds of its steady clock.
 #pragma once
 
@@ -64,7 +64,8 @@
   /// records still show it, by a former one.
   bool begun = false;
   /// When the last search for tasks to preempt for this job failed; for a gang, when the last
-  /// search was made at all. The next one waits for constants::kDisplaceInterval from then on.
+  /// search was made at all. The next one is made constants::kPreemptionSearchInterval later
+  /// at the earliest.
   double searched_at = kNever;
   /// Number of the tasks that `on_machines` counts, by zone. Zones without such tasks are left out.
   std::map<std::string, std::uint32_t> per_zone;
--- a/src/state/log_slots.hpp
+++ b/src/state/log_slots.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The leader's view of the slots of the ledger log.
+/// The leader's record of the slots of the ledger log and their live entries.
 ///
 /// The log is a set of keys in the state store, the slots. The value of a slot holds entries:
 /// packed versions of blocks and machines. A commit overwrites whole values. An entry that is
@@ -23,12 +23,13 @@
  public:
   /// Records by their serial number.
   using LiveRecords = std::map<std::uint64_t, CommitRecord*>;
-  /// What is known of one slot.
+  /// State of one slot.
   struct Slot {
     std::uint64_t mod_revision = 0;  ///< 0 while the slot's key does not exist
-    /// Estimated size of the live entries as JSON, in bytes. It decides only which slot is
-    /// overwritten next. It is not exact: set_live_json_bytes() counts the present size of the
-    /// entries that are carried along, while remove() subtracts the size noted by place().
+    /// Estimated size of the live entries as JSON, in bytes. Only the choice of the slot that is
+    /// overwritten next depends on it. It is not exact: set_live_json_bytes() counts the present
+    /// size of the entries that are carried along, while remove() subtracts the size noted by
+    /// place().
     std::size_t live_json_bytes = 0;
     LiveRecords live;  ///< records whose newest stored version is in this slot
   };
@@ -44,7 +45,7 @@
   /// log is small. Slots in `taken` are written by the same transaction and not chosen.
   [[nodiscard]] std::uint32_t choose(const std::set<std::uint32_t>& taken,
                                      std::size_t max_live_json_bytes) const;
-  /// What is known of the slot, or a null pointer for a slot that was never written.
+  /// The state of the slot, or a null pointer for a slot that was never written.
   [[nodiscard]] const Slot* find(std::uint32_t slot) const;
   /// The modification revision that a transaction which overwrites the slot must name as its
   /// precondition; 0 for a slot that does not exist.
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Machines, as the leader knows them from their workers' heartbeats, the records and the cloud.
+/// Machines in the leader's model, from their workers' heartbeats, the records and the cloud.
 /// Used on the controller's event loop only; times are seconds of its steady clock.
 #pragma once
 
@@ -30,8 +30,7 @@
   sched::Amount amount;  ///< to be taken off it when the tasks are gone
 };
 
-/// A machine that the leader knows of. Created by Model::machine(), destroyed by
-/// Model::remove_machine().
+/// A machine. Created by Model::machine(), destroyed by Model::remove_machine().
 struct Machine {
   // --- identity; set by Model ---
 
@@ -58,7 +57,7 @@
 
   /// Counter that is part of the machine's fencing token. reconcile::Fencing raises it when it is
   /// not known whether commands have reached the machine. They are void as soon as the machine has
-  /// seen the higher token (rule 3).
+  /// received the higher token (rule 3).
   std::uint32_t fence = 0;
   bool rpc_in_flight = false;        ///< a command RPC to the machine has no outcome yet
   double rpc_completed_at = kNever;  ///< when the outcome of the last command RPC was known
@@ -73,7 +72,7 @@
   /// reconcile::Responsiveness.
   bool unresponsive = false;
 
-  // --- leases: times of contact, and what rule 6 requires for a silent machine ---
+  // --- leases: times of contact, and what rule 6 requires for a machine without heartbeats ---
   // reconcile::HeartbeatReader sets what heartbeats contain, dispatch::CommandDispatcher
   // sets `last_reply`, and reconcile::LeaseExpiry sets the rest unless said otherwise.
 
@@ -90,13 +89,13 @@
   bool delegated = false;
   /// The latest time at which a recorded zone delegate is known to have been allowed to answer.
   double delegated_at = kNever;
-  /// The record of the machine says, or will say with the next commit, that the machine is retired,
-  /// so that no zone delegate may answer it.
+  /// The record of the machine marks it as retired, or will do so with the next commit. No zone
+  /// delegate may then answer it.
   bool retired = false;
   /// When the mirror was first seen to have passed the revision at which the retirement was
   /// written, which is R of rule 6.
   double retired_at = kNever;
-  /// When the cloud reclaims the machine, if a heartbeat has brought an interruption notice.
+  /// When the cloud reclaims the machine, if a heartbeat contained an interruption notice.
   std::optional<double> interruption_at;
 
   // --- tasks and room; set by Model unless said otherwise ---
@@ -108,7 +107,7 @@
   /// For each task that `unrecorded_use` counts: its team's usage in the model, and the amount that
   /// the task adds to it. Model::clear_unrecorded() subtracts these amounts again.
   std::vector<TeamUse> unrecorded_team_use;
-  /// The newest heartbeat lists a task that has not ended, of a job that the leader does not know.
+  /// The newest heartbeat lists a task that has not ended, of a job that is not in the model.
   /// Set by reconcile::HeartbeatReader.
   bool has_unknown_jobs = false;
   /// Attempts that have ended according to the newest heartbeat. They remain to be cleared at the
@@ -151,9 +150,9 @@
   [[nodiscard]] bool caches(std::uint32_t image) const {
     return std::find(images.begin(), images.end(), image) != images.end();
   }
-  /// Seconds for which the machine has been silent. It is 0 while a zone delegate may answer the
-  /// machine, and counts from the end of the delegation at the earliest, because the machine then
-  /// needs some time to find the leader again.
+  /// Seconds for which the machine has sent no heartbeat. It is 0 while a zone delegate may answer
+  /// the machine, and counts from the end of the delegation at the earliest, because the machine
+  /// then needs some time to find the leader again.
   [[nodiscard]] double silent_for(double now) const {
     return delegated ? 0 : now - std::max(last_heartbeat, delegated_at);
   }
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -176,7 +176,7 @@
     return;
   }
   least_gang_need_ = job.need;
-  // So far machines were not checked for room for a need as small as this one.
+  // No machine has been checked yet for room for a need as small as this one.
   for (auto& [id, machine] : machines_) mark_dirty(*machine);
 }
 
--- a/src/state/task.hpp
+++ b/src/state/task.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One task of a job, as the leader knows it: its phase, its machine and its attempt number. The
+/// One task of a job in the leader's model: its phase, its machine and its attempt number. The
 /// phase changes by checked transitions only. Model makes all transitions that change the machine
 /// of the task, so that usage, zones and records always agree with it. Used on the controller's
 /// event loop only; times are seconds of its steady clock.
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -54,16 +54,16 @@
       already_stored.push_back(id);
       continue;
     }
-    // Rule 8: the user may have cancelled the job after its last task was done. The answer
-    // said that the job is cancelled, so that is its final state.
+    // Rule 8: the user may have cancelled the job after its last task was done. The job was then
+    // reported as cancelled, so that is its final state.
     if (job->record.cancelled) finalization.record.state = wire::JobState::cancelled;
     const auto writes_after =
         transaction.writes.size() + kWritesPerFinalization + kWritesKeptForLog;
     if (writes_after > limits_.max_writes()) break;
 
     auto value = store::encode(finalization.record);
-    // Rule 8: a cancellation that this leader has not seen makes the transaction fail, and a
-    // final state is never overwritten.
+    // Rule 8: a cancellation that is not in this leader's mirror yet makes the transaction fail,
+    // and a final state is never overwritten.
     transaction.preconditions.push_back({store::job_key(id), job->mod_revision});
     transaction.preconditions.push_back({store::final_key(id), 0});
     pending_.json_bytes += value.size() * kFinalStateJsonGrowth + kWriteOverheadBytes;
@@ -82,7 +82,7 @@
     auto value = begin_value();
     next = add_dirty_records(value, next);
     // A value without entries is written only where a transaction of finalizations would have
-    // no value at all. The number of its value tells whether a transaction was applied if the
+    // no value at all. The number of its value shows whether a transaction was applied if the
     // answer to it is lost ("Lost answers of the state service" in docs/design.md).
     const bool needs_a_value = pending_.values.empty() && !pending_.finalized_jobs.empty();
     if (value.entries.empty() && !needs_a_value) return;
@@ -135,7 +135,8 @@
     // The blocks of a job that is over are dropped when its final state is written.
     if (carried || !must_be_kept(record) || finalizations_.contains(record.job)) continue;
     auto packed = record.pack();
-    // A record that is larger than any value may be must not hold up the others.
+    // A record that is larger than any value may be is left out, so that it does not block the
+    // others.
     if (packed.json_bytes > limit) continue;
     if (value.json_bytes + packed.json_bytes > limit) return next;
     require_absent_keys(record);
--- a/src/store/mirror.hpp
+++ b/src/store/mirror.hpp
@@ -69,7 +69,7 @@
   /// True if the mirror is complete: all pages are loaded, and the watch has passed the revision
   /// of each of them.
   [[nodiscard]] bool loaded() const { return listed_ && revision_ >= listed_revision_; }
-  /// The revision up to which the mirror has seen all changes.
+  /// The revision up to which the mirror contains all changes.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
   /// Whether the present record of the job can't be decoded. The mirror then holds at most an
@@ -126,7 +126,7 @@
 
   bool listed_ = false;                ///< the last page of the listing was loaded
   bool first_page_ = true;             ///< the next page is the first of a listing
-  std::uint64_t revision_ = 0;         ///< all changes up to this revision were seen
+  std::uint64_t revision_ = 0;         ///< all changes up to this revision are applied
   std::uint64_t listed_revision_ = 0;  ///< highest revision of the loaded pages
   std::uint64_t term_ = 0;
   std::uint64_t term_revision_ = 0;
--- a/src/store/state_store.hpp
+++ b/src/store/state_store.hpp
@@ -58,7 +58,7 @@
   std::uint64_t lease = 0;             ///< id of the new lease, with `ok`
 };
 
-/// A state store, as the rest of the program uses it.
+/// The operations of the state store that the program uses.
 class StateStore {
  public:
   virtual ~StateStore() = default;
--- a/tests/soak/plan.hpp
+++ b/tests/soak/plan.hpp
@@ -19,22 +19,22 @@
   leader_series,      ///< the current leader is killed three times in succession
   cut_peer,           ///< nothing passes between two controllers
   cut_to_peer,        ///< nothing passes from one controller to another
-  cut_state,          ///< nothing passes between a controller and the state service
-  cut_from_state,     ///< requests reach the state service, responses are lost
+  cut_state,          ///< nothing passes between a controller and the state store
+  cut_from_state,     ///< requests reach the state store, responses are lost
   cut_workers,        ///< nothing passes between the workers and a controller
   cut_users,          ///< nothing passes between the users and a controller
-  delay,              ///< what passes between a controller and the state service is delayed
-  state_slow,         ///< the state service answers slowly
-  state_refuses,      ///< the state service refuses one controller
-  state_out,          ///< the state service refuses all
+  delay,              ///< what passes between a controller and the state store is delayed
+  state_slow,         ///< the state store answers slowly
+  state_refuses,      ///< the state store refuses one controller
+  state_out,          ///< the state store refuses all
   unanswered,         ///< transactions are executed without a response
   late,               ///< transactions are executed seconds later without a response
   watch_lag,          ///< a controller receives changes late
   heartbeats_lost,    ///< heartbeats of some workers get lost
   heartbeats_copied,  ///< heartbeats of some workers arrive again, late
   responses_lost,     ///< some workers receive no response and no command
-  commands_late,      ///< direct commands are executed late, their replies are lost
-  commands_lost,      ///< replies to direct commands are lost
+  commands_late,      ///< command RPCs are executed late, their replies are lost
+  commands_lost,      ///< replies to command RPCs are lost
   machines_hang,      ///< some machines hang
   cancel_wave,        ///< users cancel many jobs at the same time
 };
--- a/tests/soak/run.hpp
+++ b/tests/soak/run.hpp
@@ -14,7 +14,7 @@
 
 /// Result of a run.
 struct RunResult {
-  /// Violations in order of occurrence: a rule of the protocol page, or `exited`, `withheld`
+  /// Violations in order of occurrence: a rule of the protocol, or `exited`, `withheld`
   /// (a controller withheld a contradicting response) or `unanswered` (75 s after the faults).
   std::vector<std::string> violations;
   std::string not_run;  ///< why the run could not be made; empty if it was
--- a/tests/soak/site.hpp
+++ b/tests/soak/site.hpp
@@ -17,7 +17,7 @@
 
 namespace elmstall::soak {
 
-/// The controllers, and the simulated world around them: state service, cloud, workers and users.
+/// The controllers, and the simulated world around them: state store, cloud, workers and users.
 /// Runs on the loop of `io`.
 class Site {
  public:
@@ -58,7 +58,7 @@
   [[nodiscard]] std::filesystem::path write_settings(std::size_t node,
                                                      const std::filesystem::path& folder) const;
   void deliver(std::size_t node, const net::Request& request, const net::Responder& respond);
-  /// The controller that the state service shows as the leader.
+  /// The controller that the state store shows as the leader.
   [[nodiscard]] std::size_t leader() const;
   void kill(std::size_t node, double back_after_s);
   void begin_on_links(const PlannedFault& fault);
--- a/tests/support/fake_cloud.hpp
+++ b/tests/support/fake_cloud.hpp
@@ -15,7 +15,7 @@
 class World;
 
 /// Provisions machines with a limited capacity. Its list of machines lags behind the actual state,
-/// and provisioning requests are idempotent by name, as in the protocol page.
+/// and provisioning requests are idempotent by name, as in the protocol.
 class FakeCloud : public clients::Cloud {
  public:
   explicit FakeCloud(World& world) : world_(world) {}
--- a/tests/support/fake_http_servers.cpp
+++ b/tests/support/fake_http_servers.cpp
@@ -265,7 +265,7 @@
     const bool done = result.outcome == clients::CommandResult::Outcome::done;
     return net::Response{done ? 200 : 409, wire::encode_heartbeat(*result.heartbeat), 0};
   };
-  // Without a reply the caller cannot tell whether the commands were or will be executed.
+  // Without a reply the caller can't determine whether the commands were or will be executed.
   if (worker->dead() || worker->cut || worker->responses_dropped) return;
   if (worker->hung()) return world_.loop.at(worker->hung_until(), [execute] { (void)execute(); });
   if (world_.network.command_delay_s > 0)
--- a/tests/support/fake_state.cpp
+++ b/tests/support/fake_state.cpp
@@ -7,7 +7,7 @@
 using store::Outcome;
 
 namespace {
-// Far fewer changes than the real store keeps, so that tests also see compacted logs (410).
+// Far fewer changes than the real store keeps, so that logs are compacted (410) in tests, too.
 constexpr std::size_t kLogLength = 300;
 }  // namespace
 
--- a/tests/support/fake_state.hpp
+++ b/tests/support/fake_state.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Simulated in-memory state store: revisions, preconditions, leases and watches, as the
-/// protocol page describes them.
+/// Simulated in-memory state store: revisions, preconditions, leases and watches, as the protocol
+/// describes them.
 #pragma once
 
 #include <deque>
--- a/tests/support/gangs.hpp
+++ b/tests/support/gangs.hpp
@@ -13,7 +13,7 @@
 class FakeWorker;
 class World;
 
-/// Decides the states of the tasks of each gang, which their workers then report. Progress carries
+/// Sets the states of the tasks of each gang, which their workers then report. Progress carries
 /// over to the next attempt as far as checkpoints were saved.
 class FakeGangs {
  public:
@@ -23,7 +23,7 @@
   struct Member {
     FakeWorker* worker = nullptr;
     std::uint64_t serial = 0;
-    bool stop_requested = false;  ///< it was asked to stop with a grace period
+    bool stop_requested = false;  ///< a stop with a grace period was requested
     bool saved = false;
   };
 
@@ -31,7 +31,7 @@
   void join(const std::string& job, std::uint32_t index, std::uint64_t attempt, Member member);
   /// The task has exited or was killed, or its machine is lost.
   void leave(const std::string& job, std::uint32_t index, std::uint64_t attempt);
-  /// The task was asked to stop with a grace period; false if the gang is not running.
+  /// Stops the task with a grace period; false if the gang is not running.
   bool stop(const std::string& job, std::uint32_t index, std::uint64_t attempt);
   [[nodiscard]] bool completed(const std::string& job) const { return completed_.contains(job); }
 
--- a/tests/support/leader_view.hpp
+++ b/tests/support/leader_view.hpp
@@ -16,7 +16,7 @@
 /// The leader's model of jobs and machines; a controller must lead.
 inline state::Model& leader_model(World& world) { return leader_of(world).model(); }
 
-/// The job in the leader's model; null if there is no leader or the leader does not know it.
+/// The job in the leader's model; null if there is no leader or the job is not in its model.
 inline state::Job* job_at_leader(World& world, const std::string& id) {
   return world.leader() == nullptr ? nullptr : leader_model(world).job(id);
 }
--- a/tests/support/production_node.hpp
+++ b/tests/support/production_node.hpp
@@ -98,7 +98,7 @@
       rent;
   std::function<void(std::vector<std::string>, std::function<void(bool)>)> release;
 
-  /// Packed direct orders.
+  /// Sends packed commands to the worker at this address by RPC.
   std::function<void(std::string addr, std::uint64_t token, std::uint64_t session,
                      std::string orders, OrderDone)>
       order;
--- a/tests/support/rules.hpp
+++ b/tests/support/rules.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Checks the Rules of the protocol page.
+/// Checks the rules of the protocol.
 #pragma once
 
 #include <functional>
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -19,7 +19,7 @@
 
 // Checks.
 
-/// No rule of the protocol page was broken so far.
+/// No rule of the protocol was broken so far.
 inline void expect_no_violations(const World& world) {
   EXPECT_EQ(world.rules.first_violation(), "");
 }
--- a/tests/support/users.hpp
+++ b/tests/support/users.hpp
@@ -23,7 +23,7 @@
  public:
   explicit Users(World& world) : world_(world) {}
 
-  /// Registers a job that somebody else submits.
+  /// Registers a job that is submitted by other means.
   void register_job(const wire::JobSpec& spec);
   /// Submits a job; without a response the request is repeated for a minute.
   void submit(const wire::JobSpec& spec);
--- a/tests/support/worker.cpp
+++ b/tests/support/worker.cpp
@@ -142,7 +142,7 @@
   const auto sequence = last_sent_sequence_ = sequence_;
   world_.loop.after(4.0, [this, sequence, node] {
     if (dead_ || !in_flight_ || sequence != last_sent_sequence_) return;
-    in_flight_ = false;  // a hanging machine notices this when it resumes
+    in_flight_ = false;  // takes effect on a hanging machine when it resumes
     node_ = (node + 1) % world_.node_count();
     schedule_heartbeat(1.0);
   });
--- a/tests/support/worker.hpp
+++ b/tests/support/worker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Simulated worker in virtual time, as the protocol page describes it.
+/// Simulated worker in virtual time, as the protocol describes it.
 #pragma once
 
 #include <functional>
@@ -38,7 +38,7 @@
   /// Stops the machine and its tasks for so many seconds.
   void hang(double seconds);
   [[nodiscard]] bool hung() const;
-  // Called by `FakeGangs`, which decides for all tasks of a gang.
+  // Called by `FakeGangs`, which sets the states of all tasks of a gang.
   using TaskName = std::pair<std::string, std::uint32_t>;
   /// From now on the task, which waited for the others, is in this state.
   void set_gang_task_state(const TaskName& name, std::uint64_t serial, wire::TaskState state);
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -109,7 +109,7 @@
   void restore_zone(const std::string& zone);
   /// No message is lost between this node and that zone.
   [[nodiscard]] bool reachable(std::size_t node, const std::string& zone) const;
-  /// The cloud reclaims so many spot machines without notice.
+  /// The cloud reclaims so many spot machines without an interruption notice.
   void reclaim_spot_machines(std::size_t count);
 
   std::mt19937 generator;
