--- a/src/controller/heartbeat_router.hpp
+++ b/src/controller/heartbeat_router.hpp
@@ -2,8 +2,8 @@
 /// Routes workers' heartbeats to the controller that may reply to them: the leader, or the zone
 /// delegate while the leader is unreachable.
 ///
-/// Workers report to a controller of their own zone, which forwards their heartbeats
-/// to the leader. When the zone is partitioned or the leader fails, the workers already report to a
+/// Workers send their heartbeats to a controller of their own zone, which forwards them
+/// to the leader. When the zone is partitioned or the leader fails, the workers already reach a
 /// controller that can renew their leases (docs/design.md, "Forwarding"). Runs on the controller's
 /// event loop.
 #pragma once
