--- a/src/controller/routes.hpp
+++ b/src/controller/routes.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out which part of the HTTP interface a request is for. Pure functions.
+/// Maps requests to the endpoints of the HTTP interface. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
   std::string job_id;                       ///< of poll_job and cancel_job; not checked
 };
 
-/// The route of a request. `path` may carry a query, which is ignored.
-[[nodiscard]] Route find_route(const std::string& method, const std::string& path);
+/// The route of a request. The query is ignored.
+[[nodiscard]] Route find_route(const std::string& method, const std::string& path_and_query);
 
 }  // namespace elmstall::controller
--- a/src/placement/job_queues.cpp
+++ b/src/placement/job_queues.cpp
@@ -89,7 +89,7 @@
     total.complete = total.complete && enqueued.complete;
   };
   for (const auto& [number, block] : job.blocks) add_block(*block);
-  // The blocks of a large job are brought into memory only as they are needed.
+  // The blocks of a large job are loaded into memory only as they are needed.
   while (total.pending < constants::kWindowTasks && job.next_block < job.block_count) {
     const auto number = job.next_block++;
     if (!job.blocks.contains(number)) add_block(model_.load_block(job, number, nullptr));
@@ -97,13 +97,13 @@
   return total.complete && job.next_block >= job.block_count;
 }
 
-void JobQueues::enqueue_open_jobs(double now) {
-  auto& open = model_.jobs_with_unqueued_tasks();
-  for (auto it = open.begin(); it != open.end();) {
+void JobQueues::enqueue_jobs(double now) {
+  auto& jobs = model_.jobs_with_unqueued_tasks();
+  for (auto it = jobs.begin(); it != jobs.end();) {
     auto& job = **it;
     const bool over = job.cancelled || job.all_done();
     const bool nothing_left = over || (!is_placed_directly(job) && enqueue_job(job, now));
-    it = nothing_left ? open.erase(it) : std::next(it);
+    it = nothing_left ? jobs.erase(it) : std::next(it);
   }
 }
 
