--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -125,7 +125,7 @@
     return reply_if_known(call, wire::TaskCounts::omitted, [call] { reply_unavailable(call); });
   }
   if (!admission_.machine_types_known()) return reply_unavailable(call);
-  if (const auto reason = admission_.check(call->spec, loop_.wall()))
+  if (const auto reason = admission_.check(call->spec, loop_.wall_time()))
     return reply_rejected(call, *reason);
   create_job(call);
 }
@@ -162,7 +162,7 @@
   // arrives after the job has finished must not create the job again.
   transaction.preconditions = {{store::job_key(call->id), 0}, {store::final_key(call->id), 0}};
   transaction.writes = {{store::job_key(call->id),
-                         store::encode(store::JobRecord{call->spec, false, loop_.wall()}), 0}};
+                         store::encode(store::JobRecord{call->spec, false, loop_.wall_time()}), 0}};
   store_.commit(std::move(transaction),
                 scope_.wrap([this, call](const store::CommitResult& result) {
                   on_create_result(call, result);
--- a/src/app/asio_event_loop.cpp
+++ b/src/app/asio_event_loop.cpp
@@ -18,7 +18,7 @@
 
 double AsioEventLoop::now() const { return seconds_since_epoch<std::chrono::steady_clock>(); }
 
-double AsioEventLoop::wall() const { return seconds_since_epoch<std::chrono::system_clock>(); }
+double AsioEventLoop::wall_time() const { return seconds_since_epoch<std::chrono::system_clock>(); }
 
 double AsioEventLoop::random() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
--- a/src/app/asio_event_loop.hpp
+++ b/src/app/asio_event_loop.hpp
@@ -20,7 +20,7 @@
   explicit AsioEventLoop(asio::io_context& io);
 
   [[nodiscard]] double now() const override;
-  [[nodiscard]] double wall() const override;
+  [[nodiscard]] double wall_time() const override;
   [[nodiscard]] double random() override;
   void after(double seconds, std::function<void()> fn) override;
   void defer(std::function<void()> fn) override;
--- a/src/app/controller_process.cpp
+++ b/src/app/controller_process.cpp
@@ -20,14 +20,14 @@
 /// be the leader, which needs most of the requests and of the writes. The shares of all nodes may
 /// therefore add up to more than the limits; the service refuses what exceeds them, and refused
 /// requests are retried.
-constexpr double kLeastRequestShare = 0.5;
-constexpr double kLeastWriteShare = 0.6;
+constexpr double kMinRequestShare = 0.5;
+constexpr double kMinWriteShare = 0.6;
 
 store::RateShare rate_share(const config::Settings& settings) {
   const auto nodes = static_cast<double>(settings.peers.size() + 1);
   const auto limits = settings.state_limits();
-  return {limits.rps * std::max(kLeastRequestShare, 1 / nodes),
-          limits.write_rps * std::max(kLeastWriteShare, 1 / nodes)};
+  return {limits.rps * std::max(kMinRequestShare, 1 / nodes),
+          limits.write_rps * std::max(kMinWriteShare, 1 / nodes)};
 }
 
 /// Limits of the HTTP server, from the number of file descriptors that the process may open.
--- a/src/clients/cloud_client.cpp
+++ b/src/clients/cloud_client.cpp
@@ -23,7 +23,7 @@
 
 ProvisionResult provision_result(const net::Reply& reply) {
   using Outcome = ProvisionResult::Outcome;
-  if (auto machines = decode_success(reply, wire::decode_machine_names))
+  if (auto machines = decode_success(reply, wire::decode_machine_ids))
     return {Outcome::ok, std::move(*machines)};
   switch (reply.status) {
     case 503:
@@ -75,7 +75,7 @@
 
 void CloudClient::terminate(const std::vector<std::string>& machines,
                             std::function<void(bool)> done) {
-  client_.request("POST", "/hosts/release", wire::encode_machine_names(machines),
+  client_.request("POST", "/hosts/release", wire::encode_machine_ids(machines),
                   constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) { done(reply.status == 200); });
 }
--- a/src/clients/worker_rpc_client.cpp
+++ b/src/clients/worker_rpc_client.cpp
@@ -49,11 +49,11 @@
   return connection;
 }
 
-void WorkerRpcClient::close_least_recently_used(const PooledConnection& spared) {
+void WorkerRpcClient::close_least_recently_used(const PooledConnection& excluded) {
   auto oldest = connections_.end();
   for (auto it = connections_.begin(); it != connections_.end(); ++it) {
     const auto& connection = *it->second;
-    if (&connection == &spared || connection.rpcs_in_flight > 0) continue;
+    if (&connection == &excluded || connection.rpcs_in_flight > 0) continue;
     if (oldest == connections_.end() || connection.last_use < oldest->second->last_use) oldest = it;
   }
   if (oldest != connections_.end()) connections_.erase(oldest);
--- a/src/clients/worker_rpc_client.hpp
+++ b/src/clients/worker_rpc_client.hpp
@@ -44,8 +44,8 @@
   /// The connection to the worker at this address, opened if there is none. Throws
   /// std::invalid_argument when the address can't be parsed.
   [[nodiscard]] std::shared_ptr<PooledConnection> connection_to(const std::string& addr);
-  /// Closes the connection without RPCs in flight that was used least recently, but not `spared`.
-  void close_least_recently_used(const PooledConnection& spared);
+  /// Closes the least recently used connection without RPCs in flight, except `excluded`.
+  void close_least_recently_used(const PooledConnection& excluded);
 
   asio::io_context& io_;
   std::size_t max_connections_;
--- a/src/controller/node.cpp
+++ b/src/controller/node.cpp
@@ -30,7 +30,7 @@
 /// the load balancer therefore take precedence over workers.
 net::Responder low_priority(net::Responder respond) {
   return [respond = std::move(respond)](net::Response response) {
-    response.yields = true;
+    response.close_over_soft_limit = true;
     respond(std::move(response));
   };
 }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -27,8 +27,8 @@
   int retry_after_s = 0;  ///< seconds for the `Retry-After` header; 0 leaves the header out
   std::string content_type = "application/msgpack";  ///< value of the `Content-Type` header
   /// The client can reconnect at little cost, so the server may close this connection after the
-  /// response when connections run short (see `ServerLimits::crowded`).
-  bool yields = false;
+  /// response when connections run short (see `ServerLimits::soft_connection_limit`).
+  bool close_over_soft_limit = false;
 };
 
 /// Sends the response to one request. The handler may call it from inside, or any time later on
@@ -46,8 +46,9 @@
   std::size_t connections = 256;
   /// Bytes. Largest request body; larger ones get a 413.
   std::size_t body_bytes = 0;
-  /// Number of open connections above which those that yield are closed after their response.
-  std::size_t crowded = 256;
+  /// Number of open connections above which a connection is closed after a response with
+  /// `Response::close_over_soft_limit`.
+  std::size_t soft_connection_limit = 256;
 };
 
 /// Accepts connections and passes their requests to a handler.
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -131,8 +131,8 @@
 void HttpServer::Connection::send(const Response& response) {
   if (!socket_.is_open()) return;
   expire_after(constants::kRequestReadTimeout);
-  const bool crowded = shared_->open_sockets > shared_->limits.crowded;
-  if (response.yields && crowded) keep_alive_ = false;
+  const bool over_soft_limit = shared_->open_sockets > shared_->limits.soft_connection_limit;
+  if (response.close_over_soft_limit && over_soft_limit) keep_alive_ = false;
   const auto after = keep_alive_ ? AfterResponse::keep_connection : AfterResponse::close_connection;
   write_buffer_ = response_head(response, after) + response.body;
   write_all(socket_, write_buffer_, [self = shared_from_this()](asio::error_code error) {
--- a/src/reconcile/job_lifecycle.cpp
+++ b/src/reconcile/job_lifecycle.cpp
@@ -15,7 +15,7 @@
 
 void JobLifecycle::restore(const std::string& id, const store::JobRecord& record) {
   const auto& loop = context_.event_loop;
-  const double age = std::max(0.0, loop.wall() - record.submitted);
+  const double age = std::max(0.0, loop.wall_time() - record.submitted);
   auto& job = context_.model.add_job(id, record, loop.now() - age);
   if (const auto* blocks = context_.mirror.blocks(id)) {
     for (const auto& [number, stored] : *blocks) {
--- a/src/runtime/event_loop.hpp
+++ b/src/runtime/event_loop.hpp
@@ -21,7 +21,7 @@
   [[nodiscard]] virtual double now() const = 0;
 
   /// The time of day in seconds since 1970, which may jump.
-  [[nodiscard]] virtual double wall() const = 0;
+  [[nodiscard]] virtual double wall_time() const = 0;
 
   /// A random number in [0, 1).
   [[nodiscard]] virtual double random() = 0;
--- a/src/runtime/lifetime_token.hpp
+++ b/src/runtime/lifetime_token.hpp
@@ -18,12 +18,12 @@
   class Observer {
    public:
     /// True once the object that holds the token has been destroyed.
-    [[nodiscard]] bool owner_destroyed() const { return mark_.expired(); }
+    [[nodiscard]] bool owner_destroyed() const { return sentinel_.expired(); }
 
    private:
     friend class LifetimeToken;
-    explicit Observer(const std::shared_ptr<char>& mark) : mark_(mark) {}
-    std::weak_ptr<char> mark_;
+    explicit Observer(const std::shared_ptr<char>& sentinel) : sentinel_(sentinel) {}
+    std::weak_ptr<char> sentinel_;
   };
 
   LifetimeToken() = default;
@@ -34,11 +34,11 @@
   LifetimeToken& operator=(const LifetimeToken&) = delete;
 
   /// Returns an observer for one callback.
-  [[nodiscard]] Observer observe() const { return Observer(mark_); }
+  [[nodiscard]] Observer observe() const { return Observer(sentinel_); }
 
  private:
   /// Only its reference count matters.
-  std::shared_ptr<char> mark_ = std::make_shared<char>();
+  std::shared_ptr<char> sentinel_ = std::make_shared<char>();
 };
 
 }  // namespace elmstall::runtime
--- a/src/store/state_store_client.cpp
+++ b/src/store/state_store_client.cpp
@@ -80,7 +80,7 @@
 
 CommitResult interpret_commit(const net::Reply& reply) {
   auto outcome = outcome_of(reply);
-  if (outcome == Outcome::rejected && wire::names_missing_lease(reply.body))
+  if (outcome == Outcome::rejected && wire::is_missing_lease_error(reply.body))
     outcome = Outcome::no_lease;
   return decode<CommitResult>(reply, outcome,
                               [](CommitResult& result, const wire::Object& message) {
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -7,9 +7,10 @@
 namespace elmstall::wire {
 namespace {
 
-constexpr Names<CloudMachine::State, 3> kMachineStates{{{"booting", CloudMachine::State::booting},
-                                                        {"running", CloudMachine::State::running},
-                                                        {"failed", CloudMachine::State::failed}}};
+constexpr EnumNames<CloudMachine::State, 3> kMachineStates{
+    {{"booting", CloudMachine::State::booting},
+     {"running", CloudMachine::State::running},
+     {"failed", CloudMachine::State::failed}}};
 
 /// The numbers of a machine type, in the order in which they are written.
 constexpr std::array<AmountField<MachineType>, 8> kMachineTypeAmounts{{
@@ -90,12 +91,12 @@
   return packer.take();
 }
 
-std::string encode_machine_names(const std::vector<std::string>& machines) {
+std::string encode_machine_ids(const std::vector<std::string>& machines) {
   Packer packer;
   return packer.map(1).key("hosts").texts(machines).take();
 }
 
-std::vector<std::string> decode_machine_names(const Object& object) {
+std::vector<std::string> decode_machine_ids(const Object& object) {
   return texts(&Fields(object).require("hosts"), "hosts");
 }
 
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -61,8 +61,8 @@
                                                    std::string_view zone, bool spot, int count);
 
 /// A list of machine ids: those to terminate, or those that were just provisioned.
-[[nodiscard]] std::string encode_machine_names(const std::vector<std::string>& machines);
+[[nodiscard]] std::string encode_machine_ids(const std::vector<std::string>& machines);
 /// Reads such a list.
-[[nodiscard]] std::vector<std::string> decode_machine_names(const Object& object);
+[[nodiscard]] std::vector<std::string> decode_machine_ids(const Object& object);
 
 }  // namespace elmstall::wire
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -8,10 +8,12 @@
 namespace {
 
 /// The text of an object that is known to be text.
-std::string_view view(const Object& object) { return {object.via.str.ptr, object.via.str.size}; }
+std::string_view text_view(const Object& object) {
+  return {object.via.str.ptr, object.via.str.size};
+}
 
 /// Throws DecodeError if the value, or one inside it, is of a kind that the protocols forbid.
-void check(const Object& object) {
+void validate(const Object& object) {
   switch (object.type) {
     case msgpack::type::BIN:
     case msgpack::type::EXT:
@@ -21,12 +23,12 @@
       if (!std::isfinite(object.via.f64)) throw DecodeError("a number is not finite");
       break;
     case msgpack::type::ARRAY:
-      for (const auto& item : object.via.array) check(item);
+      for (const auto& item : object.via.array) validate(item);
       break;
     case msgpack::type::MAP:
       for (const auto& pair : object.via.map) {
         if (pair.key.type != msgpack::type::STR) throw DecodeError("a map key is not text");
-        check(pair.val);
+        validate(pair.val);
       }
       break;
     default:
@@ -46,7 +48,7 @@
 
 const Object* Fields::find(std::string_view key) const {
   for (const auto& pair : object_.via.map) {
-    if (view(pair.key) == key) return pair.val.is_nil() ? nullptr : &pair.val;
+    if (text_view(pair.key) == key) return pair.val.is_nil() ? nullptr : &pair.val;
   }
   return nullptr;
 }
@@ -104,7 +106,7 @@
 
 std::string as_text(const Object& object, std::string_view what) {
   if (object.type != msgpack::type::STR) throw DecodeError(field_error(what, "is not text"));
-  return std::string(view(object));
+  return std::string(text_view(object));
 }
 
 std::uint64_t as_integer(const Object& object, std::string_view what) {
@@ -142,7 +144,7 @@
   } catch (const std::exception&) {
     throw DecodeError("not MessagePack");
   }
-  check(document.root());
+  validate(document.root());
   return document;
 }
 
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -9,19 +9,19 @@
 namespace elmstall::wire {
 namespace {
 
-constexpr Names<JobKind, 3> kKinds{
+constexpr EnumNames<JobKind, 3> kKinds{
     {{"batch", JobKind::array}, {"daemon", JobKind::service}, {"group", JobKind::gang}}};
-constexpr Names<Priority, 4> kPriorities{{{"critical", Priority::critical},
-                                          {"high", Priority::high},
-                                          {"normal", Priority::normal},
-                                          {"idle", Priority::idle}}};
-constexpr Names<JobState, 4> kJobStates{{{"queued", JobState::queued},
-                                         {"running", JobState::running},
-                                         {"done", JobState::done},
-                                         {"withdrawn", JobState::cancelled}}};
+constexpr EnumNames<Priority, 4> kPriorities{{{"critical", Priority::critical},
+                                              {"high", Priority::high},
+                                              {"normal", Priority::normal},
+                                              {"idle", Priority::idle}}};
+constexpr EnumNames<JobState, 4> kJobStates{{{"queued", JobState::queued},
+                                             {"running", JobState::running},
+                                             {"done", JobState::done},
+                                             {"withdrawn", JobState::cancelled}}};
 
 /// What each task needs, in the order in which it is written.
-constexpr std::array<AmountField<JobSpec>, 3> kNeeds{{
+constexpr std::array<AmountField<JobSpec>, 3> kTaskResources{{
     {"cores", &JobSpec::cpus},
     {"cards", &JobSpec::gpus},
     {"ram_gb", &JobSpec::memory_gb},
@@ -35,9 +35,9 @@
 }};
 constexpr std::size_t kJobFields = 20;
 
-std::string checked_text(const Fields& fields, std::string_view key) {
+std::string decode_name(const Fields& fields, std::string_view key) {
   auto text = fields.text(key);
-  check_text(text, key);
+  check_name(text, key);
   return text;
 }
 
@@ -74,12 +74,12 @@
   const Fields fields(object);
   JobSpec job;
   job.id = decode_job_id(object);
-  job.job_class = checked_text(fields, "lane");
-  job.team = checked_text(fields, "owner");
+  job.job_class = decode_name(fields, "lane");
+  job.team = decode_name(fields, "owner");
   job.kind = parse_enum(kKinds, fields.text("shape"), "shape");
   job.priority = parse_enum(kPriorities, fields.text("rank"), "rank");
   job.tasks = decode_task_count(fields);
-  decode_amounts(fields, kNeeds, job);
+  decode_amounts(fields, kTaskResources, job);
   job.types = texts(fields.find("builds"), "builds");
   job.zone = fields.maybe_text("yard");
   job.together = fields.flag("together");
@@ -99,7 +99,7 @@
   packer.key("shape").text(name_of(kKinds, job.kind));
   packer.key("rank").text(name_of(kPriorities, job.priority));
   packer.key("shards").integer(job.tasks);
-  pack_amounts(packer, kNeeds, job);
+  pack_amounts(packer, kTaskResources, job);
   packer.key("builds");
   if (job.types.empty()) {
     packer.null();
--- a/src/wire/names.cpp
+++ b/src/wire/names.cpp
@@ -14,7 +14,7 @@
   return fields.find(key) == nullptr ? 0 : amount(fields, key);
 }
 
-void check_text(const std::string& text, std::string_view field) {
+void check_name(const std::string& text, std::string_view field) {
   if (text.empty() || text.size() > constants::kMaxNameBytes)
     throw DecodeError("field '" + std::string(field) + "' is empty or too long");
 }
--- a/src/wire/names.hpp
+++ b/src/wire/names.hpp
@@ -15,18 +15,18 @@
 
 /// The word by which a protocol denotes a value of an enumeration.
 template <typename Enum>
-struct Name {
+struct EnumName {
   std::string_view text;  ///< the word, as in messages
   Enum value;             ///< the value that the word denotes
 };
 
 /// All words of an enumeration.
 template <typename Enum, std::size_t N>
-using Names = std::array<Name<Enum>, N>;
+using EnumNames = std::array<EnumName<Enum>, N>;
 
 /// The value that the text denotes, or nothing if the text is no word of the enumeration.
 template <typename Enum, std::size_t N>
-std::optional<Enum> find_enum(const Names<Enum, N>& names, std::string_view text) {
+std::optional<Enum> find_enum(const EnumNames<Enum, N>& names, std::string_view text) {
   for (const auto& name : names) {
     if (name.text == text) return name.value;
   }
@@ -35,7 +35,7 @@
 
 /// The value that the text denotes. Throws DecodeError, which names the field, if there is none.
 template <typename Enum, std::size_t N>
-Enum parse_enum(const Names<Enum, N>& names, std::string_view text, std::string_view field) {
+Enum parse_enum(const EnumNames<Enum, N>& names, std::string_view text, std::string_view field) {
   constexpr std::size_t quoted_length = 40;
   if (const auto value = find_enum(names, text)) return *value;
   throw DecodeError("field '" + std::string(field) +
@@ -46,13 +46,13 @@
 /// program does not know must not invalidate the whole heartbeat, because the worker's lease would
 /// then run out.
 template <typename Enum, std::size_t N>
-Enum parse_enum_or(const Names<Enum, N>& names, std::string_view text, Enum fallback) {
+Enum parse_enum_or(const EnumNames<Enum, N>& names, std::string_view text, Enum fallback) {
   return find_enum(names, text).value_or(fallback);
 }
 
 /// The word that denotes the value; empty if there is none.
 template <typename Enum, std::size_t N>
-std::string_view name_of(const Names<Enum, N>& names, Enum wanted) {
+std::string_view name_of(const EnumNames<Enum, N>& names, Enum wanted) {
   for (const auto& name : names) {
     if (name.value == wanted) return name.text;
   }
@@ -98,6 +98,6 @@
 }
 
 /// Throws DecodeError if the text is empty or too long for a name.
-void check_text(const std::string& text, std::string_view field);
+void check_name(const std::string& text, std::string_view field);
 
 }  // namespace elmstall::wire
--- a/src/wire/state.cpp
+++ b/src/wire/state.cpp
@@ -49,10 +49,10 @@
   return path;
 }
 
-std::string watch_path(std::string_view prefix, std::uint64_t since, double hold_s) {
+std::string watch_path(std::string_view prefix, std::uint64_t since, double max_wait_s) {
   std::string path = "/follow?under=";
   path.append(prefix).append("&since=").append(std::to_string(since));
-  return path.append("&hold_ms=").append(milliseconds(hold_s));
+  return path.append("&hold_ms=").append(milliseconds(max_wait_s));
 }
 
 std::string lease_renewal_path(std::uint64_t lease) {
@@ -99,7 +99,7 @@
   return {fields.integer_or("ledger_rev", 0), texts(fields.find("failed"), "failed")};
 }
 
-bool names_missing_lease(std::string_view body) {
+bool is_missing_lease_error(std::string_view body) {
   return body.find("no such lease") != std::string_view::npos;
 }
 
@@ -107,9 +107,9 @@
   return Fields(object).integer_or("ledger_rev", 0);
 }
 
-std::string encode_lease_request(double life_s) {
+std::string encode_lease_request(double lease_ttl_s) {
   Packer packer;
-  packer.map(1).key("life_ms").integer(static_cast<std::uint64_t>(life_s * 1000));
+  packer.map(1).key("life_ms").integer(static_cast<std::uint64_t>(lease_ttl_s * 1000));
   return packer.take();
 }
 
--- a/src/wire/state.hpp
+++ b/src/wire/state.hpp
@@ -24,9 +24,10 @@
 /// from the first one if `since` is empty.
 [[nodiscard]] std::string listing_path(std::string_view prefix, std::string_view since,
                                        int page_size);
-/// Path of a watch: waits up to `hold_s` seconds for changes below `prefix` that are later than
+/// Path of a watch: waits up to `max_wait_s` seconds for changes below `prefix` that are later than
 /// the revision `since`.
-[[nodiscard]] std::string watch_path(std::string_view prefix, std::uint64_t since, double hold_s);
+[[nodiscard]] std::string watch_path(std::string_view prefix, std::uint64_t since,
+                                     double max_wait_s);
 /// Path at which a lease is renewed.
 [[nodiscard]] std::string lease_renewal_path(std::uint64_t lease);
 
@@ -91,14 +92,14 @@
 [[nodiscard]] CommitReply decode_commit_reply(const Object& object);
 /// True if a refusal of a transaction says that a lease of its writes does not exist. `body` is
 /// the undecoded answer.
-[[nodiscard]] bool names_missing_lease(std::string_view body);
+[[nodiscard]] bool is_missing_lease_error(std::string_view body);
 
 /// Reads the store's present revision from the answer for a key that does not exist; 0 if the
 /// answer does not tell.
 [[nodiscard]] std::uint64_t decode_revision(const Object& object);
 
-/// A request for a lease that expires `life_s` seconds after its last renewal.
-[[nodiscard]] std::string encode_lease_request(double life_s);
+/// A request for a lease that expires `lease_ttl_s` seconds after its last renewal.
+[[nodiscard]] std::string encode_lease_request(double lease_ttl_s);
 /// Reads the id of a new lease.
 [[nodiscard]] std::uint64_t decode_lease(const Object& object);
 
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -8,20 +8,21 @@
 namespace elmstall::wire {
 namespace {
 
-constexpr Names<TaskState, 5> kTaskStates{{{"fetching", TaskState::fetching},
-                                           {"gathering", TaskState::gathering},
-                                           {"running", TaskState::running},
-                                           {"flushing", TaskState::checkpointing},
-                                           {"ended", TaskState::ended}}};
-constexpr Names<EndCause, 8> kCauses{{{"done", EndCause::done},
-                                      {"halted", EndCause::stopped},
-                                      {"error", EndCause::error},
-                                      {"no_room", EndCause::no_room},
-                                      {"in_use", EndCause::in_use},
-                                      {"unknown", EndCause::unknown},
-                                      {"mates_gone", EndCause::mates_gone},
-                                      {"incomplete", EndCause::incomplete}}};
-constexpr Names<Verb, 3> kVerbs{{{"run", Verb::run}, {"kill", Verb::stop}, {"clear", Verb::clear}}};
+constexpr EnumNames<TaskState, 5> kTaskStates{{{"fetching", TaskState::fetching},
+                                               {"gathering", TaskState::gathering},
+                                               {"running", TaskState::running},
+                                               {"flushing", TaskState::checkpointing},
+                                               {"ended", TaskState::ended}}};
+constexpr EnumNames<EndCause, 8> kEndCauses{{{"done", EndCause::done},
+                                             {"halted", EndCause::stopped},
+                                             {"error", EndCause::error},
+                                             {"no_room", EndCause::no_room},
+                                             {"in_use", EndCause::in_use},
+                                             {"unknown", EndCause::unknown},
+                                             {"mates_gone", EndCause::mates_gone},
+                                             {"incomplete", EndCause::incomplete}}};
+constexpr EnumNames<Verb, 3> kVerbs{
+    {{"run", Verb::run}, {"kill", Verb::stop}, {"clear", Verb::clear}}};
 
 /// Adds the field with the commands to the map that is being packed.
 void pack_commands(Packer& packer, const std::vector<WorkerCommand>& commands) {
@@ -61,7 +62,7 @@
   packer.key("try").integer(task.attempt);
   packer.key("status").text(name_of(kTaskStates, task.state));
   if (!ended) return;
-  packer.key("cause").text(name_of(kCauses, task.cause));
+  packer.key("cause").text(name_of(kEndCauses, task.cause));
   packer.key("kept").flag(task.saved);
 }
 
@@ -74,7 +75,8 @@
   task.attempt = fields.integer("try");
   task.state = parse_enum_or(kTaskStates, fields.text("status"), TaskState::other);
   if (task.state == TaskState::ended) {
-    task.cause = parse_enum_or(kCauses, fields.maybe_text("cause").value_or(""), EndCause::other);
+    task.cause =
+        parse_enum_or(kEndCauses, fields.maybe_text("cause").value_or(""), EndCause::other);
     task.saved = fields.flag_or("kept", false);
   }
   return task;
@@ -117,7 +119,7 @@
   const Fields fields(object);
   WorkerHeartbeat heartbeat;
   heartbeat.machine = fields.text("host");
-  check_text(heartbeat.machine, "host");
+  check_name(heartbeat.machine, "host");
   heartbeat.addr = fields.maybe_text("addr").value_or("");
   heartbeat.type = fields.text("build");
   heartbeat.zone = fields.text("yard");
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -21,7 +21,7 @@
                   seen_ = request;
                   ++served_;
                   Response response{200, request.body, 0};
-                  response.yields = request.path == "/yields";
+                  response.close_over_soft_limit = request.path == "/yields";
                   respond(std::move(response));
                 }) {}
 
--- a/tests/production/adapter.cpp
+++ b/tests/production/adapter.cpp
@@ -37,7 +37,7 @@
 
 void connect_time(production::Ports& to, VirtualEventLoop& loop) {
   to.now = [&loop] { return loop.now(); };
-  to.wall = [&loop] { return loop.wall(); };
+  to.wall = [&loop] { return loop.wall_time(); };
   to.random = [&loop] { return loop.random(); };
   to.after = [&loop](double seconds, std::function<void()> fn) {
     loop.after(seconds, std::move(fn));
--- a/tests/support/fake_http_servers.cpp
+++ b/tests/support/fake_http_servers.cpp
@@ -222,7 +222,7 @@
   const auto document = wire::Document::parse(request.body);
   const auto fields = document.fields();
   if (request.path == "/hosts/release") {
-    return world_.cloud.terminate(wire::decode_machine_names(document.root()), [respond](bool ok) {
+    return world_.cloud.terminate(wire::decode_machine_ids(document.root()), [respond](bool ok) {
       respond({ok ? 200 : 503, {}, 0});
     });
   }
@@ -234,7 +234,7 @@
         wire::Packer none;
         none.map(1).key("error").text("no capacity");
         if (result.outcome == Result::ok)
-          respond({200, wire::encode_machine_names(result.machines), 0});
+          respond({200, wire::encode_machine_ids(result.machines), 0});
         else
           respond({result.outcome == Result::unknown ? 500 : 503, none.take(), 0});
       });
--- a/tests/support/virtual_time.hpp
+++ b/tests/support/virtual_time.hpp
@@ -41,7 +41,7 @@
   VirtualEventLoop(VirtualLoop& loop, unsigned seed, double rate = 1)
       : loop_(loop), random_(seed), rate_(rate) {}
   [[nodiscard]] double now() const override { return loop_.now() * rate_; }
-  [[nodiscard]] double wall() const override { return 1.7e9 + loop_.now(); }
+  [[nodiscard]] double wall_time() const override { return 1.7e9 + loop_.now(); }
   [[nodiscard]] double random() override {
     return std::uniform_real_distribution<double>(0, 1)(random_);
   }
