--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -34,8 +34,8 @@
   }
 }
 
-/// Runs one controller. Returns only when it can't listen on its addresses; otherwise the process
-/// serves until it is killed.
+/// Runs one controller. Returns only if it can't listen on its addresses; otherwise it runs until
+/// the process is killed.
 int serve(const config::Settings& settings) {
   asio::io_context io(1);
   try {
--- a/src/app/asio_event_loop.hpp
+++ b/src/app/asio_event_loop.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The event loop of production: `runtime::EventLoop` on Asio.
+/// Implementation of `runtime::EventLoop` on Asio.
 #pragma once
 
 #include <asio.hpp>
@@ -11,12 +11,13 @@
 
 namespace elmstall::app {
 
-/// Steady and calendar time of the machine, random numbers seeded by the operating system, and
-/// Asio's timers. The io_context must outlive this object; functions that still wait are destroyed
-/// with the io_context.
+/// Uses the system's monotonic and wall clocks, random numbers seeded by the operating system, and
+/// Asio's timers. The io_context must outlive this object. Pending functions are destroyed with the
+/// io_context, without being called.
 class AsioEventLoop : public runtime::EventLoop {
  public:
-  /// Seeds the random numbers. Throws what std::random_device throws if the system provides none.
+  /// Seeds the random number generator. Passes on the exception of std::random_device if the system
+  /// has no source of randomness.
   explicit AsioEventLoop(asio::io_context& io);
 
   [[nodiscard]] double now() const override;
@@ -25,7 +26,7 @@
   void after(double seconds, std::function<void()> fn) override;
   void defer(std::function<void()> fn) override;
 
-  /// A random text of up to 40 digits that distinguishes this start of the process from all others.
+  /// A random text of up to 40 digits that identifies this run of the process.
   [[nodiscard]] std::string make_incarnation();
 
  private:
--- a/src/app/controller_process.cpp
+++ b/src/app/controller_process.cpp
@@ -16,10 +16,9 @@
 namespace elmstall::app {
 namespace {
 
-/// Least shares of the state service's rate limits that one node may use by itself. Any node may
-/// be the leader, which needs most of the requests and of the writes. The shares of all nodes may
-/// therefore add up to more than the limits; the service refuses what exceeds them, and refused
-/// requests are retried.
+/// Minimum shares of the state service's rate limits that a single node may use. Any node may
+/// become the leader, which needs most of the requests and of the writes. The shares of all nodes
+/// may therefore exceed the limits in total; the service then rejects requests, which are retried.
 constexpr double kMinRequestShare = 0.5;
 constexpr double kMinWriteShare = 0.6;
 
@@ -30,7 +29,7 @@
           limits.write_rps * std::max(kMinWriteShare, 1 / nodes)};
 }
 
-/// Limits of the HTTP server, from the number of file descriptors that the process may open.
+/// Limits of the HTTP server, derived from the process's file descriptor limit.
 net::ServerLimits server_limits(const config::Settings& settings) {
   const double inbound = settings.fd_limit * constants::kInboundSocketShare;
   return {static_cast<std::size_t>(inbound), constants::kMaxBodyBytes,
@@ -39,8 +38,8 @@
 
 }  // namespace
 
-/// The members are declared in the order of their dependencies: the node refers to the clients
-/// above it, and the transport and the server below it call the node.
+/// The members are declared in the order of their dependencies: the node uses the clients declared
+/// before it, and the transport and the server declared after it call the node.
 struct ControllerProcess::Parts {
   Parts(asio::io_context& io, config::Settings process_settings)
       : settings(std::move(process_settings)),
--- a/src/app/controller_process.hpp
+++ b/src/app/controller_process.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One controller process: the node put together with its clients, its transport to other
-/// controllers and its HTTP server, all on one Asio event loop.
+/// One controller process: the node with its clients, its transport to other controllers and its
+/// HTTP server, all on one Asio event loop.
 #pragma once
 
 #include <asio.hpp>
@@ -10,14 +10,14 @@
 
 namespace elmstall::app {
 
-/// Wires a `controller::Node` to Asio and starts it. Everything runs on the thread that runs the
+/// Connects a `controller::Node` to Asio and starts it. Everything runs on the thread that runs the
 /// io_context, which must outlive this object.
 class ControllerProcess {
  public:
-  /// Starts at once. Throws std::system_error when an address can't be listened on, and
-  /// std::invalid_argument when an address of the settings can't be parsed.
+  /// Starts the node. Throws std::system_error if it can't listen on an address, and
+  /// std::invalid_argument if an address in the settings can't be parsed.
   ControllerProcess(asio::io_context& io, const config::Settings& settings);
-  /// Stops all service at once, with the same effect as the end of the process.
+  /// Stops the node immediately, with the same effect as the end of the process.
   ~ControllerProcess();
   ControllerProcess(const ControllerProcess&) = delete;
   ControllerProcess& operator=(const ControllerProcess&) = delete;
--- a/src/clients/cloud_client.cpp
+++ b/src/clients/cloud_client.cpp
@@ -5,7 +5,7 @@
 namespace elmstall::clients {
 namespace {
 
-/// Connections to the cloud at once.
+/// Largest number of simultaneous connections to the cloud.
 constexpr std::size_t kMaxConnections = 4;
 
 /// The decoded body of a response with status 200. Nothing for any other response, and for a body
@@ -28,7 +28,7 @@
   switch (reply.status) {
     case 503:
       // The cloud uses 503 both when it has no such machine and when its interface is faulty; only
-      // the text of the body tells which.
+      // the text of the body distinguishes the two.
       return {reply.body.find("no capacity") != std::string::npos ? Outcome::no_capacity
                                                                   : Outcome::unavailable,
               {}};
--- a/src/clients/cloud_client.hpp
+++ b/src/clients/cloud_client.hpp
@@ -13,12 +13,12 @@
 
 namespace elmstall::clients {
 
-/// Sends each call as one HTTP request, with `constants::kCloudTimeout` as its time-out, and does
-/// not repeat it. A response that can't be decoded counts as a failure, or as unknown for rentals.
+/// Sends each call as one HTTP request with a time-out of `constants::kCloudTimeout`, without
+/// retries. A response that can't be decoded counts as a failure, or as unknown for provisioning.
 /// Runs on the thread of the io_context, which must outlive this object.
 class CloudClient : public Cloud {
  public:
-  /// `endpoint` is the address of the cloud's interface. Connects only once there is a request.
+  /// `endpoint` is the address of the cloud's interface. Connects on the first request.
   CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint);
 
   void machine_types(
--- a/src/clients/worker_rpc.hpp
+++ b/src/clients/worker_rpc.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Command RPCs: commands that a controller sends to a worker directly, instead of with the answer
+/// Command RPCs: commands that a controller sends to a worker directly, instead of in the response
 /// to the worker's next heartbeat.
 #pragma once
 
@@ -15,15 +15,15 @@
 
 /// Outcome of one command RPC.
 struct CommandResult {
-  /// What is known of the execution of the commands.
+  /// What is known about the execution of the commands.
   enum class Outcome : std::uint8_t {
     done,      ///< the worker has executed the commands
     refused,   ///< the worker has executed none of them: token or epoch did not match
-    not_sent,  ///< the worker was not reached, and certainly executes none of them
-    unknown,   ///< the worker may have executed them, or may yet execute them
+    not_sent,  ///< nothing was sent, so the worker can't execute any of them
+    unknown,   ///< the worker may have executed them, or may still execute them
   };
-  Outcome outcome = Outcome::unknown;  ///< decides whether the commands must be repeated
-  /// What the worker reports of itself after `done` or `refused`.
+  Outcome outcome = Outcome::unknown;  ///< determines whether the commands must be repeated
+  /// The worker's heartbeat, which the response contains after `done` or `refused`.
   std::optional<wire::WorkerHeartbeat> heartbeat;
 };
 
@@ -35,8 +35,8 @@
   /// Sends commands to the worker at `addr` (`ADDRESS:PORT`). The worker compares the fencing
   /// token and the epoch before it executes any of them (docs/design.md, rules 2 and 3).
   ///
-  /// `done` is called once, later, and never from inside this call. It may be called after its
-  /// receiver has been destroyed, unless it was wrapped by a `runtime::CommandScope`.
+  /// `done` is called once, after this call has returned. It may be called after its receiver has
+  /// been destroyed, unless it was wrapped by a `runtime::CommandScope`.
   virtual void send_commands(const std::string& addr, std::uint64_t token, std::uint64_t epoch,
                              const std::vector<wire::WorkerCommand>& commands,
                              std::function<void(CommandResult)> done) = 0;
--- a/src/clients/worker_rpc_client.cpp
+++ b/src/clients/worker_rpc_client.cpp
@@ -9,7 +9,7 @@
 namespace elmstall::clients {
 namespace {
 
-/// Path of a worker's HTTP interface that takes direct commands.
+/// Path of a worker's HTTP interface that receives command RPCs.
 constexpr std::string_view kCommandsPath = "/orders";
 
 CommandResult result_of(const net::Reply& reply) {
--- a/src/clients/worker_rpc_client.hpp
+++ b/src/clients/worker_rpc_client.hpp
@@ -16,12 +16,12 @@
 
 namespace elmstall::clients {
 
-/// Keeps connections open to the workers that it sent commands to most recently. Runs on the
+/// Keeps connections to the workers that most recently received commands. Runs on the
 /// thread of the io_context, which must outlive this object.
 class WorkerRpcClient : public WorkerRpc {
  public:
-  /// `max_connections` bounds the connections that are kept. It is exceeded only while that many
-  /// command RPCs are in flight.
+  /// `max_connections` limits the number of connections that are kept. It is exceeded only while
+  /// that many command RPCs are in flight.
   WorkerRpcClient(asio::io_context& io, std::size_t max_connections)
       : io_(io), max_connections_(max_connections) {}
 
@@ -38,7 +38,7 @@
         : client(io, endpoint, /*max_connections=*/1) {}
     net::HttpClient client;
     std::size_t rpcs_in_flight = 0;
-    std::uint64_t last_use = 0;  ///< value of `use_count_` at the newest RPC
+    std::uint64_t last_use = 0;  ///< value of `use_count_` at the latest RPC
   };
 
   /// The connection to the worker at this address, opened if there is none. Throws
@@ -50,7 +50,7 @@
   asio::io_context& io_;
   std::size_t max_connections_;
   std::map<std::string, std::shared_ptr<PooledConnection>> connections_;  ///< by address
-  std::uint64_t use_count_ = 0;  ///< RPCs so far, which orders the connections by their last use
+  std::uint64_t use_count_ = 0;  ///< number of RPCs so far; orders the connections by last use
 };
 
 }  // namespace elmstall::clients
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -8,7 +8,7 @@
 namespace elmstall::net {
 namespace {
 
-/// Room for the request line and the header fields, so that the text is allocated once.
+/// Typical size of the request line and the header fields, reserved to avoid reallocations.
 constexpr std::size_t kTypicalHeadBytes = 160;
 
 std::string request_text(std::string_view method, std::string_view path, const std::string& host,
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP/1.1 client with a pool of kept-alive connections, on one Asio event loop.
+/// HTTP/1.1 client with a pool of persistent connections, on one Asio event loop.
 ///
 /// All calls and callbacks are made on the thread that runs the `asio::io_context`.
 #pragma once
@@ -15,8 +15,8 @@
 
 /// Outcome of one request.
 struct Reply {
-  /// HTTP status code. 0 means that no response arrived in time: the server may have executed
-  /// the request or may yet execute it, unless `never_sent` is set.
+  /// HTTP status code. 0 means that no response arrived: the server may have executed the request
+  /// or may still execute it, unless `never_sent` is set.
   int status = 0;
   std::string body;  ///< body of the response; empty if none arrived
   /// No byte of the request was written to a connection, so the server can't have executed it.
@@ -26,15 +26,15 @@
 /// Receives the outcome of one request.
 using ReplyHandler = std::function<void(Reply)>;
 
-/// Sends requests to one address. Each connection carries one request at a time; requests beyond
-/// the largest number of connections wait for one in the order in which they were made.
+/// Sends requests to one address. Each connection carries one request at a time. While all
+/// connections are busy, further requests are queued in the order of the calls.
 class HttpClient {
  public:
-  /// Connects only once there is a request. `max_connections` counts busy and idle ones.
+  /// Opens connections on demand. `max_connections` limits the busy and idle ones together.
   HttpClient(asio::io_context& io, asio::ip::tcp::endpoint endpoint, std::size_t max_connections);
   /// Closes idle connections. Requests that wait for a connection are dropped, and their handlers
-  /// are destroyed uncalled. Requests in progress go on, and their handlers are still called: a
-  /// handler that refers to other objects must find out by itself whether they still exist (see
+  /// are destroyed uncalled. Requests in progress continue, and their handlers are still called: a
+  /// handler that refers to other objects must check whether they still exist (see
   /// `runtime::CommandScope`).
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
--- a/src/net/http_client_connection.hpp
+++ b/src/net/http_client_connection.hpp
@@ -13,9 +13,8 @@
 
 namespace elmstall::net {
 
-/// Carries one request at a time, and connects before the first one. While a request is in
-/// progress, the pending operations of the socket and the timer keep the connection alive;
-/// between requests the pool does.
+/// Carries one request at a time, and connects before the first one. The pending operations of the
+/// socket and the timer own the connection during a request, the pool owns it between requests.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   /// Prepares a connection to the endpoint of the pool without connecting yet. The connection
@@ -34,9 +33,9 @@
   /// Closes the socket of an idle connection, whose timer does not run.
   void close_idle();
 
-  /// Whether an idle connection can't be used any more. The server sends
-  /// nothing on an idle connection unless it was asked. Anything that can be read from it is
-  /// therefore either the end of the connection or an unexpected message.
+  /// Whether an idle connection can no longer be used. A server sends nothing on an idle
+  /// connection, so anything that can be read is the end of the connection or an unexpected
+  /// message.
   [[nodiscard]] bool is_stale();
 
  private:
@@ -47,8 +46,8 @@
   void finish();
   /// Ends the request without a response, unless it has ended already.
   void fail();
-  /// False once the request has ended, by a time-out for example; operations of the socket that
-  /// complete afterwards are then of no interest.
+  /// False once the request has ended, for example by a time-out. Completions of socket operations
+  /// that arrive later are ignored.
   [[nodiscard]] bool in_progress() const { return static_cast<bool>(handler_); }
 
   asio::ip::tcp::socket socket_;
--- a/src/net/http_client_pool.hpp
+++ b/src/net/http_client_pool.hpp
@@ -22,14 +22,14 @@
   /// The clock of the deadlines.
   using Clock = std::chrono::steady_clock;
 
-  /// A request that has not been given to a connection yet.
+  /// A request that is not yet assigned to a connection.
   struct PendingRequest {
     std::string text;            ///< the request as sent, header fields included
     Clock::time_point deadline;  ///< the request fails if it has no response by then
     ReplyHandler handler;        ///< receives the outcome
   };
 
-  /// Opens no connection yet. `max_connections` counts busy and idle ones.
+  /// Opens connections on demand. `max_connections` limits the busy and idle ones together.
   Pool(asio::io_context& io, asio::ip::tcp::endpoint endpoint, std::size_t max_connections);
 
   /// Queues a request and serves it from the event loop, not from inside this call.
@@ -37,7 +37,7 @@
   /// Closes idle connections, and serves no further request.
   void shut_down();
 
-  /// Takes back a connection that can carry another request.
+  /// Returns a connection that can carry another request to the pool.
   void release(std::shared_ptr<Connection> connection);
   /// Calls `serve_pending` from the event loop.
   void schedule_serving();
@@ -55,8 +55,8 @@
   void connection_destroyed() { --open_connections_; }
 
  private:
-  /// Gives pending requests to connections for as long as there are both. Requests past their
-  /// deadline are answered as never sent.
+  /// Assigns pending requests to connections until either run out. Requests past their deadline
+  /// fail as never sent.
   void serve_pending();
   [[nodiscard]] PendingRequest take_first_pending();
 
--- a/src/net/http_request_parser.cpp
+++ b/src/net/http_request_parser.cpp
@@ -36,9 +36,8 @@
   const std::size_t parsed =
       http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
   if (complete_) {
-    // Clients of this protocol do not pipeline requests. Should one do so nevertheless, the
-    // connection is closed after the response, so that the further bytes can't be taken for a
-    // separate request.
+    // Clients of this protocol do not pipeline requests. If one does, the connection is closed
+    // after the response, so that the extra bytes can't be taken for a separate request.
     if (parsed < bytes.size()) keep_alive_ = false;
     return Result::complete;
   }
@@ -96,7 +95,7 @@
 }
 
 int HttpRequestParser::on_body(const char* data, std::size_t size) {
-  // A chunked body announces no length, so its size is checked as it arrives.
+  // A chunked body has no Content-Length header, so its size is checked as it arrives.
   body_too_large_ = body_.size() + size > max_body_bytes_;
   if (body_too_large_) return 1;
   body_.append(data, size);
@@ -106,7 +105,7 @@
 int HttpRequestParser::on_message_complete() {
   complete_ = true;
   keep_alive_ = http_should_keep_alive(&parser_) != 0;
-  // Without the pause the parser would go on with bytes that follow the request.
+  // Without the pause the parser would also parse the bytes that follow the request.
   http_parser_pause(&parser_, 1);
   return 0;
 }
--- a/src/net/http_request_parser.hpp
+++ b/src/net/http_request_parser.hpp
@@ -13,11 +13,11 @@
 
 namespace elmstall::net {
 
-/// Parses the requests of one connection, one at a time, from however many pieces the bytes
-/// arrive in. Does no I/O. Not copyable, since the underlying C parser refers to this object.
+/// Incrementally parses the requests of one connection, one at a time. Does no I/O. Not copyable,
+/// since the underlying C parser refers to this object.
 class HttpRequestParser {
  public:
-  /// State of the current request after a piece of its bytes was parsed.
+  /// State of the current request after some of its bytes were parsed.
   enum class Result : std::uint8_t {
     incomplete,         ///< more bytes are needed
     complete,           ///< `take_request` returns the request
@@ -26,7 +26,7 @@
     malformed,          ///< not an HTTP request
   };
 
-  /// `max_body_bytes` is the size of the largest body that is accepted.
+  /// `max_body_bytes` is the size of the largest accepted body.
   explicit HttpRequestParser(std::size_t max_body_bytes);
   HttpRequestParser(const HttpRequestParser&) = delete;
   HttpRequestParser& operator=(const HttpRequestParser&) = delete;
@@ -41,8 +41,8 @@
   /// The parsed request. To be called once after `Result::complete`.
   [[nodiscard]] Request take_request();
 
-  /// Whether the connection may carry another request after this one: the client asked for
-  /// nothing else, and sent nothing beyond the request. Valid after `Result::complete`.
+  /// Whether the connection may carry another request after this one: the client did not ask to
+  /// close it, and sent no bytes after the request. Valid after `Result::complete`.
   [[nodiscard]] bool keep_alive() const { return keep_alive_; }
 
  private:
--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -53,7 +53,7 @@
 int HttpResponseParser::on_message_complete() {
   complete_ = true;
   keep_alive_ = http_should_keep_alive(&parser_) != 0;
-  // Without the pause the parser would go on with bytes that follow the response.
+  // Without the pause the parser would also parse the bytes that follow the response.
   http_parser_pause(&parser_, 1);
   return 0;
 }
--- a/src/net/http_response_parser.hpp
+++ b/src/net/http_response_parser.hpp
@@ -12,11 +12,11 @@
 
 namespace elmstall::net {
 
-/// Parses the responses of one connection, one at a time, from however many pieces the bytes
-/// arrive in. Does no I/O. Not copyable, since the underlying C parser refers to this object.
+/// Incrementally parses the responses of one connection, one at a time. Does no I/O. Not copyable,
+/// since the underlying C parser refers to this object.
 class HttpResponseParser {
  public:
-  /// State of the current response after a piece of its bytes was parsed.
+  /// State of the current response after some of its bytes were parsed.
   enum class Result : std::uint8_t {
     incomplete,  ///< more bytes are needed
     complete,    ///< `status` and `take_body` return the response
@@ -39,8 +39,8 @@
   [[nodiscard]] int status() const { return static_cast<int>(parser_.status_code); }
   /// The body. To be called once after `Result::complete`.
   [[nodiscard]] std::string take_body() { return std::move(body_); }
-  /// Whether the connection may carry another request: the server keeps it open, and sent
-  /// nothing beyond the response. Valid after `Result::complete`.
+  /// Whether the connection may carry another request: the server keeps it open, and sent no
+  /// bytes after the response. Valid after `Result::complete`.
   [[nodiscard]] bool keep_alive() const { return keep_alive_; }
 
  private:
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -9,7 +9,7 @@
 namespace elmstall::net {
 namespace {
 
-/// Pause after a failed accept.
+/// Delay before accepting again after an accept has failed.
 constexpr auto kAcceptRetryPause = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -62,8 +62,8 @@
 }
 
 void HttpServer::retry_accept() {
-  // The process has most likely run out of sockets, and accepting again at once would fail again
-  // and keep the processor busy.
+  // The process has most likely run out of file descriptors. Accepting again immediately would
+  // fail again and keep the processor busy.
   accept_retry_timer_.expires_after(kAcceptRetryPause);
   accept_retry_timer_.async_wait([this, shared = shared_](asio::error_code error) {
     if (!error && !shared->server_destroyed) accept();
@@ -72,9 +72,9 @@
 
 void HttpServer::admit(asio::ip::tcp::socket socket) {
   const std::size_t limit = shared_->limits.connections;
-  // Idle connections and half-sent requests must not shut out readiness checks and users. A new
-  // connection therefore replaces the one that has kept the server waiting longest. A connection
-  // whose request is being served is never closed before its response.
+  // Idle connections and incomplete requests must not prevent readiness checks and users from
+  // connecting. A new connection therefore replaces the one that has waited longest for a request
+  // to arrive. A connection whose request is being served is never closed before its response.
   if (shared_->open_sockets >= limit && !shared_->awaiting_request.empty())
     shared_->awaiting_request.front()->close();
   if (shared_->open_sockets >= limit) return;
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -18,29 +18,29 @@
 
 namespace elmstall::net {
 
-/// What the server and its connections share. Each connection holds a reference, so that this
-/// outlives the server until the last connection is gone.
+/// State that the server and its connections share. Each connection holds a reference, so that the
+/// state exists until the server and all connections are destroyed.
 struct HttpServer::Shared {
   ServerLimits limits;                          ///< limits that the server was given
   Handler handler;                              ///< answers the requests of all connections
-  std::unordered_set<Connection*> connections;  ///< all whose objects still exist
-  /// Connections that wait for a request or for the rest of one, in the order in which they
-  /// began to wait: the one at the front has been waiting longest.
+  std::unordered_set<Connection*> connections;  ///< all existing connection objects
+  /// Connections that wait for a request or for the rest of one. The one at the front has waited
+  /// longest.
   std::list<Connection*> awaiting_request;
-  /// Open sockets. Less than `connections.size()` while the handlers of a closed socket are
-  /// still to run, since they keep their connection object alive.
+  /// Number of open sockets. Less than `connections.size()` while completion handlers of a closed
+  /// socket are pending, since they keep their connection object alive.
   std::size_t open_sockets = 0;
   bool server_destroyed = false;  ///< if set, no further request is served
 };
 
-/// Serves the requests of one client, one after the other. Lives as long as a pending operation
-/// of the socket or a responder refers to it. Runs on the server's event loop.
+/// Serves the requests of one client, one after the other. Exists as long as a pending operation of
+/// the socket or a responder refers to it. Runs on the server's event loop.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   /// The clock of the deadlines.
   using Clock = std::chrono::steady_clock;
 
-  /// Takes over an accepted socket. Reads nothing yet.
+  /// Takes ownership of an accepted socket. start() begins to read from it.
   Connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared);
   ~Connection();
   Connection(const Connection&) = delete;
@@ -74,7 +74,7 @@
   Clock::time_point deadline_;
   std::array<char, 4096> read_buffer_{};
   std::string write_buffer_;
-  /// The place of this connection in `Shared::awaiting_request`, valid while it is in that list.
+  /// The position of this connection in `Shared::awaiting_request`, valid while it is in that list.
   std::list<Connection*>::iterator awaiting_position_;
   bool in_awaiting_list_ = false;
   bool request_started_ = false;  ///< some bytes of the current request have arrived
--- a/src/net/write_all.hpp
+++ b/src/net/write_all.hpp
@@ -1,9 +1,9 @@
 /// @file
 /// Writing to a non-blocking socket, shared by the HTTP client and the HTTP server.
 ///
-/// Requests and responses are small, so the socket's send buffer nearly always has room for all
-/// of them. Trying a direct write first then saves a turn of the event loop and the allocation
-/// of a completion handler for each message.
+/// Requests and responses are small and nearly always fit into the socket's send buffer. Trying a
+/// direct write first then saves an iteration of the event loop and the allocation of a completion
+/// handler for each message.
 #pragma once
 
 #include <asio.hpp>
@@ -15,9 +15,9 @@
 
 /// Writes all of `bytes` and then calls `completion(asio::error_code)` exactly once.
 ///
-/// What the socket takes at once is written directly; Asio writes the rest later. The completion
-/// is therefore called either from inside this call, or later from the event loop. On an error
-/// an unknown part of `bytes` may have been sent.
+/// Bytes that fit into the send buffer are written directly; Asio writes the rest asynchronously.
+/// The completion is therefore called either before this function returns, or later from the event
+/// loop. After an error an unknown part of `bytes` may have been sent.
 ///
 /// The socket must be in non-blocking mode. The caller keeps the socket and `bytes` alive until
 /// the completion has been called, usually by capturing their owner in the completion. Runs on
--- a/src/runtime/coalescing_timer.hpp
+++ b/src/runtime/coalescing_timer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A timer that several callers may start and that fires once for all of them.
+/// A timer that merges the requests of several callers into one.
 #pragma once
 
 #include <utility>
@@ -8,7 +8,7 @@
 
 namespace elmstall::runtime {
 
-/// Runs a command once after a delay, however often it is asked for meanwhile.
+/// Runs a command once after a delay, and ignores further requests until then.
 ///
 /// The event loop and the queue must outlive the timer. A timer that is destroyed before it fires
 /// drops its command.
@@ -18,8 +18,8 @@
   CoalescingTimer(EventLoop& event_loop, CommandQueue& queue)
       : event_loop_(event_loop), scope_(queue) {}
 
-  /// Posts `command` to the queue in `seconds`. While an earlier request has not fired yet this
-  /// does nothing, and the command and the delay of the earlier request hold.
+  /// Posts `command` to the queue after a delay of `seconds`. Does nothing while the timer is
+  /// running: the command and the delay of the earlier request then remain in effect.
   void after(double seconds, Command command) {
     if (std::exchange(armed_, true)) return;
     event_loop_.after(seconds, scope_.wrap([this, command = std::move(command)] {
--- a/src/runtime/command_queue.hpp
+++ b/src/runtime/command_queue.hpp
@@ -1,13 +1,12 @@
 /// @file
-/// The command queue of a controller. All state of a controller has one owner, which changes it
-/// only through commands that this queue runs one after the other on the event loop's thread, so
-/// that no lock is needed.
+/// The command queue of a controller. The state of a controller is changed only by commands, which
+/// this queue runs one after the other on the event loop's thread, so that no lock is needed.
 ///
 /// Lifetime rules:
 ///  - The event loop outlives the queue, and the queue outlives every `CommandScope` on it.
-///  - A queue that is destroyed drops the commands that still wait.
-///  - A scope that is destroyed drops all its commands: those that already wait in the queue, and
-///    those of callbacks that arrive later.
+///  - Destroying the queue drops the pending commands.
+///  - Destroying a scope drops all its commands: those pending in the queue, and those of callbacks
+///    that are called later.
 #pragma once
 
 #include <functional>
@@ -22,8 +21,8 @@
 /// One step of work on the state of a controller.
 using Command = std::function<void()>;
 
-/// Runs commands in batches: first all commands that wait, in the order in which they were
-/// posted, and then the decisions that follow from all of them together.
+/// Runs commands in batches: first all pending commands, in the order in which they were posted,
+/// and then a function that acts on the combined result of the batch.
 class CommandQueue {
  public:
   /// `after_batch` is called after each batch of commands.
@@ -57,22 +56,21 @@
   LifetimeToken lifetime_;
 };
 
-/// Turns callbacks of I/O and timers into commands on behalf of one object, which holds the scope
-/// as a member. A command whose scope has been destroyed is dropped, so that commands may safely
-/// refer to that object.
+/// Turns callbacks of I/O and timers into commands. An object holds the scope as a member; since a
+/// command is dropped if its scope has been destroyed, it may safely refer to that object.
 class CommandScope {
  public:
-  /// Commands of this scope are posted to `queue`.
+  /// The commands of this scope are posted to `queue`.
   explicit CommandScope(CommandQueue& queue) : queue_(queue) {}
 
   /// Returns a callback that posts a command, which calls `fn` with the callback's arguments. The
-  /// callback may be kept for longer than the scope and the queue exist; it then does nothing.
+  /// callback may outlive the scope and the queue; it then does nothing.
   template <typename Fn>
   [[nodiscard]] auto wrap(Fn fn) {
     return
         [&queue = queue_, lifetime = lifetime_.observe(), fn = std::move(fn)](auto... arguments) {
-          // Without its scope the callback must not touch the queue either, which may have been
-          // destroyed too.
+          // If the scope has been destroyed, the queue may have been destroyed as well and must
+          // not be accessed.
           if (lifetime.owner_destroyed()) return;
           queue.post([lifetime, fn, ... values = std::move(arguments)]() mutable {
             if (!lifetime.owner_destroyed()) fn(std::move(values)...);
--- a/src/runtime/event_loop.hpp
+++ b/src/runtime/event_loop.hpp
@@ -1,35 +1,35 @@
 /// @file
-/// Time, randomness and deferred execution, as the single-threaded parts of the program see them.
-/// Production code runs on Asio (`app::AsioEventLoop`); tests simulate time.
+/// Interface to time, randomness and deferred execution for the single-threaded parts of the
+/// program. The production implementation uses Asio (`app::AsioEventLoop`); tests simulate time.
 #pragma once
 
 #include <functional>
 
 namespace elmstall::runtime {
 
-/// The event loop of one controller process. Every call is made on its one thread, and every
-/// function that it is given runs there.
+/// The event loop of one controller process. All calls are made on its only thread, and all
+/// functions passed to it run there.
 ///
-/// The loop owns the functions and runs them even when the objects that they refer to have been
-/// destroyed meanwhile: functions that capture such objects must find out by themselves (see
+/// The loop owns the functions and runs them even if the objects that they refer to have been
+/// destroyed meanwhile. Functions must therefore check whether such objects still exist (see
 /// `LifetimeToken` and `CommandScope`).
 class EventLoop {
  public:
   virtual ~EventLoop() = default;
 
-  /// Seconds on a steady clock, for measuring how long things take. The origin has no meaning.
+  /// Time of a monotonic clock in seconds, for measuring durations. The origin is arbitrary.
   [[nodiscard]] virtual double now() const = 0;
 
-  /// The time of day in seconds since 1970, which may jump.
+  /// Time of the system clock in seconds since 1970. It may jump.
   [[nodiscard]] virtual double wall_time() const = 0;
 
   /// A random number in [0, 1).
   [[nodiscard]] virtual double random() = 0;
 
-  /// Runs `fn` once, `seconds` from now. There is no way to cancel it.
+  /// Runs `fn` once after `seconds`. It can't be cancelled.
   virtual void after(double seconds, std::function<void()> fn) = 0;
 
-  /// Runs `fn` once and as soon as possible, but never from inside this call.
+  /// Runs `fn` once, as soon as possible after this call has returned.
   virtual void defer(std::function<void()> fn) = 0;
 };
 
--- a/src/runtime/lifetime_token.hpp
+++ b/src/runtime/lifetime_token.hpp
@@ -1,20 +1,21 @@
 /// @file
-/// Detection of callbacks that arrive after the object they are meant for has been destroyed.
+/// Detection of callbacks that are called after the object they refer to has been destroyed.
 #pragma once
 
 #include <memory>
 
 namespace elmstall::runtime {
 
-/// Held as a member by an object whose callbacks may run after its destruction. Each callback
-/// captures an observer and asks it before it touches the object.
+/// A member of an object whose callbacks may run after its destruction. Each callback captures an
+/// observer and checks it before it accesses the object.
 ///
-/// The token says only whether the object still exists; it does not keep the object alive. The
-/// answer holds for as long as the object can't be destroyed in between, which is the case on the
-/// single thread of an event loop.
+/// The token does not keep the object alive. The result of a check stays valid only while the
+/// object can't be destroyed concurrently, so the owner and its callbacks must run on the same
+/// thread.
 class LifetimeToken {
  public:
-  /// Tells whether the owner of the token has been destroyed. May be copied and may outlive it.
+  /// Checks whether the owner of the token has been destroyed. It may be copied, and may outlive
+  /// the owner.
   class Observer {
    public:
     /// True once the object that holds the token has been destroyed.
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -12,10 +12,10 @@
 
 namespace elmstall::wire {
 
-/// A type of machine that the cloud rents out. Prices are in the cloud's own unit; the program only
-/// compares them with each other.
+/// A machine type that the cloud offers. Prices are in a unit that the cloud chooses; the program
+/// only compares them with each other.
 struct MachineType {
-  std::string name;                ///< by which it is requested
+  std::string name;                ///< name used in provision requests
   double cpus = 0;                 ///< processor cores
   double gpus = 0;                 ///< graphics processors
   double memory_gb = 0;            ///< main memory, GB
@@ -23,29 +23,29 @@
   double fetch_gb_per_s = 0;       ///< rate of fetching an image, GB per second; 0: not stated
   double price = 0;                ///< price of an ordinary machine
   double spot_price = 0;           ///< price of a spot machine
-  double ready_s = 0;              ///< usual time from the request until the machine is up, seconds
+  double ready_s = 0;              ///< typical provisioning time, seconds
   std::vector<std::string> zones;  ///< zones in which it is offered
 };
-/// Reads the cloud's answer, or the machine types as they are stored.
+/// Reads the cloud's response, or the machine types as stored in the state store.
 [[nodiscard]] std::vector<MachineType> decode_machine_types(const Object& object);
-/// Writes the machine types in the form of the cloud's answer.
+/// Writes the machine types in the form of the cloud's response.
 [[nodiscard]] std::string encode_machine_types(const std::vector<MachineType>& machine_types);
 
 /// A machine as the cloud lists it.
 struct CloudMachine {
-  /// Where the machine is in its life.
+  /// Lifecycle state of a machine.
   enum class State : std::uint8_t {
-    booting,  ///< rented, and not up yet
-    running,  ///< up
-    failed    ///< defective; it never comes back (rule 6)
+    booting,  ///< provisioned, but not started yet
+    running,  ///< started
+    failed    ///< defective; this state is final (docs/design.md, rule 6)
   };
-  std::string id;                ///< name that the cloud gave the machine
-  std::string addr;              ///< empty while it has none
+  std::string id;                ///< identifier that the cloud assigned
+  std::string addr;              ///< empty until an address is assigned
   std::string type;              ///< machine type
-  std::string zone;              ///< zone in which it is
+  std::string zone;              ///< zone in which it runs
   bool spot = false;             ///< whether it is a spot machine
   State state = State::booting;  ///< state of the machine, not of its worker
-  double age_s = 0;              ///< seconds since it was rented
+  double age_s = 0;              ///< seconds since it was provisioned
 };
 /// One page of the machine list.
 struct CloudPage {
@@ -56,7 +56,7 @@
 [[nodiscard]] CloudPage decode_cloud_page(const Object& object);
 
 /// A request to provision `count` machines. The cloud executes requests with the same name only
-/// once, so a request that got no answer can be repeated (rule 9).
+/// once, so a request without a response can be retried (docs/design.md, rule 9).
 [[nodiscard]] std::string encode_provision_request(std::string_view name, std::string_view type,
                                                    std::string_view zone, bool spot, int count);
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -12,7 +12,8 @@
   return {object.via.str.ptr, object.via.str.size};
 }
 
-/// Throws DecodeError if the value, or one inside it, is of a kind that the protocols forbid.
+/// Throws DecodeError if the value, or a value nested in it, is of a type that the protocols
+/// forbid.
 void validate(const Object& object) {
   switch (object.type) {
     case msgpack::type::BIN:
@@ -134,8 +135,8 @@
   try {
     std::size_t offset = 0;
     const auto size = bytes.size();
-    // No container can have more members than the message has bytes. The limits prevent that a
-    // forged length makes the decoder allocate memory for members that do not exist.
+    // No container can have more members than the message has bytes. The limits prevent a forged
+    // length from making the decoder allocate memory for members that do not exist.
     const msgpack::unpack_limit limit(size, size, size, size, size, constants::kMaxDepth);
     msgpack::unpack(document.handle_, bytes.data(), size, offset, nullptr, nullptr, limit);
     if (offset != size) throw DecodeError("trailing bytes");
@@ -203,8 +204,8 @@
 
 namespace {
 
-/// Upper bound of the bytes that the text takes between its quotes. The state store may count
-/// characters beyond ASCII as escapes of six bytes, where UTF-8 has two or three bytes.
+/// Upper bound of the size of the text as a JSON string, without the quotes. The state store may
+/// count a character beyond ASCII as an escape of six bytes, where UTF-8 has two or three bytes.
 std::size_t escaped_size(std::string_view text) {
   constexpr unsigned char first_printable = 0x20;
   constexpr unsigned char first_beyond_ascii = 0x80;
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -74,7 +74,7 @@
   [[nodiscard]] const Object* end() const { return last; }
   /// Number of elements.
   [[nodiscard]] std::size_t size() const { return static_cast<std::size_t>(last - first); }
-  /// The element at this position, which must be less than size().
+  /// The element at `position`, which must be less than size().
   [[nodiscard]] const Object& operator[](std::size_t position) const { return first[position]; }
 };
 
@@ -108,11 +108,11 @@
   msgpack::object_handle handle_;
 };
 
-/// Builds one message. Maps and lists are announced with their size, and their content follows by
-/// as many calls; the sizes are not checked.
+/// Builds one message. map() and list() state the number of fields or elements, and that many
+/// have to be added by the following calls. The numbers are not checked.
 class Packer {
  public:
-  /// Begins a message without content.
+  /// Begins an empty message.
   Packer() : packer_(buffer_) {}
   /// Begins a map with this number of fields. For each, call key() and add one value.
   Packer& map(std::size_t size);
@@ -128,7 +128,7 @@
   Packer& number(double value);
   /// Adds a boolean.
   Packer& flag(bool value);
-  /// Adds a null. Readers treat a field that is null as missing.
+  /// Adds a null. Fields treats a field that is null as missing.
   Packer& null();
   /// Adds a list of texts.
   Packer& texts(const std::vector<std::string>& values);
@@ -136,7 +136,7 @@
   Packer& text_or_null(const std::optional<std::string>& value);
   /// Adds the number, or null if there is none.
   Packer& number_or_null(const std::optional<double>& value);
-  /// Adds a value that is packed already, unchecked.
+  /// Adds a value that is already encoded as MessagePack. It is not checked.
   Packer& raw(std::string_view packed);
   /// Adds a decoded value.
   Packer& object(const Object& value);
@@ -148,8 +148,8 @@
   msgpack::packer<msgpack::sbuffer> packer_;
 };
 
-/// Upper bound of the size of the value when it is written as JSON, in bytes. The state store's
-/// limits are counted that way.
+/// Upper bound of the size of the value as JSON, in bytes. The state store's size limits apply to
+/// the JSON form.
 [[nodiscard]] std::size_t json_size(const Object& object);
 /// The value as MessagePack.
 [[nodiscard]] std::string pack_object(const Object& object);
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -20,7 +20,7 @@
                                              {"done", JobState::done},
                                              {"withdrawn", JobState::cancelled}}};
 
-/// What each task needs, in the order in which it is written.
+/// Resources that each task needs, in the order in which they are written.
 constexpr std::array<AmountField<JobSpec>, 3> kTaskResources{{
     {"cores", &JobSpec::cpus},
     {"cards", &JobSpec::gpus},
--- a/src/wire/jobs.hpp
+++ b/src/wire/jobs.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Users' interface: submissions and the state of jobs. All decode functions throw DecodeError.
+/// The users' interface: job submissions and job states. All decode functions throw DecodeError.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace elmstall::wire {
 
-/// What the tasks of a job have to do with each other.
+/// How the tasks of a job depend on each other.
 enum class JobKind : std::uint8_t {
-  array,    ///< the tasks are independent and each ends by itself
+  array,    ///< the tasks are independent and end separately
   service,  ///< the tasks run until the job is cancelled
   gang      ///< all tasks run at the same time, or none does
 };
 /// Priorities, the lowest first.
 enum class Priority : std::uint8_t {
-  idle,     ///< goes after all other work, and preempts none without a guarantee
-  normal,   ///< goes before idle work
-  high,     ///< goes before normal work
-  critical  ///< goes before all work of other priorities
+  idle,     ///< scheduled after all other work; preempts only within its team's guarantee
+  normal,   ///< scheduled before idle work
+  high,     ///< scheduled before normal work
+  critical  ///< scheduled before work of all other priorities
 };
 /// State of a job; `done` and `cancelled` are final.
 enum class JobState : std::uint8_t {
@@ -45,7 +45,7 @@
   double gpus = 0;                       ///< graphics processors needed by each task
   double memory_gb = 0;                  ///< main memory needed by each task, GB
   std::vector<std::string> types;        ///< allowed machine types; empty: any
-  std::optional<std::string> zone;       ///< nothing: any
+  std::optional<std::string> zone;       ///< allowed zone; nothing: any
   bool together = false;                 ///< all tasks must run in one zone
   bool spread = false;                   ///< limits the number of tasks in each zone
   bool spot = false;                     ///< tasks may run on spot machines
@@ -66,23 +66,23 @@
 /// Adds a submission to a message or stored record, in the form that decode_job() reads.
 void pack_job(Packer& packer, const JobSpec& job);
 
-/// What a user is told of a job.
+/// The status of a job as reported to users.
 struct JobStatus {
   std::string id;                     ///< as in the submission
   JobState state = JobState::queued;  ///< state of the job as a whole
   std::uint64_t done = 0;             ///< number of completed tasks
   std::uint64_t running = 0;          ///< number of assigned tasks
 };
-/// The protocol's word for the state.
+/// The protocol's name of the state.
 [[nodiscard]] std::string_view to_text(JobState state);
-/// Whether the answer to a user tells the numbers of tasks.
+/// Whether the response to a user contains the numbers of tasks.
 enum class TaskCounts : std::uint8_t {
   omitted,   ///< identifier and state only
   included,  ///< with the numbers of completed and running tasks
 };
-/// Writes the answer to a user.
+/// Writes the response to a user.
 [[nodiscard]] std::string encode_status(const JobStatus& status, TaskCounts counts);
-/// Reads such an answer. Numbers that it lacks become 0.
+/// Reads such a response. Missing numbers become 0.
 [[nodiscard]] JobStatus decode_status(const Object& object);
 
 }  // namespace elmstall::wire
--- a/src/wire/names.hpp
+++ b/src/wire/names.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Helpers for the files of this package: enumerations, numbers and optional values as the
-/// protocols write them. Other packages do not include this header.
+/// Helpers shared by the codecs of this package: names of enumeration values, numbers that must not
+/// be negative, and names of limited length. Private to this package.
 #pragma once
 
 #include <array>
@@ -13,18 +13,18 @@
 
 namespace elmstall::wire {
 
-/// The word by which a protocol denotes a value of an enumeration.
+/// The protocol's name of one enumeration value.
 template <typename Enum>
 struct EnumName {
-  std::string_view text;  ///< the word, as in messages
-  Enum value;             ///< the value that the word denotes
+  std::string_view text;  ///< the name, as in messages
+  Enum value;             ///< the value with this name
 };
 
-/// All words of an enumeration.
+/// The names of all values of an enumeration.
 template <typename Enum, std::size_t N>
 using EnumNames = std::array<EnumName<Enum>, N>;
 
-/// The value that the text denotes, or nothing if the text is no word of the enumeration.
+/// The value with this name, or nothing if there is none.
 template <typename Enum, std::size_t N>
 std::optional<Enum> find_enum(const EnumNames<Enum, N>& names, std::string_view text) {
   for (const auto& name : names) {
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-/// The value that the text denotes. Throws DecodeError, which names the field, if there is none.
+/// The value with this name. Throws DecodeError, which names the field, if there is none.
 template <typename Enum, std::size_t N>
 Enum parse_enum(const EnumNames<Enum, N>& names, std::string_view text, std::string_view field) {
   constexpr std::size_t quoted_length = 40;
@@ -42,15 +42,15 @@
                     "' has no such value: " + std::string(text.substr(0, quoted_length)));
 }
 
-/// The value that the text denotes, or the fallback. For what workers report: a word that this
-/// program does not know must not invalidate the whole heartbeat, because the worker's lease would
-/// then run out.
+/// The value with this name, or the fallback if there is none. Used for the reports of workers: a
+/// name that this program does not know must not invalidate the whole heartbeat, because the
+/// worker's lease would then expire.
 template <typename Enum, std::size_t N>
 Enum parse_enum_or(const EnumNames<Enum, N>& names, std::string_view text, Enum fallback) {
   return find_enum(names, text).value_or(fallback);
 }
 
-/// The word that denotes the value; empty if there is none.
+/// The name of the value; empty if it has none.
 template <typename Enum, std::size_t N>
 std::string_view name_of(const EnumNames<Enum, N>& names, Enum wanted) {
   for (const auto& name : names) {
@@ -66,11 +66,11 @@
 
 /// Whether a message may lack a field.
 enum class Presence : std::uint8_t {
-  required,  ///< a message without the field is refused
+  required,  ///< a message without the field is rejected
   optional   ///< a missing field counts as 0
 };
 
-/// A field that holds a number which is not negative, and the member it is read into.
+/// A field that holds a number, which must not be negative, and the member that stores it.
 template <typename Message>
 struct AmountField {
   std::string_view name;                   ///< name of the field in messages
--- a/src/wire/state.hpp
+++ b/src/wire/state.hpp
@@ -1,6 +1,7 @@
 /// @file
 /// The state store's interface: keys, watches, transactions and leases. All decode functions throw
-/// DecodeError. Revisions are version numbers of the whole store; they only grow, and 0 is none.
+/// DecodeError. Revisions are version numbers of the whole store; they only increase, and 0 means
+/// none.
 #pragma once
 
 #include <cstdint>
@@ -37,14 +38,14 @@
   std::string value;               ///< MessagePack
   std::uint64_t mod_revision = 0;  ///< modification revision: that of its last change
 };
-/// Reads the answer for one key.
+/// Reads the response for one key.
 [[nodiscard]] Entry decode_entry(const Object& object);
 
 /// One page of the keys below a prefix.
 struct Listing {
   std::vector<Entry> entries;  ///< in the order of their keys
   bool truncated = false;      ///< more pages follow
-  std::uint64_t revision = 0;  ///< of the store at the moment when the page was read
+  std::uint64_t revision = 0;  ///< of the store when the page was read
 };
 /// Reads one page.
 [[nodiscard]] Listing decode_listing(const Object& object);
@@ -55,16 +56,16 @@
   std::optional<std::string> value;  ///< MessagePack; nothing: the key was deleted
   std::uint64_t mod_revision = 0;    ///< revision of this change
 };
-/// The answer to a watch.
+/// The response to a watch.
 struct Changes {
-  std::uint64_t revision = 0;  ///< up to which the log is complete
+  std::uint64_t revision = 0;  ///< the log contains all changes up to this revision
   std::vector<Change> log;     ///< in the order in which the changes were made
 };
-/// Reads the answer to a watch.
+/// Reads the response to a watch.
 [[nodiscard]] Changes decode_changes(const Object& object);
 
-/// A condition of a transaction: the key's modification revision must be this one, or the key must
-/// not exist if it is 0.
+/// A condition of a transaction: the key must have this modification revision, or must not exist
+/// if `mod_revision` is 0.
 struct Precondition {
   std::string key;                 ///< the key that is compared
   std::uint64_t mod_revision = 0;  ///< required revision; 0: the key must not exist
@@ -75,7 +76,7 @@
   std::optional<std::string> value;  ///< MessagePack; nothing: delete the key
   std::uint64_t lease = 0;           ///< lease to which the key is bound; 0: none
 };
-/// Changes that are made all together, or not at all if a precondition fails.
+/// Changes that are applied atomically if all preconditions hold, and otherwise not at all.
 struct Transaction {
   std::vector<Precondition> preconditions;  ///< all of them must hold
   std::vector<Write> writes;                ///< the changes to make
@@ -83,19 +84,19 @@
 /// Writes the body of a request to `kCommitPath`.
 [[nodiscard]] std::string encode_transaction(const Transaction& transaction);
 
-/// The answer to a transaction.
+/// The response to a transaction.
 struct CommitReply {
   std::uint64_t revision = 0;       ///< of the changes; 0 if none were made
   std::vector<std::string> failed;  ///< keys whose precondition failed
 };
-/// Reads the answer to a transaction.
+/// Reads the response to a transaction.
 [[nodiscard]] CommitReply decode_commit_reply(const Object& object);
-/// True if a refusal of a transaction says that a lease of its writes does not exist. `body` is
-/// the undecoded answer.
+/// True if the store rejected a transaction because a lease of its writes does not exist. `body`
+/// is the undecoded body of the response.
 [[nodiscard]] bool is_missing_lease_error(std::string_view body);
 
-/// Reads the store's present revision from the answer for a key that does not exist; 0 if the
-/// answer does not tell.
+/// Reads the store's current revision from the response for a key that does not exist; 0 if the
+/// response does not contain it.
 [[nodiscard]] std::uint64_t decode_revision(const Object& object);
 
 /// A request for a lease that expires `lease_ttl_s` seconds after its last renewal.
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The messages of the external protocols as value types, one header for each interface: the cloud,
-/// users' jobs, the state store and the workers.
+/// The messages of the external protocols as value types, with one header for each interface: the
+/// cloud, users' jobs, the state store and the workers.
 ///
 /// The protocols have field names of their own. These appear in this package only; the rest of the
 /// program uses the terms in the right column (docs/design.md, "Glossary"):
@@ -35,7 +35,7 @@
 /// | `stamp`                          | `mod_revision`, the modification revision             |
 /// | `ledger_rev`                     | `revision`                                            |
 /// | `guards`                         | `preconditions`                                       |
-/// | `hold`, `/grants`, `life_ms`     | `lease`, leases, life of a lease                      |
+/// | `hold`, `/grants`, `life_ms`     | `lease`, leases, time to live of a lease              |
 /// | `/follow`, `hold_ms`             | watch, longest wait of a watch                        |
 /// | `under`, `most`                  | prefix, page size                                     |
 /// | **workers** (wire/workers.hpp)   |                                                       |
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -24,7 +24,7 @@
 constexpr EnumNames<Verb, 3> kVerbs{
     {{"run", Verb::run}, {"kill", Verb::stop}, {"clear", Verb::clear}}};
 
-/// Adds the field with the commands to the map that is being packed.
+/// Adds the field that lists the commands to the map that is being packed.
 void pack_commands(Packer& packer, const std::vector<WorkerCommand>& commands) {
   packer.key("orders").list(commands.size());
   for (const auto& command : commands) {
@@ -37,13 +37,13 @@
   }
 }
 
-/// A task name, taken apart.
+/// The parts of a task name.
 struct TaskName {
   std::string job;
   std::uint32_t index = 0;
 };
 
-/// Takes apart what task_name() composes. Throws DecodeError if the text is no task name.
+/// Parses a name that task_name() composed. Throws DecodeError if the text is not a task name.
 TaskName parse_task_name(const std::string& name) {
   const auto slash = name.rfind('/');
   if (slash == std::string::npos) throw DecodeError("a task name has no number");
