--- a/src/clients/cloud_client.cpp
+++ b/src/clients/cloud_client.cpp
@@ -5,7 +5,7 @@
 namespace elmstall::clients {
 namespace {
 
-/// Connections to the cloud at once.
+/// Largest number of simultaneous connections to the cloud.
 constexpr std::size_t kMaxConnections = 4;
 
 /// The decoded body of a response with status 200. Nothing for any other response, and for a body
@@ -23,12 +23,12 @@
 
 ProvisionResult provision_result(const net::Reply& reply) {
   using Outcome = ProvisionResult::Outcome;
-  if (auto machines = decode_success(reply, wire::decode_machine_names))
+  if (auto machines = decode_success(reply, wire::decode_machine_ids))
     return {Outcome::ok, std::move(*machines)};
   switch (reply.status) {
     case 503:
       // The cloud uses 503 both when it has no such machine and when its interface is faulty; only
-      // the text of the body tells which.
+      // the text of the body distinguishes the two.
       return {reply.body.find("no capacity") != std::string::npos ? Outcome::no_capacity
                                                                   : Outcome::unavailable,
               {}};
@@ -75,7 +75,7 @@
 
 void CloudClient::terminate(const std::vector<std::string>& machines,
                             std::function<void(bool)> done) {
-  client_.request("POST", "/hosts/release", wire::encode_machine_names(machines),
+  client_.request("POST", "/hosts/release", wire::encode_machine_ids(machines),
                   constants::kCloudTimeout,
                   [done = std::move(done)](const net::Reply& reply) { done(reply.status == 200); });
 }
--- a/tests/production/adapter.cpp
+++ b/tests/production/adapter.cpp
@@ -39,7 +39,7 @@
 
 void connect_time(production::Ports& ports, VirtualEventLoop& loop) {
   ports.now = [&loop] { return loop.now(); };
-  ports.wall = [&loop] { return loop.wall(); };
+  ports.wall = [&loop] { return loop.wall_time(); };
   ports.random = [&loop] { return loop.random(); };
   ports.after = [&loop](double seconds, std::function<void()> fn) {
     loop.after(seconds, std::move(fn));
