--- a/src/runtime/lifetime_token.hpp
+++ b/src/runtime/lifetime_token.hpp
@@ -1,29 +1,30 @@
 /// @file
-/// Detection of callbacks that arrive after the object they are meant for has been destroyed.
+/// Detection of callbacks that are called after the object they refer to has been destroyed.
 #pragma once
 
 #include <memory>
 
 namespace elmstall::runtime {
 
-/// Held as a member by an object whose callbacks may run after its destruction. Each callback
-/// captures an observer and asks it before it touches the object.
+/// A member of an object whose callbacks may run after its destruction. Each callback captures an
+/// observer and checks it before it accesses the object.
 ///
-/// The token says only whether the object still exists; it does not keep the object alive. The
-/// answer holds for as long as the object can't be destroyed in between, which is the case on the
-/// single thread of an event loop.
+/// The token does not keep the object alive. The result of a check stays valid only while the
+/// object can't be destroyed concurrently, so the owner and its callbacks must run on the same
+/// thread.
 class LifetimeToken {
  public:
-  /// Tells whether the owner of the token has been destroyed. May be copied and may outlive it.
+  /// Checks whether the owner of the token has been destroyed. It may be copied, and may outlive
+  /// the owner.
   class Observer {
    public:
     /// True once the object that holds the token has been destroyed.
-    [[nodiscard]] bool owner_destroyed() const { return mark_.expired(); }
+    [[nodiscard]] bool owner_destroyed() const { return sentinel_.expired(); }
 
    private:
     friend class LifetimeToken;
-    explicit Observer(const std::shared_ptr<char>& mark) : mark_(mark) {}
-    std::weak_ptr<char> mark_;
+    explicit Observer(const std::shared_ptr<char>& sentinel) : sentinel_(sentinel) {}
+    std::weak_ptr<char> sentinel_;
   };
 
   LifetimeToken() = default;
@@ -34,11 +35,11 @@
   LifetimeToken& operator=(const LifetimeToken&) = delete;
 
   /// Returns an observer for one callback.
-  [[nodiscard]] Observer observe() const { return Observer(mark_); }
+  [[nodiscard]] Observer observe() const { return Observer(sentinel_); }
 
  private:
   /// Only its reference count matters.
-  std::shared_ptr<char> mark_ = std::make_shared<char>();
+  std::shared_ptr<char> sentinel_ = std::make_shared<char>();
 };
 
 }  // namespace elmstall::runtime
--- a/src/state/model.cpp
+++ b/src/state/model.cpp
@@ -81,10 +81,10 @@
 }
 
 Block& Model::load_block(Job& job, std::uint32_t number, const store::Mirror::Block* stored) {
-  auto& slot = job.blocks[number];
-  if (slot) return *slot;
-  slot = std::make_unique<Block>();
-  auto& block = *slot;
+  auto& entry = job.blocks[number];
+  if (entry) return *entry;
+  entry = std::make_unique<Block>();
+  auto& block = *entry;
   const auto size = store::block_size(settings_.state.value_kb);
   block.job = &job;
   block.number = number;
@@ -133,12 +133,12 @@
 }
 
 Machine& Model::machine(const std::string& id) {
-  auto& slot = machines_[id];
-  if (!slot) {
-    slot = std::make_unique<Machine>();
-    slot->id = id;
+  auto& entry = machines_[id];
+  if (!entry) {
+    entry = std::make_unique<Machine>();
+    entry->id = id;
   }
-  return *slot;
+  return *entry;
 }
 
 Machine* Model::find_machine(const std::string& id) {
@@ -176,7 +176,7 @@
     return;
   }
   least_gang_need_ = job.need;
-  // So far machines were not checked for room for a need as small as this one.
+  // No machine has been checked yet for room for a need as small as this one.
   for (auto& [id, machine] : machines_) mark_dirty(*machine);
 }
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -8,10 +8,13 @@
 namespace {
 
 /// The text of an object that is known to be text.
-std::string_view view(const Object& object) { return {object.via.str.ptr, object.via.str.size}; }
+std::string_view text_view(const Object& object) {
+  return {object.via.str.ptr, object.via.str.size};
+}
 
-/// Throws DecodeError if the value, or one inside it, is of a kind that the protocols forbid.
-void check(const Object& object) {
+/// Throws DecodeError if the value, or a value nested in it, is of a type that the protocols
+/// forbid.
+void validate(const Object& object) {
   switch (object.type) {
     case msgpack::type::BIN:
     case msgpack::type::EXT:
@@ -21,12 +24,12 @@
       if (!std::isfinite(object.via.f64)) throw DecodeError("a number is not finite");
       break;
     case msgpack::type::ARRAY:
-      for (const auto& item : object.via.array) check(item);
+      for (const auto& item : object.via.array) validate(item);
       break;
     case msgpack::type::MAP:
       for (const auto& pair : object.via.map) {
         if (pair.key.type != msgpack::type::STR) throw DecodeError("a map key is not text");
-        check(pair.val);
+        validate(pair.val);
       }
       break;
     default:
@@ -46,7 +49,7 @@
 
 const Object* Fields::find(std::string_view key) const {
   for (const auto& pair : object_.via.map) {
-    if (view(pair.key) == key) return pair.val.is_nil() ? nullptr : &pair.val;
+    if (text_view(pair.key) == key) return pair.val.is_nil() ? nullptr : &pair.val;
   }
   return nullptr;
 }
@@ -104,7 +107,7 @@
 
 std::string as_text(const Object& object, std::string_view what) {
   if (object.type != msgpack::type::STR) throw DecodeError(field_error(what, "is not text"));
-  return std::string(view(object));
+  return std::string(text_view(object));
 }
 
 std::uint64_t as_integer(const Object& object, std::string_view what) {
@@ -132,8 +135,8 @@
   try {
     std::size_t offset = 0;
     const auto size = bytes.size();
-    // No container can have more members than the message has bytes. The limits prevent that a
-    // forged length makes the decoder allocate memory for members that do not exist.
+    // No container can have more members than the message has bytes. The limits prevent a forged
+    // length from making the decoder allocate memory for members that do not exist.
     const msgpack::unpack_limit limit(size, size, size, size, size, constants::kMaxDepth);
     msgpack::unpack(document.handle_, bytes.data(), size, offset, nullptr, nullptr, limit);
     if (offset != size) throw DecodeError("trailing bytes");
@@ -142,7 +145,7 @@
   } catch (const std::exception&) {
     throw DecodeError("not MessagePack");
   }
-  check(document.root());
+  validate(document.root());
   return document;
 }
 
@@ -201,8 +204,8 @@
 
 namespace {
 
-/// Upper bound of the bytes that the text takes between its quotes. The state store may count
-/// characters beyond ASCII as escapes of six bytes, where UTF-8 has two or three bytes.
+/// Upper bound of the size of the text as a JSON string, without the quotes. The state store may
+/// count a character beyond ASCII as an escape of six bytes, where UTF-8 has two or three bytes.
 std::size_t escaped_size(std::string_view text) {
   constexpr unsigned char first_printable = 0x20;
   constexpr unsigned char first_beyond_ascii = 0x80;
--- a/tests/falling_limits_test.cpp
+++ b/tests/falling_limits_test.cpp
@@ -1,7 +1,6 @@
 /// \file
-/// Limits of the state store that are announced and fall at any moment, with
-/// gangs and with faults around it: nothing is refused for its size, and the
-/// rules hold.
+/// The state store lowers its limits, as announced, at a random time while gangs run and faults
+/// occur: no transaction is rejected for its size, and the rules hold.
 #include <gtest/gtest.h>
 
 #include "support/histories.hpp"
@@ -12,15 +11,15 @@
 
 class FallingLimits : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(FallingLimits, TheRulesHoldAndNothingIsTooLarge) {
+TEST_P(FallingLimits, TheRulesHoldAndNoTransactionIsRejected) {
   const auto seed = GetParam();
   World world(90'000 + seed, 3 + seed % 3, kLowerLimits);
   world.network.loss = 0.01;
   world.cloud.capacity = 40;
-  std::string story;
+  std::string fault_log;
   int jobs = 0;
-  const double falls_at = 40 + world.random() * 80;
-  bool fallen = false;
+  const double lower_at = 40 + world.random() * 80;
+  bool lowered = false;
   double next_fault = 30;
   for (double t = 0; t < 220; t += 1) {
     world.run_until(t);
@@ -32,24 +31,24 @@
       world.cancel("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
     if (jobs > 0)
       world.poll("job-" + std::to_string(1 + world.pick(static_cast<std::size_t>(jobs))));
-    if (!fallen && t >= falls_at) {
-      fallen = true;
+    if (!lowered && t >= lower_at) {
+      lowered = true;
       world.lower_state_limits();
-      story += " | limits at " + std::to_string(static_cast<int>(t));
+      fault_log += " | limits at " + std::to_string(static_cast<int>(t));
     }
     if (t >= next_fault && t < 165) {
-      story += begin_random_fault(world, t);
+      fault_log += begin_random_fault(world, t);
       next_fault = t + 8 + world.random() * 25;
     }
-    ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << story;
+    ASSERT_EQ(world.rules.first_violation(), "") << "at " << t << " s" << fault_log;
   }
-  expect_recovery(world, jobs, 245, story);
-  EXPECT_EQ(world.state.rejected_transactions, 0U) << story;
+  expect_recovery(world, jobs, 245, fault_log);
+  EXPECT_EQ(world.state.rejected_transactions, 0U) << fault_log;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FallingLimits, ::testing::Range(1U, last_seed(30) + 1));
-/// Failures of longer searches. 374: a machine was given up while places on it
-/// were kept for a gang, and the process ended.
+/// Seeds that failed in longer searches. 374: a machine was given up while slots on it were
+/// reserved for a gang, and the process exited.
 INSTANTIATE_TEST_SUITE_P(Found, FallingLimits, ::testing::Values(374U));
 
 /// Writes the record of an accepted job into the state store.
@@ -60,15 +59,15 @@
   ASSERT_EQ(world.state.commit(transaction).outcome, store::Outcome::ok);
 }
 
-/// A job whose record is as large as the limits allow at first, and too large for the lower ones.
+/// A job whose record is as large as the initial limits allow, and too large for the lower ones.
 wire::JobSpec job_with_large_record() {
   auto job = array(1, 2);
   for (int i = 0; i < 80; ++i) job.types.push_back("m12");
   return job;
 }
 
-/// Accepted under the larger limit, as an earlier version would have: its record
-/// can't be written again as it is.
+/// The job was accepted under the larger limit, as by an earlier version. Its record can't be
+/// written again unchanged.
 TEST(LargeJobRecord, IsCancelledAndEndedUnderTheSmallerLimit) {
   World world(901, 3, kLowerLimits);
   world.run_until(5);
@@ -89,7 +88,7 @@
   expect_no_violations(world);
 }
 
-TEST(LargeJobRecord, IsRefusedAtOnceByEveryControllerAndItsRepeatToo) {
+TEST(LargeJobRecord, IsRejectedByEveryControllerEachTime) {
   World world(902, 3, kLowerLimits);
   world.run_until(5);
   const auto job = job_with_large_record();
@@ -102,7 +101,7 @@
   }
 }
 
-TEST(LargeJobRecord, OfAnAcceptedJobKeepsItsAnswer) {
+TEST(LargeJobRecord, ResubmissionOfAnAcceptedJobSucceeds) {
   World world(903, 3, kLowerLimits);
   world.run_until(5);
   const auto job = job_with_large_record();
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gangs: whole or not at all, through every failure of one of their tasks.
+/// Gangs: all tasks of a gang run or none does, also when machines, tasks or leaders fail.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -10,7 +10,7 @@
 using wire::JobState;
 using GangState = state::Gang::State;
 
-/// A gang of 70 small tasks: its blocks of 8 tasks take several commits.
+/// A gang of 70 small tasks. Its blocks of 8 tasks each are recorded in several commits.
 wire::JobSpec gang_of_many_blocks() {
   auto job = gang(1, 70, 10);
   job.cpus = 1;
@@ -19,7 +19,7 @@
   return job;
 }
 
-/// A gang that must make room for any other job.
+/// A gang that any other job may preempt.
 wire::JobSpec idle_gang() {
   auto job = gang(1, 4, 60);
   job.priority = wire::Priority::idle;
@@ -31,34 +31,34 @@
   return job == nullptr ? GangState::done : job->gang.state;
 }
 
-/// Until the gang is in this state; false if that took too long.
-bool wait_for(World& world, const std::string& id, GangState state, double most = 60) {
-  for (const double end = world.loop.now() + most; world.loop.now() < end;) {
+/// Runs until the gang is in this state; false if it is not within `timeout_s`.
+bool wait_for(World& world, const std::string& id, GangState state, double timeout_s = 60) {
+  for (const double end = world.loop.now() + timeout_s; world.loop.now() < end;) {
     if (state_of(world, id) == state) return true;
     world.run_for(0.02);
   }
   return false;
 }
 
-/// Submits the gang `job-1` and lets it run for so long after its start.
+/// Submits the gang `job-1` and runs for `seconds` after its start.
 void run_gang_for(World& world, const wire::JobSpec& job, double seconds) {
   world.submit(job);
   ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
   world.run_for(seconds);
 }
 
-/// Until all four tasks of the gang `job-1` have their machines, for a minute at most.
+/// Runs until all four tasks of the gang `job-1` are placed, but not beyond 60 s.
 void place_all_four(World& world) {
   for (double t = 1; t < 60 && placed_tasks(world, "job-1") < 4; t += 0.02) world.run_until(t);
 }
 
-/// The worker that has this task of the gang, or is to get it.
+/// The worker on which this task of the gang runs or will run.
 FakeWorker& worker_of_task(World& world, const state::Job& job, std::size_t index) {
   return *world.workers.at(job.blocks.begin()->second->tasks[index].machine()->id);
 }
 
-/// Number of the gang's tasks that wait for the others, as their machines show.
-std::size_t gathering(World& world, const std::string& id) {
+/// Number of the gang's tasks that their machines report as waiting for the other tasks.
+std::size_t gathering_tasks(World& world, const std::string& id) {
   std::size_t count = 0;
   auto* job = job_at_leader(world, id);
   if (job == nullptr) return 0;
@@ -70,7 +70,7 @@
   return count;
 }
 
-TEST(Gang, AllTasksCompleteWithTheFirst) {
+TEST(Gang, CompletesInTheFirstAttempt) {
   World world(801);
   world.submit(gang(1, 6));
   ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
@@ -81,34 +81,34 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, OfManyBlocksStartsOnlyWhenAllOfThemAreRecorded) {
+TEST(Gang, StartsOnlyWhenAllBlocksAreRecorded) {
   World world(802);
   world.cloud.capacity = 60;
   world.submit(gang_of_many_blocks());
-  bool seen_some = false;
+  bool saw_unwritten_block = false;
   for (double t = 1; t < 60 && world.gangs.attempts_started() == 0; t += 0.01) {
     world.run_until(t);
     auto* job = job_at_leader(world, "job-1");
     if (job == nullptr || job->gang.state != GangState::starting) continue;
-    bool offered = false;
+    bool run_sent = false;
     bool unwritten = false;
     for (const auto& [number, block] : job->blocks) {
       for (const auto& task : block->tasks) {
-        offered = offered || task.run_sent();
+        run_sent = run_sent || task.run_sent();
         unwritten = unwritten || block->record->written < task.required_version();
       }
     }
-    seen_some = seen_some || unwritten;
-    ASSERT_FALSE(offered && unwritten) << "at " << t;
+    saw_unwritten_block = saw_unwritten_block || unwritten;
+    ASSERT_FALSE(run_sent && unwritten) << "at " << t;
   }
-  EXPECT_TRUE(seen_some);
+  EXPECT_TRUE(saw_unwritten_block);
   EXPECT_EQ(world.gangs.attempts_started(), 1U);
   world.run_for(40);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done);
   expect_no_violations(world);
 }
 
-TEST(Gang, OfOneTaskIsAGangToo) {
+TEST(Gang, OfOneTaskCompletes) {
   World world(803);
   world.submit(gang(1, 1, 5));
   world.run_until(60);
@@ -116,24 +116,24 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ALossWhileOthersWaitIsReplacedUnderTheSameAttempt) {
+TEST(Gang, MachineLossDuringGatheringKeepsTheAttempt) {
   World world(804);
-  // Another one keeps machines alive that have room.
-  auto spare = gang(2, 4, 500);
-  spare.cpus = 1;
-  spare.gpus = 0;
-  world.submit(spare);
+  // Another gang keeps machines with free capacity in the fleet.
+  auto other = gang(2, 4, 500);
+  other.cpus = 1;
+  other.gpus = 0;
+  world.submit(other);
   ASSERT_TRUE(wait_for(world, "job-2", GangState::running));
   world.submit(gang(1, 4));
   ASSERT_TRUE(wait_for(world, "job-1", GangState::starting));
-  // The last machine of the four that never gets its image.
+  // The machine of the last of the four tasks hangs before it has fetched the image.
   auto& job = *job_at_leader(world, "job-1");
   auto& last = worker_of_task(world, job, 3);
   last.hang(100);
   for (double end = world.loop.now() + 10;
-       world.loop.now() < end && gathering(world, "job-1") == 0;)
+       world.loop.now() < end && gathering_tasks(world, "job-1") == 0;)
     world.run_for(0.02);
-  ASSERT_GT(gathering(world, "job-1"), 0U);
+  ASSERT_GT(gathering_tasks(world, "job-1"), 0U);
   const auto attempt = job.gang.attempt;
   last.die();
   ASSERT_TRUE(wait_for(world, "job-1", GangState::running));
@@ -142,7 +142,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ALossThatComesTooLateForTheOthersBeginsANewAttempt) {
+TEST(Gang, MachineLossLateInGatheringBeginsANewAttempt) {
   World world(805);
   world.settings.gang_wait_s = 9;
   for (std::size_t i = 0; i < world.node_count(); ++i) world.set_gang_wait(i, 9);
@@ -159,7 +159,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ALostMachineEndsTheAttemptAndTheNextGoesOnFromTheCheckpoint) {
+TEST(Gang, MachineLossRestartsTheGangFromItsCheckpoint) {
   World world(805);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 40), 12));
   worker_of(world, "job-1")->die();
@@ -171,7 +171,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, AMachineThatHangsWithinItsLeaseEndsTheAttempt) {
+TEST(Gang, MachineHangShorterThanTheLeaseEndsTheAttempt) {
   World world(806);
   world.settings.gang_peer_s = 2;
   world.submit(gang(1, 4, 30));
@@ -183,7 +183,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, IsStoppedWholeAndInTimeToSave) {
+TEST(Gang, PreemptionStopsAllTasksAndSavesACheckpoint) {
   World world(807);
   world.cloud.capacity = 2;
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, idle_gang(), 7));
@@ -194,18 +194,19 @@
   EXPECT_EQ(world.gangs.attempts_failed(), 0U);
   EXPECT_GT(world.gangs.progress("job-1"), 6);
   EXPECT_EQ(world.rules.tasks_on_machines("job-2"), 1U);
-  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U) << "there is no room for all of it";
+  EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U)
+      << "there is no capacity for the whole gang";
   expect_no_violations(world);
 }
 
-/// Runs a gang on spot machines for so long after its start.
+/// Runs a gang on spot machines for `seconds` after its start.
 void run_on_spot_for(World& world, double seconds) {
   auto job = gang(1, 4, 60);
   job.spot = true;
   run_gang_for(world, job, seconds);
 }
 
-TEST(Gang, ASpotNoticeBeginsTheStopForAll) {
+TEST(Gang, SpotInterruptionNoticeStopsAllTasks) {
   World world(808);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->interruption_at = world.loop.now() + 20;
@@ -215,7 +216,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ANoticeTooShortToSaveIsAPlainLoss) {
+TEST(Gang, SpotInterruptionNoticeTooShortToSaveEndsTheAttempt) {
   World world(809);
   ASSERT_NO_FATAL_FAILURE(run_on_spot_for(world, 7));
   worker_of(world, "job-1")->interruption_at = world.loop.now() + 2;
@@ -226,11 +227,11 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ATakeoverInTheMiddleOfAStopSendsTheRest) {
+TEST(Gang, TakeoverDuringAStopSendsTheRemainingStopCommands) {
   World world(810);
   world.cloud.capacity = 2;
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, idle_gang(), 7));
-  // The first command that reaches a machine is the last of this leader.
+  // The leader crashes right after its first stop command has reached a machine.
   bool stopping = false;
   world.on_commands = [&] {
     if (stopping || state_of(world, "job-1") != GangState::stopping) return;
@@ -245,7 +246,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ATakeoverWhileItGathersLosesNothing) {
+TEST(Gang, TakeoverDuringGatheringKeepsTheAttempt) {
   World world(811);
   auto job = gang(1, 4);
   job.image_gb = 4;
@@ -259,8 +260,9 @@
   expect_no_violations(world);
 }
 
-/// As a leader leaves it that ends after its first command.
-TEST(Gang, OneThatSavesAtAFormerLeadersCommandIsStoppedWhole) {
+/// A leader that crashes after its first stop command leaves the gang in this state: one task saves
+/// and stops, and the others have not received the command.
+TEST(Gang, PartialStopByAFormerLeaderIsCompleted) {
   World world(815);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 60), 7));
   auto& leader = leader_of(world);
@@ -275,8 +277,9 @@
   expect_no_violations(world);
 }
 
-/// The next leader must know which attempt it is, or it commands nothing for it.
-TEST(Gang, ATakeoverInItsSecondAttemptGoesOnWithThat) {
+/// The next leader must know the number of the running attempt; otherwise it sends no commands for
+/// the gang.
+TEST(Gang, TakeoverKeepsTheSecondAttempt) {
   World world(814);
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, gang(1, 4, 200), 6));
   worker_of(world, "job-1")->die();
@@ -290,7 +293,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ATakeoverBetweenItsCommitsStartsNoPartOfIt) {
+TEST(Gang, TakeoverBetweenItsCommitsFailsNoAttempt) {
   World world(812);
   world.cloud.capacity = 60;
   bool crashed = false;
@@ -309,12 +312,12 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, StaysTogetherAcrossAttempts) {
+TEST(Gang, StaysInOneZoneAcrossAttempts) {
   World world(813);
   auto job = gang(1, 4, 40);
   job.together = true;
   ASSERT_NO_FATAL_FAILURE(run_gang_for(world, job, 6));
-  // What is cut off keeps its zone until its lease is over.
+  // The disconnected machine binds the gang to its zone until its lease has expired.
   auto* lost = worker_of(world, "job-1");
   lost->cut = true;
   world.run_for(120);
@@ -322,7 +325,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, ACancellationEndsItAtEachMoment) {
+TEST(Gang, CancellationAtAnyTimeEndsAllTasks) {
   for (const double after : {0.05, 1.0, 3.0, 8.0, 15.0}) {
     World world(820);
     world.submit(gang(1, 4, 60));
@@ -336,7 +339,7 @@
   }
 }
 
-TEST(Gang, ATaskThatAlwaysFailsDoesNotBurnTheFleet) {
+TEST(Gang, RepeatedTaskFailuresLimitTheRateOfStarts) {
   World world(830);
   world.submit(gang(1, 2, 10));
   world.submit(gang(2, 2, 10));
@@ -348,10 +351,10 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, WaitingOnesNeitherBlockEachOtherNorStarveBehindArrays) {
+TEST(Gang, WaitingGangsNeitherDeadlockNorStarveBehindArrays) {
   World world(840);
   world.cloud.capacity = 4;
-  // Arrays that take every place as it comes free.
+  // Arrays that take every slot as soon as it is free.
   for (int i = 10; i < 30; ++i) world.submit(array(i, 8, 10));
   world.run_until(25);
   auto first = gang(1, 6, 15);
@@ -366,7 +369,7 @@
   expect_no_violations(world);
 }
 
-TEST(Gang, AboveItsTeamsLimitIsRefusedAtOnce) {
+TEST(Gang, AboveTheTeamLimitIsRejected) {
   World world(850);
   world.run_until(5);
   auto job = gang(1, 9);  // red may use 8 GPUs
@@ -376,7 +379,7 @@
   EXPECT_EQ(response->status, 422);
 }
 
-TEST(GangStates, OnlyTheListedOnesFollowEachOther) {
+TEST(GangStates, OnlyValidTransitionsAreAllowed) {
   using State = state::Gang::State;
   EXPECT_TRUE(state::is_valid_transition(State::waiting, State::starting));
   EXPECT_TRUE(state::is_valid_transition(State::stopping, State::waiting));
--- a/tests/machine_failures_test.cpp
+++ b/tests/machine_failures_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Machines that die, hang, fail tasks, or lose messages in one direction.
+/// Machines that die, hang, fail tasks, or lose messages in one or both directions.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,14 +9,14 @@
 
 using wire::JobState;
 
-TEST(UnresponsiveMachine, ItsTasksGoOnElsewhereAndItGetsNoWorkUntilItHears) {
+TEST(UnresponsiveMachine, TasksMoveAndNoNewTasksAreAssignedUntilItRecovers) {
   World world(34);
   world.submit(array(1, 4, 300));
   world.run_until(40);
   auto* worker = worker_of(world, "job-1");
   ASSERT_NE(worker, nullptr);
   worker->responses_dropped = true;
-  world.run_until(67);  // its lease is over, and the next one too
+  world.run_until(67);  // its lease has expired, and so has the next one
   auto* machine = machine_of(world, *worker);
   ASSERT_NE(machine, nullptr);
   EXPECT_TRUE(machine->unresponsive);
@@ -34,7 +34,7 @@
   expect_no_violations(world);
 }
 
-TEST(UnresponsiveMachine, ThatStaysSoIsReturned) {
+TEST(UnresponsiveMachine, IsReturnedIfItDoesNotRecover) {
   World world(35);
   world.cloud.capacity = 4;
   world.submit(array(1, 8, 500));
@@ -49,10 +49,10 @@
   expect_no_violations(world);
 }
 
-/// A retirement was once refused while any zone had a delegate, and the
-/// refusal failed all that was to be recorded beside it: starts and ends of all
-/// zones stood still for as long as one zone was cut.
-TEST(DeadMachine, IsGivenUpThoughAnotherZoneHasADelegate) {
+/// The retirement of a machine once failed while any zone had a delegate, and with it the whole
+/// commit that contained it: no start or end of a task was recorded in any zone for as long as one
+/// zone was cut off.
+TEST(DeadMachine, IsGivenUpWhileAnotherZoneHasADelegate) {
   World world(43);
   world.cloud.capacity = 20;
   world.submit(array_in("north", 1, 5, 2000));
@@ -64,11 +64,11 @@
   world.network.cut_peer_links(1);  // the only controller of the south
   world.run_until(60);
   ASSERT_FALSE(world.leader()->mirror().delegations().empty()) << "the south has a delegate";
-  world.cloud.down = true;  // no help from there
+  world.cloud.down = true;  // so the cloud can't confirm that the machine is gone
   auto* dead = worker_of(world, "job-1");
   ASSERT_NE(dead, nullptr);
   dead->die();
-  world.submit(array_in("north", 3, 1, 20));  // ends when the dead machine's lease of 10 s is over
+  world.submit(array_in("north", 3, 1, 20));  // ends after the dead machine's lease of 10 s
   world.run_until(95);
   ASSERT_FALSE(world.leader()->mirror().delegations().empty());
   auto* machine = machine_of(world, *dead);
@@ -76,12 +76,12 @@
   EXPECT_TRUE(machine->tasks.empty()) << "given up";
   world.poll("job-3");
   world.run_until(97);
-  EXPECT_EQ(world.last_reported_state("job-3"), JobState::done) << "others went on";
+  EXPECT_EQ(world.last_reported_state("job-3"), JobState::done) << "other tasks are not affected";
   expect_no_violations(world);
 }
 
-/// With commands held for them, for less and for more than their lease.
-TEST(HungMachine, GoesOnAndRunsNothingTwice) {
+/// Machines hang for less and for more than their lease while commands to them are pending.
+TEST(HungMachine, ResumesWithoutRunningATaskTwice) {
   for (int length = 2; length < 32; length += 2) {
     World world(800 + static_cast<unsigned>(length));
     world.cloud.capacity = 16;
@@ -103,9 +103,9 @@
   }
 }
 
-/// Safety rule 6: what is on a silent machine is gone when its lease is over,
-/// and not before.
-TEST(SilentMachine, ItsTasksStartElsewhereAfterItsLease) {
+/// Tasks on a disconnected machine are known to be gone when its lease has expired, and not before
+/// (rule 6).
+TEST(DisconnectedMachine, TasksStartElsewhereAfterItsLease) {
   World world(12);
   world.submit(array(1, 6, 60));
   world.run_until(30);
@@ -121,7 +121,7 @@
   expect_starts_without_violations(world);
 }
 
-TEST(FaultyMachine, IsPutAsideWhenTasksOfSeveralJobsFailThere) {
+TEST(FaultyMachine, IsQuarantinedWhenTasksOfSeveralJobsFail) {
   World world(16);
   for (int i = 1; i <= 4; ++i) world.submit(array(i, 3, 4));
   world.run_until(16);
@@ -135,12 +135,12 @@
   expect_starts_without_violations(world);
 }
 
-/// They reach no controller, while direct commands reach them: a reply to those
-/// once counted as a heartbeat, and what was started there died with its lease.
-TEST(LostHeartbeats, NothingIsStartedOnAMachineThatCanNotHeartbeat) {
+/// The machine's heartbeats reach no controller, while direct commands reach the machine. A reply
+/// to a command once counted as a heartbeat, and tasks started there ended when the lease expired.
+TEST(LostHeartbeats, NoTaskStartsOnAMachineWithoutHeartbeats) {
   World world(1700);
   world.cloud.capacity = 2;
-  world.submit(array(1, 3, 3000));  // leaves room on one machine
+  world.submit(array(1, 3, 3000));  // leaves one slot free on one machine
   world.run_until(45);
   ASSERT_EQ(placed_tasks(world, "job-1"), 3U);
   auto& machines = leader_model(world).machines();
@@ -151,45 +151,47 @@
   const auto* machine = found->second.get();
   auto* worker = world.workers.at(machine->id).get();
   worker->heartbeats_dropped = true;
-  world.cloud.down = true;  // it stays for now
-  const double at = world.loop.now();
-  // Each is started, called off and thus asked about by direct commands.
+  world.cloud.down = true;  // so the machine can't be returned yet
+  const double dropped_at = world.loop.now();
+  // Each job is started and then cancelled, which sends direct commands to the machine.
   for (int i = 2; i < 10; ++i) {
     auto job = array(i, 1, 3000);
     job.image_gb = 0;
     world.submit(job);
-    world.run_until(at + 2 * i - 2.5);
-    const bool there = std::any_of(machine->tasks.begin(), machine->tasks.end(),
-                                   [&](const auto* task) { return task->job->id == job.id; });
-    EXPECT_FALSE(there && world.loop.now() > at + 11) << "silent since " << world.loop.now() - at;
+    world.run_until(dropped_at + 2 * i - 2.5);
+    const bool on_machine = std::any_of(machine->tasks.begin(), machine->tasks.end(),
+                                        [&](const auto* task) { return task->job->id == job.id; });
+    EXPECT_FALSE(on_machine && world.loop.now() > dropped_at + 11)
+        << "seconds without a heartbeat: " << world.loop.now() - dropped_at;
     world.cancel(job.id);
-    world.run_until(at + 2 * i - 1.5);
+    world.run_until(dropped_at + 2 * i - 1.5);
   }
   world.cloud.down = false;
-  world.run_until(at + 60);
-  EXPECT_TRUE(worker->dead()) << "returned, for it stays so";
+  world.run_until(dropped_at + 60);
+  EXPECT_TRUE(worker->dead()) << "returned, as it does not recover";
   EXPECT_EQ(placed_tasks(world, "job-1"), 3U);
   expect_no_violations(world);
 }
 
-/// Commands go out to them all the same, and many that lose their heartbeats at once are a cut.
-TEST(LostHeartbeats, CancelledTasksEndThereAndManyAreKept) {
+/// Commands are still sent to machines whose heartbeats are lost. If many machines lose their
+/// heartbeats at once, a network partition is assumed, and they are kept.
+TEST(LostHeartbeats, CancelledTasksEndAndMachinesAreKeptWhenManyAreAffected) {
   World world(1710);
   world.cloud.capacity = 8;
   world.submit(array(1, 8, 3000));
   world.run_until(45);
-  std::vector<FakeWorker*> heartbeats_dropped;
+  std::vector<FakeWorker*> affected;
   for (auto& [id, worker] : world.workers) {
     worker->heartbeats_dropped = true;
-    if (!worker->dead()) heartbeats_dropped.push_back(worker.get());
+    if (!worker->dead()) affected.push_back(worker.get());
   }
   world.run_until(47);
   ASSERT_TRUE(world.cancel_at(leader_index(world), "job-1"));
   world.run_until(50);
   EXPECT_EQ(world.rules.tasks_on_machines("job-1"), 0U);
   world.run_until(70);
-  for (auto* worker : heartbeats_dropped) {
-    EXPECT_FALSE(worker->dead()) << "all at once are not given up";
+  for (auto* worker : affected) {
+    EXPECT_FALSE(worker->dead()) << "machines that are affected together are kept";
     worker->heartbeats_dropped = false;
   }
   world.submit(array(2, 8, 10));
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs of each kind from their submission to their end, without faults or with lost machines.
+/// Jobs of each kind from submission to completion, without faults or with machine losses.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -15,7 +15,7 @@
   world.run_until(200);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done);
   expect_starts_without_violations(world);
-  // Nothing of it is left but the last word.
+  // Only the final record of the job is left.
   ASSERT_NE(world.leader(), nullptr);
   EXPECT_EQ(world.leader()->mirror().blocks("job-1"), nullptr);
   EXPECT_TRUE(world.state.items().contains(store::final_key("job-1")));
@@ -39,17 +39,17 @@
   auto gang = array(1, 4);
   gang.kind = wire::JobKind::gang;
   world.submit(gang);
-  std::size_t most = 0;
+  std::size_t max_running = 0;
   for (double t = 1; t < 60; t += 0.5) {
     world.run_until(t);
     const auto now = running_tasks(world, "job-1");
-    most = std::max(most, now);
+    max_running = std::max(max_running, now);
   }
-  EXPECT_EQ(most, 4U);
+  EXPECT_EQ(max_running, 4U);
   expect_starts_without_violations(world);
 }
 
-TEST(Scheduling, HigherPriorityMakesRoom) {
+TEST(Scheduling, HigherPriorityPreemptsLower) {
   World world(4);
   world.cloud.capacity = 2;
   auto low = array(1, 4, 500);
@@ -65,20 +65,20 @@
   expect_starts_without_violations(world);
 }
 
-/// Guaranteed idle work and another team's work of high priority once
-/// displaced each other at the speed of the commits.
-TEST(Scheduling, PriorityAndGuaranteeDoNotDisplaceEachOther) {
+/// Guards against a livelock: an idle job within its team's guarantee and a high-priority job of
+/// another team preempted each other with every commit.
+TEST(Scheduling, PriorityAndGuaranteeDoNotPreemptEachOtherRepeatedly) {
   World world(21);
   world.cloud.capacity = 2;
-  auto owed = array(1, 4, 300);
-  owed.team = "red";  // 4 GPUs guaranteed
-  owed.priority = wire::Priority::idle;
+  auto guaranteed = array(1, 4, 300);
+  guaranteed.team = "red";  // 4 GPUs guaranteed
+  guaranteed.priority = wire::Priority::idle;
   auto urgent = array(2, 4, 300);
   urgent.priority = wire::Priority::high;
   world.submit(urgent);
   world.run_until(30);
   EXPECT_EQ(running_tasks(world, "job-2"), 4U);
-  world.submit(owed);
+  world.submit(guaranteed);
   world.run_until(50);
   EXPECT_EQ(running_tasks(world, "job-1"), 4U);
   const auto before = world.state.revision();
@@ -87,31 +87,31 @@
   expect_starts_without_violations(world);
 }
 
-TEST(Scheduling, TheTeamsLimitHoldsAndTheRestWaits) {
+TEST(Scheduling, TasksAboveTheTeamLimitWait) {
   World world(5);
   auto job = array(1, 12, 20);
   job.team = "red";  // at most 8 GPUs
   world.submit(job);
-  std::size_t most = 0;
+  std::size_t max_running = 0;
   for (double t = 1; t < 60; ++t) {
     world.run_until(t);
-    most = std::max(most, running_tasks(world, "job-1"));
+    max_running = std::max(max_running, running_tasks(world, "job-1"));
   }
-  EXPECT_EQ(most, 8U);
+  EXPECT_EQ(max_running, 8U);
   world.run_until(150);
   EXPECT_EQ(poll_reported_state(world, "job-1"), JobState::done);
   expect_starts_without_violations(world);
 }
 
-TEST(Scheduling, WhatCanNeverRunIsRefusedAtOnce) {
+TEST(Scheduling, JobsThatCanNeverRunAreRejected) {
   World world(6);
   world.run_until(2);
   auto job = array(1, 1);
   job.cpus = 100;
   world.submit(job);
-  auto stranger = array(2, 1);
-  stranger.team = "nobody";
-  world.submit(stranger);
+  auto unknown_team = array(2, 1);
+  unknown_team.team = "nobody";
+  world.submit(unknown_team);
   auto too_many = service(3, 20);
   too_many.team = "red";
   world.submit(too_many);
@@ -119,19 +119,19 @@
   EXPECT_EQ(world.rules.accepted(), 0U);
 }
 
-TEST(Scheduling, AKnownIdKeepsItsAnswerWhateverComesWithIt) {
+TEST(Scheduling, ResubmissionUnderAKnownIdGetsTheSameAnswer) {
   World world(7);
   world.run_until(2);
   world.submit(array(1, 2));
   world.run_until(60);
   auto other = array(1, 2);
-  other.team = "nobody";  // would be refused under a new id
+  other.team = "nobody";  // would be rejected under a new id
   world.submit(other);
   world.run_until(65);
   expect_no_violations(world);
 }
 
-TEST(LargeJobs, AreTakenWithOneWriteAndStartAsRoomAllows) {
+TEST(LargeJobs, AreAcceptedWithFewWritesAndStartAsCapacityAllows) {
   World world(19);
   world.run_until(2);
   const auto before = world.state.revision();
@@ -146,9 +146,9 @@
   expect_starts_without_violations(world);
 }
 
-/// Services and arrays that may not run anywhere lose machines, with commands lost
-/// on the way: what may still be there counts until it is certainly gone.
-TEST(ZoneBoundWork, LosesMachinesAndIsPlacedByItsRulesAgain) {
+/// Services and arrays with zone rules lose machines while replies to commands are lost. A task
+/// that may still be on a machine counts in the machine's zone until it is certainly gone.
+TEST(ZoneBoundWork, IsPlacedByItsZoneRulesAfterMachineLosses) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     World world(2100 + seed, 4);
     world.cloud.capacity = 30;
@@ -188,9 +188,9 @@
   }
 }
 
-/// A machine does not move: a heartbeat that names another zone once took its tasks
-/// out of the count of a zone in which they had never been counted.
-TEST(ZoneBoundWork, AHeartbeatThatNamesAnotherZoneChangesNoCount) {
+/// The zone of a machine never changes. A heartbeat with another zone once subtracted the machine's
+/// tasks from the count of a zone in which they had never been counted.
+TEST(ZoneBoundWork, HeartbeatWithAWrongZoneChangesNoCount) {
   World world(2150);
   world.submit(service(1, 4));
   world.run_until(60);
@@ -199,12 +199,12 @@
   auto& leader = leader_of(world);
   auto* machine = machine_of(world, *worker);
   const auto* job = leader.model().job("job-1");
-  worker->cut = true;  // we speak for it
+  worker->cut = true;  // the test sends the heartbeats in its place
   auto heartbeat = heartbeat_of(*worker, machine->epoch, machine->sequence + 100,
                                 leader.token() + machine->fence);
   heartbeat.zone = worker->zone() == "north" ? "south" : "north";
   show_tasks(heartbeat, *machine, wire::TaskState::ended, wire::EndCause::error);
-  // Straight to the leader: its node would send the worker to the other zone.
+  // Directly to the leader: its node would redirect the worker to the other zone.
   int status = 0;
   leader.on_heartbeat(heartbeat, [&](const net::Response& response) { status = response.status; });
   ASSERT_EQ(status, 200);
--- a/tests/support/fake_http_servers.cpp
+++ b/tests/support/fake_http_servers.cpp
@@ -222,7 +222,7 @@
   const auto document = wire::Document::parse(request.body);
   const auto fields = document.fields();
   if (request.path == "/hosts/release") {
-    return world_.cloud.terminate(wire::decode_machine_names(document.root()), [respond](bool ok) {
+    return world_.cloud.terminate(wire::decode_machine_ids(document.root()), [respond](bool ok) {
       respond({ok ? 200 : 503, {}, 0});
     });
   }
@@ -234,7 +234,7 @@
         wire::Packer none;
         none.map(1).key("error").text("no capacity");
         if (result.outcome == Result::ok)
-          respond({200, wire::encode_machine_names(result.machines), 0});
+          respond({200, wire::encode_machine_ids(result.machines), 0});
         else
           respond({result.outcome == Result::unknown ? 500 : 503, none.take(), 0});
       });
@@ -265,7 +265,7 @@
     const bool done = result.outcome == clients::CommandResult::Outcome::done;
     return net::Response{done ? 200 : 409, wire::encode_heartbeat(*result.heartbeat), 0};
   };
-  // Without a reply the caller cannot tell whether the commands were or will be executed.
+  // Without a reply the caller can't determine whether the commands were or will be executed.
   if (worker->dead() || worker->cut || worker->responses_dropped) return;
   if (worker->hung()) return world_.loop.at(worker->hung_until(), [execute] { (void)execute(); });
   if (world_.network.command_delay_s > 0)
